--- a/crates/bramblewheel-control/tests/server.rs
+++ b/crates/bramblewheel-control/tests/server.rs
@@ -22,6 +22,26 @@
 
 const PATIENCE: Duration = Duration::from_secs(60);
 
+/// Metrics of a replica and their kinds, by name: dashboards and alerts of the users hold them.
+const METRICS: [&str; 16] = [
+    "bramblewheel_control_applied_index gauge",
+    "bramblewheel_control_bundle_deltas_computed counter",
+    "bramblewheel_control_bundle_deltas_sent counter",
+    "bramblewheel_control_bundle_version gauge",
+    "bramblewheel_control_daemons gauge",
+    "bramblewheel_control_leader gauge",
+    "bramblewheel_control_operations_decided counter",
+    "bramblewheel_control_operations_kept gauge",
+    "bramblewheel_control_polls_answered counter",
+    "bramblewheel_control_polls_held gauge",
+    "bramblewheel_control_proposals counter",
+    "bramblewheel_control_quorum gauge",
+    "bramblewheel_control_snapshot_index gauge",
+    "bramblewheel_control_spares gauge",
+    "bramblewheel_control_term gauge",
+    "bramblewheel_control_whole_bundles_sent counter",
+];
+
 struct Group {
     folders: Vec<TempDir>,
     replicas: Vec<Option<ControlHandle>>,
@@ -286,6 +306,10 @@
     // The leader has committed the bundle; this replica may hear of it a heartbeat later.
     let text = until_holds(admin, "/metrics", "bramblewheel_control_bundle_version 2\n").await;
     assert!(text.ends_with("# EOF\n"), "{text}");
+    let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
+    let mut types: Vec<&str> = types.collect();
+    types.sort_unstable();
+    assert_eq!(types, METRICS);
     for number in [0, 2] {
         group.stop(number).await;
     }
--- a/crates/bramblewheel-control/tests/settings.rs
+++ b/crates/bramblewheel-control/tests/settings.rs
@@ -28,6 +28,63 @@
 level = "info"
 "#;
 
+/// Every key that the file may hold; none may get another name.
+const ALL_KEYS: &str = r#"name = "control-1"
+zone = "hall-a"
+region = "north"
+data_folder = "data"
+[listen]
+peer = "127.0.0.1:7001"
+service = "127.0.0.1:7002"
+admin = "127.0.0.1:7003"
+bind = "0.0.0.0"
+[timing]
+heartbeat_ms = 101
+election_ms = 601
+daemon_lease_ms = 6001
+[storage]
+snapshot_interval = 10001
+[formation]
+founders = ["127.0.0.1:7001"]
+first_start = true
+unsigned_tables = true
+[spare]
+offer_to = ["127.0.0.1:7012"]
+replace_after_ms = 900001
+period_ms = 14400001
+offer_interval_ms = 5001
+fast_repair_ms = 2001
+voters = 5
+[admin]
+connections = 257
+header_timeout_ms = 10001
+[log]
+level = "debug"
+"#;
+
+#[test]
+fn every_key_keeps_its_name_and_meaning() {
+    let parsed = Settings::parse(Path::new("s.toml"), ALL_KEYS, Overrides::default());
+    let settings = parsed.expect("valid");
+    assert_eq!(settings.timing.heartbeat_ms, 101);
+    assert_eq!(settings.timing.election_ms, 601);
+    assert_eq!(settings.timing.daemon_lease_ms, 6_001);
+    assert_eq!(settings.storage.snapshot_interval, 10_001);
+    assert!(settings.formation.first_start && settings.formation.unsigned_tables);
+    assert_eq!(settings.formation.founders, [settings.listen.peer]);
+    assert_eq!(settings.spare.offer_to.len(), 1);
+    assert_eq!(settings.spare.replace_after_ms, 900_001);
+    assert_eq!(settings.spare.period_ms, 14_400_001);
+    assert_eq!(settings.spare.offer_interval_ms, 5_001);
+    assert_eq!(settings.spare.fast_repair_ms, 2_001);
+    assert_eq!(settings.spare.voters, 5);
+    assert_eq!(settings.admin.connections, 257);
+    assert_eq!(settings.admin.header_timeout_ms, 10_001);
+    assert_eq!(slog::Level::from(settings.log.level), slog::Level::Debug);
+    let bound = settings.listen.bound(settings.listen.peer);
+    assert_eq!(bound.to_string(), "0.0.0.0:7001");
+}
+
 fn error(text: &str) -> String {
     let parsed = Settings::parse(Path::new("s.toml"), text, Overrides::default());
     parsed.expect_err("the settings are wrong").to_string()
--- a/crates/bramblewheel-core/tests/headers.rs
+++ b/crates/bramblewheel-core/tests/headers.rs
@@ -291,3 +291,79 @@
     assert_eq!(verify(&[old], &long), Err(SessionError::TooLong));
     assert!(SessionKey::new(3, vec![0; 31]).is_err());
 }
+
+/// The form of headers between daemons, for rolling restarts that mix programs.
+#[test]
+fn headers_between_daemons_are_written_as_recorded() {
+    let context = CallContext {
+        request: RequestId(0xa1),
+        call: CallId(0xb2),
+        attempt: AttemptId(0xc3),
+        service: service("kassa"),
+        path: "/pay".to_owned(),
+        criticality: Criticality::ALL[0],
+        deadline: at(5) + Duration::from_millis(250),
+        retry_tokens: 3,
+        depth: 2,
+        in_session: true,
+        operation: Some(operation("K-1")),
+        may_have_run: true,
+        bundle_version: BundleVersion(7),
+    };
+    let mut written = HeaderList::new();
+    context::write(at(5), &context, &mut written);
+    assert_eq!(as_text(&written), CONTEXT_HEADERS);
+    let answer = AnswerHeaders {
+        attempt: AttemptId(0xc3),
+        outcome: Outcome::NotRun {
+            reason: NotRunReason::Overloaded,
+            retry_after: Millis(120),
+        },
+        feedback: Feedback {
+            retry_tokens_spent: 1,
+            is_final: true,
+            draining: true,
+            load_percent: 80,
+            admission_level: AdmissionLevel {
+                criticality: Criticality::ALL[0],
+                cohort: 5,
+            },
+        },
+    };
+    let mut written = HeaderList::new();
+    answer::write(&answer, &mut written);
+    assert_eq!(as_text(&written), ANSWER_HEADERS);
+}
+
+fn as_text(list: &HeaderList) -> Vec<String> {
+    let line = |(name, value): &(&'static str, String)| format!("{name}: {value}");
+    list.iter().map(line).collect()
+}
+
+const CONTEXT_HEADERS: [&str; 13] = [
+    "bw-call-id: 00000000000000b2",
+    "bw-service: kassa",
+    "bw-retry-tokens: 3",
+    "bw-depth: 2",
+    "bw-bundle-version: 7",
+    "bw-may-have-run: 1",
+    "bw-operation-minted-ms: 1",
+    "bw-attempt: 00000000000000c3",
+    "bw-request-id: 000000000000000000000000000000a1",
+    "bw-criticality: sheddable",
+    "bw-timeout-ms: 250",
+    "bw-in-session: 1",
+    "bw-operation-key: K-1",
+];
+
+const ANSWER_HEADERS: [&str; 9] = [
+    "bw-outcome: not-run",
+    "bw-reason: overloaded",
+    "bw-retry-after-ms: 120",
+    "bw-attempt: 00000000000000c3",
+    "bw-tokens-spent: 1",
+    "bw-load: 80",
+    "bw-admission-level: sheddable/5",
+    "bw-final: 1",
+    "bw-draining: 1",
+];
--- a/crates/bramblewheel-daemon/tests/bundles.rs
+++ b/crates/bramblewheel-daemon/tests/bundles.rs
@@ -10,6 +10,31 @@
 use support::{bundle, signed, start};
 use tempfile::TempDir;
 
+/// Metrics of a daemon without calls and their kinds, by name: dashboards and alerts of the users hold them.
+const METRICS: [&str; 21] = [
+    "bramblewheel_application_repeats counter",
+    "bramblewheel_attempts_sent counter",
+    "bramblewheel_bundle_version gauge",
+    "bramblewheel_calls_in_progress gauge",
+    "bramblewheel_claims_released counter",
+    "bramblewheel_concurrency_limit gauge",
+    "bramblewheel_control_polls counter",
+    "bramblewheel_control_received_bytes counter",
+    "bramblewheel_control_sent_bytes counter",
+    "bramblewheel_control_stale counter",
+    "bramblewheel_dispatched counter",
+    "bramblewheel_ejections counter",
+    "bramblewheel_free_reroutes counter",
+    "bramblewheel_late_events counter",
+    "bramblewheel_late_grants counter",
+    "bramblewheel_queue_length gauge",
+    "bramblewheel_resends counter",
+    "bramblewheel_retries counter",
+    "bramblewheel_retries_over_ratio counter",
+    "bramblewheel_retries_without_token counter",
+    "bramblewheel_running gauge",
+];
+
 async fn shown_version(daemon: &bramblewheel_daemon::DaemonHandle) -> String {
     let metrics = admin(daemon.addresses().admin, "/metrics").await.text();
     let line = metrics
@@ -26,6 +51,11 @@
     let address = daemon.addresses().admin;
     assert_eq!(admin(address, "/readyz").await.status(), 503);
     assert_eq!(admin(address, "/healthz").await.status(), 200);
+    let text = admin(address, "/metrics").await.text();
+    let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
+    let mut types: Vec<&str> = types.collect();
+    types.sort_unstable();
+    assert_eq!(types, METRICS);
 }
 
 #[tokio::test]
--- a/crates/bramblewheel-daemon/tests/settings.rs
+++ b/crates/bramblewheel-daemon/tests/settings.rs
@@ -20,6 +20,38 @@
 address = "127.0.0.1:7004"
 "#;
 
+/// What the file may hold besides; no key may get another name.
+const MORE_KEYS: &str = r#"[sessions]
+key_file = "sessions.keys"
+[log]
+level = "debug"
+[limits]
+header_count = 65
+header_bytes = 16385
+body_bytes = 1048577
+connections = 4097
+header_timeout_ms = 10001
+body_timeout_ms = 30001
+"#;
+
+#[test]
+fn every_key_keeps_its_name_and_meaning() {
+    let text = VALID.replacen("calls = []", "calls = [\"stock\"]", 1);
+    let text = format!("{text}{MORE_KEYS}");
+    let parsed = Settings::parse(Path::new("s.toml"), &text, Overrides::default());
+    let settings = parsed.expect("valid");
+    assert_eq!(settings.calls.len(), 1);
+    let sessions = settings.sessions.expect("given");
+    assert_eq!(sessions.key_file, Path::new("sessions.keys"));
+    assert_eq!(slog::Level::from(settings.log.level), slog::Level::Debug);
+    assert_eq!(settings.limits.header_count, 65);
+    assert_eq!(settings.limits.header_bytes, 16_385);
+    assert_eq!(settings.limits.body_bytes, 1_048_577);
+    assert_eq!(settings.limits.connections, 4_097);
+    assert_eq!(settings.limits.header_timeout_ms, 10_001);
+    assert_eq!(settings.limits.body_timeout_ms, 30_001);
+}
+
 fn error(text: &str) -> String {
     let parsed = Settings::parse(Path::new("s.toml"), text, Overrides::default());
     parsed.expect_err("the settings are wrong").to_string()
--- /dev/null
+++ b/crates/bramblewheel-proxy/tests/pinned_metrics.rs
@@ -0,0 +1,89 @@
+//! Names and labels of the metrics stay as they are: dashboards and alerts of the users hold them.
+
+use bramblewheel_proxy::decide::retry_budget::BoundUse;
+use bramblewheel_proxy::in_progress::{Sender, Stage};
+use bramblewheel_proxy::metrics::Metrics;
+use bramblewheel_proxy::wire::AttemptResult;
+use bramblewheel_types::ServiceName;
+use std::time::Duration;
+
+/// Metrics of a daemon and their kinds, by name.
+const METRICS: [&str; 24] = [
+    "bramblewheel_attempts counter",
+    "bramblewheel_cancelled counter",
+    "bramblewheel_cut_off counter",
+    "bramblewheel_endpoint_ends counter",
+    "bramblewheel_has_lease gauge",
+    "bramblewheel_inbound counter",
+    "bramblewheel_lost_with_endpoints counter",
+    "bramblewheel_over_budget counter",
+    "bramblewheel_over_quota counter",
+    "bramblewheel_quarantined counter",
+    "bramblewheel_quarantined_contents gauge",
+    "bramblewheel_refused_calls_of_repeats counter",
+    "bramblewheel_refused_early counter",
+    "bramblewheel_repeated_runs counter",
+    "bramblewheel_repeats counter",
+    "bramblewheel_request_seconds histogram",
+    "bramblewheel_requests counter",
+    "bramblewheel_retry_bound_allowed gauge",
+    "bramblewheel_retry_bound_used gauge",
+    "bramblewheel_table_version gauge",
+    "bramblewheel_unauthorized counter",
+    "bramblewheel_unreadable counter",
+    "bramblewheel_unrecorded counter",
+    "bramblewheel_without_lease counter",
+];
+
+/// One line of each metric with labels.
+const LABELLED: [&str; 10] = [
+    "bramblewheel_requests_total{route=\"pay\",outcome=\"answered\"} 1",
+    "bramblewheel_request_seconds_bucket{le=\"0.05\",route=\"pay\"} 1",
+    "bramblewheel_attempts_total{result=\"full\"} 1",
+    "bramblewheel_inbound_total{result=\"answered\"} 1",
+    "bramblewheel_repeats_total{service=\"kassa\",after=\"lost\"} 1",
+    "bramblewheel_over_budget_total{service=\"kassa\",after=\"rejected\"} 1",
+    "bramblewheel_refused_calls_of_repeats_total{service=\"kassa\"} 1",
+    "bramblewheel_cut_off_total{from=\"caller\",stage=\"reading-its-body\"} 1",
+    "bramblewheel_retry_bound_used{service=\"kassa\"} 3.0",
+    "bramblewheel_retry_bound_allowed{service=\"kassa\"} 5.0",
+];
+
+/// Metrics in which each one with labels has been set.
+fn metrics() -> Metrics {
+    let metrics = Metrics::default();
+    let service = ServiceName::new("kassa").expect("a name");
+    metrics.request("pay", "answered", Duration::from_millis(30));
+    metrics.attempt(AttemptResult::Full);
+    metrics.inbound(AttemptResult::Answered);
+    metrics.repeat(&service, AttemptResult::Lost);
+    metrics.over_budget(&service, AttemptResult::Rejected);
+    metrics.refused_call(&service);
+    metrics.cut_off(Sender::Caller, Stage::Reading);
+    metrics.show_bound(&BoundUse {
+        service,
+        first_sends: 20.0,
+        repeats: 2.0,
+        calls_of_repeats: 1.0,
+        allowed: 4.0,
+        allowed_for_calls: 5.0,
+    });
+    metrics
+}
+
+#[test]
+fn metrics_keep_their_names_and_kinds() {
+    let text = metrics().text();
+    let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
+    let mut types: Vec<&str> = types.collect();
+    types.sort_unstable();
+    assert_eq!(types, METRICS);
+}
+
+#[test]
+fn labels_keep_their_names() {
+    let text = metrics().text();
+    for line in LABELLED {
+        assert!(text.lines().any(|shown| shown == line), "{line}\n{text}");
+    }
+}
--- /dev/null
+++ b/crates/bramblewheel-proxy/tests/pinned_wire.rs
@@ -0,0 +1,158 @@
+//! Headers between daemons stay as they are, in both directions: rolling restarts mix programs.
+
+use bramblewheel_protocol::content::ContentDigest;
+use bramblewheel_proxy::decide::directory::LoadReport;
+use bramblewheel_proxy::wire::{AttemptResult, Handover, Told};
+use bramblewheel_types::{EndpointId, ServiceName};
+use http::{HeaderMap, HeaderName, HeaderValue};
+use std::time::Duration;
+
+/// A request with all that one daemon tells the other.
+const FULL_REQUEST: [(&str, &str); 13] = [
+    ("bw-endpoint", "kassa-1@1796256413478"),
+    ("bw-rank", "1"),
+    ("bw-root-rank", "2"),
+    ("bw-route", "77"),
+    ("bw-objective-ms", "300"),
+    ("bw-remaining-ms", "700"),
+    ("bw-wait-ms", "180"),
+    ("bw-caller", "pris"),
+    ("bw-for-tenant", "stall-7"),
+    ("bw-content", "0123456789abcdef"),
+    ("bw-nested", "1"),
+    ("bw-repeated", "125"),
+    ("x-other", "stays"),
+];
+
+/// A request with as little as a daemon tells.
+const LEAST_REQUEST: [(&str, &str); 7] = [
+    ("bw-endpoint", "kassa-1"),
+    ("bw-rank", "1"),
+    ("bw-root-rank", "1"),
+    ("bw-route", "77"),
+    ("bw-objective-ms", "300"),
+    ("bw-remaining-ms", "700"),
+    ("bw-wait-ms", "180"),
+];
+
+/// An answer with all that is told.
+const FULL_ANSWER: [(&str, &str); 5] = [
+    ("bw-result", "answered"),
+    ("bw-load", "3,18,4"),
+    ("bw-nested", "1"),
+    ("bw-short-below", "lager"),
+    ("bw-bound-used", "42"),
+];
+
+const RESULTS: [(AttemptResult, &str); 9] = [
+    (AttemptResult::Answered, "answered"),
+    (AttemptResult::Rejected, "rejected"),
+    (AttemptResult::OtherEndpoint, "other-endpoint"),
+    (AttemptResult::Full, "full"),
+    (AttemptResult::Quarantined, "quarantined"),
+    (AttemptResult::Leaving, "leaving"),
+    (AttemptResult::Unreachable, "unreachable"),
+    (AttemptResult::Lost, "lost"),
+    (AttemptResult::Silent, "silent"),
+];
+
+fn headers(fields: &[(&'static str, &'static str)]) -> HeaderMap {
+    let field = |(name, value): &(&'static str, &'static str)| {
+        let name = HeaderName::from_static(name);
+        (name, HeaderValue::from_static(value))
+    };
+    fields.iter().map(field).collect()
+}
+
+fn full() -> Handover {
+    Handover {
+        endpoint: EndpointId::new("kassa-1")
+            .expect("a name")
+            .started_at(Some(1_796_256_413_478)),
+        rank: 1,
+        root_rank: 2,
+        route: 77,
+        objective: Duration::from_millis(300),
+        remaining: Duration::from_millis(700),
+        wait: Duration::from_millis(180),
+        caller: Some(HeaderValue::from_static("pris")),
+        is_nested: true,
+        tenant: Some(HeaderValue::from_static("stall-7")),
+        content: Some(ContentDigest(0x0123_4567_89ab_cdef)),
+        repeated: 0.125,
+    }
+}
+
+fn least() -> Handover {
+    Handover {
+        endpoint: EndpointId::new("kassa-1").expect("a name"),
+        root_rank: 1,
+        caller: None,
+        is_nested: false,
+        tenant: None,
+        content: None,
+        repeated: 0.0,
+        ..full()
+    }
+}
+
+fn told() -> Told {
+    Told {
+        load: Some(LoadReport {
+            busy: 3,
+            limit: 18,
+            failed_percent: 4,
+        }),
+        is_nested: true,
+        short_below: Some(ServiceName::new("lager").expect("a name")),
+        bound_used_percent: 42,
+    }
+}
+
+#[test]
+fn requests_are_written_as_recorded() {
+    let mut written = headers(&[("x-other", "stays")]);
+    full().write(&mut written);
+    assert_eq!(written, headers(&FULL_REQUEST));
+    let mut written = HeaderMap::new();
+    least().write(&mut written);
+    assert_eq!(written, headers(&LEAST_REQUEST));
+}
+
+#[test]
+fn recorded_requests_are_read() {
+    let mut recorded = headers(&FULL_REQUEST);
+    assert_eq!(Handover::take(&mut recorded), Ok(full()));
+    assert_eq!(recorded, headers(&[("x-other", "stays")]));
+    let mut recorded = headers(&LEAST_REQUEST);
+    assert_eq!(Handover::take(&mut recorded), Ok(least()));
+}
+
+/// Daemons of earlier versions do not tell the rank of the tree.
+#[test]
+fn a_request_without_the_rank_of_its_tree_has_its_own() {
+    let mut recorded = headers(&LEAST_REQUEST);
+    recorded.remove("bw-root-rank");
+    assert_eq!(Handover::take(&mut recorded), Ok(least()));
+}
+
+#[test]
+fn answers_are_written_as_recorded_and_recorded_ones_are_read() {
+    let mut written = HeaderMap::new();
+    AttemptResult::Answered.write(&told(), &mut written);
+    assert_eq!(written, headers(&FULL_ANSWER));
+    let mut recorded = headers(&FULL_ANSWER);
+    let taken = AttemptResult::take(&mut recorded);
+    assert_eq!(taken, Some((AttemptResult::Answered, told())));
+}
+
+#[test]
+fn results_keep_their_words() {
+    for (result, word) in RESULTS {
+        let mut written = HeaderMap::new();
+        result.write(&Told::default(), &mut written);
+        assert_eq!(written, headers(&[("bw-result", word)]));
+        let taken = AttemptResult::take(&mut headers(&[("bw-result", word)]));
+        assert_eq!(taken, Some((result, Told::default())));
+    }
+}
