--- a/crates/bramblewheel-proxy/src/decide/credential.rs
+++ b/crates/bramblewheel-decisions/src/credential.rs
@@ -1,6 +1,6 @@
 //! The key that a request carries.
 
-use crate::decide::tenants::KeyDigest;
+use crate::tenants::KeyDigest;
 use http::HeaderMap;
 use http::header::AUTHORIZATION;
 use thiserror::Error;
--- a/crates/bramblewheel-proxy/src/decide/directory/endpoint.rs
+++ b/crates/bramblewheel-decisions/src/directory/endpoint.rs
@@ -1,7 +1,7 @@
 //! What a daemon knows of one endpoint, and what a request there would cost.
 
 use super::{LoadReport, SendEnd};
-use crate::decide::fading_share::FadingShare;
+use crate::fading_share::FadingShare;
 use bramblewheel_protocol::routing::EndpointRecord;
 use bramblewheel_types::{Timestamp, ZoneName};
 use std::time::Duration;
--- a/crates/bramblewheel-proxy/src/decide/directory/mod.rs
+++ b/crates/bramblewheel-decisions/src/directory/mod.rs
@@ -3,7 +3,7 @@
 mod endpoint;
 mod subset;
 
-use crate::decide::nested_routes::MachineShares;
+use crate::nested_routes::MachineShares;
 use bramblewheel_protocol::routing::{EndpointNews, EndpointRecord, EndpointState};
 use bramblewheel_types::{DaemonId, EndpointId, ServiceName, Timestamp, ZoneName};
 use endpoint::{Endpoint, SMOOTHING, Usual};
--- a/crates/bramblewheel-proxy/src/decide/directory/subset.rs
+++ b/crates/bramblewheel-decisions/src/directory/subset.rs
@@ -6,7 +6,7 @@
 //! follows from a hash of both names (rendezvous hashing): the daemons' choices are spread evenly
 //! over the endpoints, and a change of one endpoint changes little.
 
-use crate::decide::stable_hash::stable_hash;
+use crate::stable_hash::stable_hash;
 use bramblewheel_types::{DaemonId, EndpointId};
 
 /// Endpoints of a service that a daemon mostly deals with.
--- a/crates/bramblewheel-proxy/src/decide/early_refusal.rs
+++ b/crates/bramblewheel-decisions/src/early_refusal.rs
@@ -11,7 +11,7 @@
 //! of room there, less important ones that need the same service are refused as well: the rank so holds over
 //! all routes, whatever is known below of the tree that a call belongs to.
 
-use crate::decide::fading_share::FadingShare;
+use crate::fading_share::FadingShare;
 use bramblewheel_types::{ServiceName, Timestamp};
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/bramblewheel-proxy/src/decide/fading_share.rs
+++ b/crates/bramblewheel-decisions/src/fading_share.rs
@@ -10,7 +10,7 @@
 /// A moving average of outcomes that fades while nothing is recorded.
 ///
 /// ```
-/// use bramblewheel_proxy::decide::fading_share::FadingShare;
+/// use bramblewheel_decisions::fading_share::FadingShare;
 /// use bramblewheel_types::Timestamp;
 ///
 /// let mut failures = FadingShare::default();
--- a/crates/bramblewheel-proxy/src/decide/mod.rs
+++ b/crates/bramblewheel-decisions/src/lib.rs
@@ -1,4 +1,8 @@
-//! Pure decisions of the routed data path.
+//! Pure decisions of the routed data path: route tables, the choice of an endpoint, admission, early refusals, the
+//! bound on retries, tenants and quotas, planned stops, quarantine.
+//!
+//! No clock, socket, file, thread or global random source: time and a seed are arguments. The async code of
+//! `bramblewheel-proxy` gives inputs, carries decisions out and logs them.
 
 pub mod admission;
 pub mod credential;
--- a/crates/bramblewheel-proxy/src/decide/retry_bound.rs
+++ b/crates/bramblewheel-decisions/src/retry_bound.rs
@@ -9,7 +9,7 @@
 //! - A call is refused, by the part to which its run is repeated, once the bound has no room for it. This is the last
 //!   resort that makes the bound hold; what the daemons above are told keeps it rare.
 
-use crate::decide::retry_budget::{BoundUse, FirstSend, RetryBudget, RetryTerms};
+use crate::retry_budget::{BoundUse, FirstSend, RetryBudget, RetryTerms};
 use bramblewheel_types::{ServiceName, Timestamp};
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/bramblewheel-proxy/src/decide/stable_hash.rs
+++ b/crates/bramblewheel-decisions/src/stable_hash.rs
@@ -3,7 +3,7 @@
 /// FNV-1a of the bytes.
 ///
 /// ```
-/// use bramblewheel_proxy::decide::stable_hash::stable_hash;
+/// use bramblewheel_decisions::stable_hash::stable_hash;
 ///
 /// assert_eq!(stable_hash(*b"a"), 0xaf63_dc4c_8601_ec8c);
 /// ```
--- a/crates/bramblewheel-proxy/src/decide/table.rs
+++ b/crates/bramblewheel-decisions/src/table.rs
@@ -1,7 +1,7 @@
 //! Route tables: which service a request goes to, and under which terms.
 
-use crate::decide::stable_hash::stable_hash;
-use crate::decide::tenants::{self, Tenant, TenantDirectory, TenantError};
+use crate::stable_hash::stable_hash;
+use crate::tenants::{self, Tenant, TenantDirectory, TenantError};
 use bramblewheel_protocol::routing::TableVersion;
 use bramblewheel_types::ServiceName;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/bramblewheel-proxy/src/decide/tenant_quota.rs
+++ b/crates/bramblewheel-decisions/src/tenant_quota.rs
@@ -10,7 +10,7 @@
 //! Besides, a daemon holds to the part of the quota that it used when the sums were made: that bounds
 //! what all let in while no sums come, whatever is asked for.
 
-use crate::decide::tenants::Quota;
+use crate::tenants::Quota;
 use bramblewheel_protocol::routing::TenantUsage;
 use bramblewheel_types::Timestamp;
 use std::collections::{HashMap, VecDeque};
--- a/crates/bramblewheel-proxy/src/decide/tenants.rs
+++ b/crates/bramblewheel-decisions/src/tenants.rs
@@ -4,7 +4,7 @@
 //! key that it did not just receive. A look-up costs one digest and one look into a hash table,
 //! whatever the number of tenants.
 
-use crate::decide::stable_hash::stable_hash;
+use crate::stable_hash::stable_hash;
 use bramblewheel_types::TenantName;
 use http::HeaderValue;
 use sha2::{Digest, Sha256};
--- a/crates/bramblewheel-proxy/tests/call_trees.rs
+++ b/crates/bramblewheel-decisions/tests/call_trees.rs
@@ -1,9 +1,9 @@
 //! Which tree a call belongs to, and what comes of trees that share a narrow service, on virtual time.
 
-use bramblewheel_proxy::decide::admission::{Admission, AdmissionQueue, Arrival, Ticket};
-use bramblewheel_proxy::decide::early_refusal::{EarlyRefusal, RoomFound};
-use bramblewheel_proxy::decide::nested_routes::{MachineShares, NestedRoutes};
-use bramblewheel_proxy::decide::running_requests::{RunningRequest, RunningRequests};
+use bramblewheel_decisions::admission::{Admission, AdmissionQueue, Arrival, Ticket};
+use bramblewheel_decisions::early_refusal::{EarlyRefusal, RoomFound};
+use bramblewheel_decisions::nested_routes::{MachineShares, NestedRoutes};
+use bramblewheel_decisions::running_requests::{RunningRequest, RunningRequests};
 use bramblewheel_types::{ServiceName, Timestamp};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/bramblewheel-proxy/tests/decide.rs
+++ b/crates/bramblewheel-decisions/tests/decide.rs
@@ -1,13 +1,11 @@
 //! The pure decisions: route tables, choice of an endpoint, retry budget, admission.
 
+use bramblewheel_decisions::admission::{Admission, AdmissionQueue, Arrival};
+use bramblewheel_decisions::directory::{Directory, LoadReport, SendEnd};
+use bramblewheel_decisions::retry_budget::{FirstSend, RetryBudget, RetryTerms};
+use bramblewheel_decisions::route_limit::{Answered, RouteLimit};
+use bramblewheel_decisions::table::{Route, RouteTable, Router, ServiceTerms, TableError, Target};
 use bramblewheel_protocol::routing::{EndpointNews, EndpointRecord, EndpointState, TableVersion};
-use bramblewheel_proxy::decide::admission::{Admission, AdmissionQueue, Arrival};
-use bramblewheel_proxy::decide::directory::{Directory, LoadReport, SendEnd};
-use bramblewheel_proxy::decide::retry_budget::{FirstSend, RetryBudget, RetryTerms};
-use bramblewheel_proxy::decide::route_limit::{Answered, RouteLimit};
-use bramblewheel_proxy::decide::table::{
-    Route, RouteTable, Router, ServiceTerms, TableError, Target,
-};
 use bramblewheel_types::{DaemonId, EndpointId, Millis, ServiceName, Timestamp, ZoneName};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/bramblewheel-proxy/tests/early_refusal.rs
+++ b/crates/bramblewheel-decisions/tests/early_refusal.rs
@@ -1,7 +1,7 @@
 //! Refusals at the callers' daemons in an overload, on virtual time: hundreds of daemons and a service
 //! that is offered nearly twice what it can do.
 
-use bramblewheel_proxy::decide::early_refusal::{EarlyRefusal, RoomChange, RoomFound};
+use bramblewheel_decisions::early_refusal::{EarlyRefusal, RoomChange, RoomFound};
 use bramblewheel_types::{ServiceName, Timestamp};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/bramblewheel-proxy/tests/endpoint_end.rs
+++ b/crates/bramblewheel-decisions/tests/endpoint_end.rs
@@ -1,8 +1,8 @@
 //! What is known of an endpoint's end: what ran there, and what ran at the ends before.
 
+use bramblewheel_decisions::endpoint_end::{EndsByContent, UnansweredRequests};
+use bramblewheel_decisions::request_content::{COUNTED_BODY_BYTES, RequestContent};
 use bramblewheel_protocol::content::ContentDigest;
-use bramblewheel_proxy::decide::endpoint_end::{EndsByContent, UnansweredRequests};
-use bramblewheel_proxy::decide::request_content::{COUNTED_BODY_BYTES, RequestContent};
 use bramblewheel_types::{EndpointId, Timestamp};
 
 fn endpoint(number: u32) -> EndpointId {
--- a/crates/bramblewheel-proxy/tests/failures.rs
+++ b/crates/bramblewheel-decisions/tests/failures.rs
@@ -1,9 +1,9 @@
 //! Endpoints that fail their requests, fast and with a good name: what the choice makes of them.
 
+use bramblewheel_decisions::directory::{Directory, LoadReport, SendEnd};
+use bramblewheel_decisions::retry_bound::{RepeatDecision, RepeatReason, RetryBound};
+use bramblewheel_decisions::retry_budget::{FirstSend, RetryTerms};
 use bramblewheel_protocol::routing::{EndpointNews, EndpointRecord, EndpointState};
-use bramblewheel_proxy::decide::directory::{Directory, LoadReport, SendEnd};
-use bramblewheel_proxy::decide::retry_bound::{RepeatDecision, RepeatReason, RetryBound};
-use bramblewheel_proxy::decide::retry_budget::{FirstSend, RetryTerms};
 use bramblewheel_types::{DaemonId, EndpointId, Millis, ServiceName, Timestamp, ZoneName};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/bramblewheel-proxy/tests/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! The choice of endpoints in a large fleet, on virtual time: hundreds of daemons, each of which sees
 //! few of the requests that an endpoint gets.
 
+use bramblewheel_decisions::directory::{Directory, LoadReport, SendEnd};
 use bramblewheel_protocol::routing::{EndpointNews, EndpointRecord, EndpointState};
-use bramblewheel_proxy::decide::directory::{Directory, LoadReport, SendEnd};
 use bramblewheel_types::{DaemonId, EndpointId, Millis, ServiceName, Timestamp, ZoneName};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/bramblewheel-proxy/tests/quarantine_fleet.rs
+++ b/crates/bramblewheel-decisions/tests/quarantine_fleet.rs
@@ -2,11 +2,11 @@
 //! found out, and which other requests are refused. Unsafe variants must be caught.
 
 use bramblewheel_control::state::{Command, ControlState, LoggedCommand};
+use bramblewheel_decisions::endpoint_end::UnansweredRequests;
+use bramblewheel_decisions::quarantine::QuarantineView;
 use bramblewheel_protocol::content::ContentDigest;
 use bramblewheel_protocol::control::LogPosition;
 use bramblewheel_protocol::routing::{ContentReport, QuarantineList};
-use bramblewheel_proxy::decide::endpoint_end::UnansweredRequests;
-use bramblewheel_proxy::decide::quarantine::QuarantineView;
 use bramblewheel_types::{EndpointId, Timestamp};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/bramblewheel-proxy/tests/repeat_bound/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/repeat_bound/fleet.rs
@@ -3,9 +3,9 @@
 use crate::judge::Judge;
 use crate::shape::{Calls, SECONDS, Shape, TERMS};
 use crate::way::Way;
-use bramblewheel_proxy::decide::retry_bound::{RepeatDecision, RepeatReason, RetryBound};
-use bramblewheel_proxy::decide::retry_budget::FirstSend;
-use bramblewheel_proxy::decide::running_requests::{RunningId, RunningRequest, RunningRequests};
+use bramblewheel_decisions::retry_bound::{RepeatDecision, RepeatReason, RetryBound};
+use bramblewheel_decisions::retry_budget::FirstSend;
+use bramblewheel_decisions::running_requests::{RunningId, RunningRequest, RunningRequests};
 use bramblewheel_types::{ServiceName, Timestamp};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/bramblewheel-proxy/tests/repeat_bound/shape.rs
+++ b/crates/bramblewheel-decisions/tests/repeat_bound/shape.rs
@@ -1,6 +1,6 @@
 //! What is played: services, their calls, their faults, and the fleet.
 
-use bramblewheel_proxy::decide::retry_budget::RetryTerms;
+use bramblewheel_decisions::retry_budget::RetryTerms;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::ops::Range;
--- a/crates/bramblewheel-proxy/tests/stop_schedule.rs
+++ b/crates/bramblewheel-decisions/tests/stop_schedule.rs
@@ -1,6 +1,6 @@
 //! What a stopping daemon takes, over all of its grace time.
 
-use bramblewheel_proxy::decide::stop_schedule::{LateDecision, LateRequest, StopSchedule};
+use bramblewheel_decisions::stop_schedule::{LateDecision, LateRequest, StopSchedule};
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
--- a/crates/bramblewheel-proxy/tests/table_lease.rs
+++ b/crates/bramblewheel-decisions/tests/table_lease.rs
@@ -1,8 +1,8 @@
 //! The lease on the table: whatever is lost, late or paused, a key is out of use in time.
 
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
+use bramblewheel_decisions::table_lease::TableLease;
 use bramblewheel_protocol::routing::TableVersion;
-use bramblewheel_proxy::decide::table_lease::TableLease;
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
--- a/crates/bramblewheel-proxy/tests/tenant_quota.rs
+++ b/crates/bramblewheel-decisions/tests/tenant_quota.rs
@@ -2,9 +2,9 @@
 
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use bramblewheel_control::node::usage::FleetUsage;
+use bramblewheel_decisions::tenant_quota::{QuotaDecision, QuotaTerms, TenantQuotas};
+use bramblewheel_decisions::tenants::Quota;
 use bramblewheel_protocol::routing::{RenewRequest, TenantUsage};
-use bramblewheel_proxy::decide::tenant_quota::{QuotaDecision, QuotaTerms, TenantQuotas};
-use bramblewheel_proxy::decide::tenants::Quota;
 use bramblewheel_replication::ReplicaId;
 use bramblewheel_types::{DaemonId, Timestamp};
 use rand::{RngExt, SeedableRng};
--- a/crates/bramblewheel-proxy/tests/tenants.rs
+++ b/crates/bramblewheel-decisions/tests/tenants.rs
@@ -1,7 +1,7 @@
 //! Tenants and the keys of requests: what is valid, who holds a key, what is never shown.
 
-use bramblewheel_proxy::decide::credential::{NoKey, key_in};
-use bramblewheel_proxy::decide::tenants::{
+use bramblewheel_decisions::credential::{NoKey, key_in};
+use bramblewheel_decisions::tenants::{
     ActiveTenant, KeyDigest, Quota, Tenant, TenantDirectory, TenantError, check,
 };
 use bramblewheel_types::TenantName;
--- a/crates/bramblewheel-proxy/src/control/content_reports.rs
+++ b/crates/bramblewheel-proxy/src/control/content_reports.rs
@@ -1,7 +1,7 @@
 //! Brings to the control group what is seen of requests under which endpoints end.
 
-use crate::decide::endpoint_end::EndpointEnd;
 use crate::shared::Shared;
+use bramblewheel_decisions::endpoint_end::EndpointEnd;
 use bramblewheel_protocol::content::ContentDigest;
 use bramblewheel_protocol::control::{ReplyBody, RequestBody};
 use bramblewheel_protocol::routing::ContentReport;
--- a/crates/bramblewheel-proxy/src/control/renewal.rs
+++ b/crates/bramblewheel-proxy/src/control/renewal.rs
@@ -1,7 +1,7 @@
 //! Renews the lease on the route table, and exchanges what tenants were let in.
 
-use crate::decide::tenants::TenantDirectory;
 use crate::shared::Shared;
+use bramblewheel_decisions::tenants::TenantDirectory;
 use bramblewheel_protocol::ControlClient;
 use bramblewheel_protocol::control::{ReplyBody, RequestBody};
 use bramblewheel_protocol::routing::{RenewReply, RenewRequest, TenantUsage};
--- a/crates/bramblewheel-proxy/src/control/watch.rs
+++ b/crates/bramblewheel-proxy/src/control/watch.rs
@@ -1,8 +1,8 @@
 //! Watches a control replica for news of the route table and the endpoints.
 
 use crate::control::registrar::Registrar;
-use crate::decide::table::{RouteTable, Router};
 use crate::shared::Shared;
+use bramblewheel_decisions::table::{RouteTable, Router};
 use bramblewheel_protocol::ControlClient;
 use bramblewheel_protocol::control::{LogPosition, Registration, ReplyBody, RequestBody};
 use bramblewheel_protocol::routing::{
--- a/crates/bramblewheel-proxy/src/http/body.rs
+++ b/crates/bramblewheel-proxy/src/http/body.rs
@@ -1,9 +1,9 @@
 //! Bodies: kept whole while they are short, passed on as they come otherwise.
 
-use crate::decide::request_content::COUNTED_BODY_BYTES;
 use crate::http::pool::Lease;
 use crate::in_progress::InProgress;
 use crate::local::Permit;
+use bramblewheel_decisions::request_content::COUNTED_BODY_BYTES;
 use bytes::{Bytes, BytesMut};
 use http_body::{Body, Frame, SizeHint};
 use http_body_util::{BodyExt, Limited};
--- a/crates/bramblewheel-proxy/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-proxy/src/inbound/dispatch.rs
@@ -1,6 +1,5 @@
 //! One request at the endpoint beside the daemon.
 
-use crate::decide::fading_share::whole_percent;
 use crate::dialect::AnswerKind;
 use crate::http::exchange::{self, Answer, NoAnswer, Outgoing};
 use crate::in_progress::{Progress, Stage};
@@ -8,6 +7,7 @@
 use crate::local::end::look_for_end;
 use crate::shared::Shared;
 use crate::wire::{AttemptResult, Handover, Told};
+use bramblewheel_decisions::fading_share::whole_percent;
 use bramblewheel_protocol::content::ContentDigest;
 use bramblewheel_types::{ServiceName, Timestamp};
 use http::{HeaderMap, HeaderValue};
--- a/crates/bramblewheel-proxy/src/lib.rs
+++ b/crates/bramblewheel-proxy/src/lib.rs
@@ -1,6 +1,6 @@
 //! The routed data path: a daemon that sends requests by route tables to registered endpoints.
 //!
-//! [`decide`] holds the decisions: route tables, the choice of an endpoint, the retry budget, the
+//! The crate `bramblewheel-decisions` holds the decisions: route tables, the choice of an endpoint, the retry budget, the
 //! admission to the endpoint beside the daemon. They are pure: time and a seed are arguments.
 //! [`http`] carries requests and answers as they come, [`control`] keeps in touch with the control
 //! replicas, and [`daemon`] wires all of it. How callers and endpoints name the headers that
@@ -8,7 +8,6 @@
 
 pub mod control;
 pub mod daemon;
-pub mod decide;
 pub mod dialect;
 pub mod http;
 pub mod in_progress;
--- a/crates/bramblewheel-proxy/src/local/mod.rs
+++ b/crates/bramblewheel-proxy/src/local/mod.rs
@@ -10,13 +10,13 @@
 
 pub use permit::Permit;
 
-use crate::decide::admission::Arrival;
-use crate::decide::directory::LoadReport;
-use crate::decide::endpoint_end::EndpointEnd;
-use crate::decide::fading_share::whole_percent;
-use crate::decide::running_requests::RunningRequest;
-use crate::decide::tenants::is_most_important;
 use crate::wire::Handover;
+use bramblewheel_decisions::admission::Arrival;
+use bramblewheel_decisions::directory::LoadReport;
+use bramblewheel_decisions::endpoint_end::EndpointEnd;
+use bramblewheel_decisions::fading_share::whole_percent;
+use bramblewheel_decisions::running_requests::RunningRequest;
+use bramblewheel_decisions::tenants::is_most_important;
 use bramblewheel_process::clock::Clock;
 use bramblewheel_process::invariants::lock;
 use bramblewheel_protocol::content::ContentDigest;
--- a/crates/bramblewheel-proxy/src/local/permit.rs
+++ b/crates/bramblewheel-proxy/src/local/permit.rs
@@ -1,9 +1,9 @@
 //! Places at the local endpoint, and the wait for one.
 
 use super::LocalEndpoint;
-use crate::decide::admission::Place;
-use crate::decide::route_limit::Answered;
-use crate::decide::running_requests::RunningId;
+use bramblewheel_decisions::admission::Place;
+use bramblewheel_decisions::route_limit::Answered;
+use bramblewheel_decisions::running_requests::RunningId;
 use bramblewheel_process::clock::Clock;
 use bramblewheel_protocol::content::ContentDigest;
 use bramblewheel_types::{EndpointId, ServiceName, Timestamp};
--- a/crates/bramblewheel-proxy/src/local/state.rs
+++ b/crates/bramblewheel-proxy/src/local/state.rs
@@ -3,11 +3,11 @@
 use super::permit::RouteShare;
 use super::starts::{Origin, Starts};
 use super::{Heard, Refusal};
-use crate::decide::admission::{Admission, AdmissionQueue, Arrival, Place, Ticket};
-use crate::decide::endpoint_end::{EndsByContent, UnansweredRequests};
-use crate::decide::fading_share::FadingShare;
-use crate::decide::route_limit::{Answered, RouteLimit};
-use crate::decide::running_requests::RunningRequests;
+use bramblewheel_decisions::admission::{Admission, AdmissionQueue, Arrival, Place, Ticket};
+use bramblewheel_decisions::endpoint_end::{EndsByContent, UnansweredRequests};
+use bramblewheel_decisions::fading_share::FadingShare;
+use bramblewheel_decisions::route_limit::{Answered, RouteLimit};
+use bramblewheel_decisions::running_requests::RunningRequests;
 use bramblewheel_protocol::routing::{EndpointRecord, EndpointState};
 use bramblewheel_types::{EndpointId, ServiceName, Timestamp};
 use std::collections::{HashMap, HashSet};
--- a/crates/bramblewheel-proxy/src/metrics.rs
+++ b/crates/bramblewheel-proxy/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Counters and histograms of a daemon, as text in the format of OpenMetrics.
 
-use crate::decide::retry_budget::BoundUse;
 use crate::in_progress::{Sender, Stage};
 use crate::wire::AttemptResult;
+use bramblewheel_decisions::retry_budget::BoundUse;
 use bramblewheel_process::invariants::lock;
 use bramblewheel_types::ServiceName;
 use prometheus_client::encoding::text::encode;
--- a/crates/bramblewheel-proxy/src/outbound/access.rs
+++ b/crates/bramblewheel-proxy/src/outbound/access.rs
@@ -1,11 +1,11 @@
 //! Who a request comes from, and whether it may be served: the key, the lease on the table, the quota.
 
-use crate::decide::credential::key_in;
-use crate::decide::table::{Route, Router};
-use crate::decide::tenant_quota::{LetIn, OverQuota, QuotaDecision};
-use crate::decide::tenants::ActiveTenant;
 use crate::inbound::dispatch::text;
 use crate::shared::Shared;
+use bramblewheel_decisions::credential::key_in;
+use bramblewheel_decisions::table::{Route, Router};
+use bramblewheel_decisions::tenant_quota::{LetIn, OverQuota, QuotaDecision};
+use bramblewheel_decisions::tenants::ActiveTenant;
 use bramblewheel_types::Millis;
 use http::{HeaderMap, HeaderValue};
 use rand::RngExt;
--- a/crates/bramblewheel-proxy/src/outbound/attempt.rs
+++ b/crates/bramblewheel-proxy/src/outbound/attempt.rs
@@ -1,12 +1,12 @@
 //! One attempt of a call at the daemon beside an endpoint.
 
-use crate::decide::directory::Choice;
 use crate::http::exchange::{self, NoAnswer, Outgoing};
 use crate::in_progress::{Progress, Stage};
 use crate::inbound::dispatch::{Attempted, Dispatched, dispatch};
 use crate::outbound::liveness::patience;
 use crate::shared::Shared;
 use crate::wire::{AttemptResult, Handover, Told};
+use bramblewheel_decisions::directory::Choice;
 use bramblewheel_types::Timestamp;
 use http::HeaderMap;
 use std::sync::Arc;
--- a/crates/bramblewheel-proxy/src/outbound/bound_watch.rs
+++ b/crates/bramblewheel-proxy/src/outbound/bound_watch.rs
@@ -1,7 +1,7 @@
 //! Shows what is used of the bound on repeated sends: in metrics, and in the log while anything is repeated.
 
-use crate::decide::retry_budget::BoundUse;
 use crate::shared::Shared;
+use bramblewheel_decisions::retry_budget::BoundUse;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/bramblewheel-proxy/src/outbound/call.rs
+++ b/crates/bramblewheel-proxy/src/outbound/call.rs
@@ -1,8 +1,5 @@
 //! One request of a caller: its attempts, until one answers or no other is allowed.
 
-use crate::decide::directory::Choice;
-use crate::decide::retry_budget::FirstSend;
-use crate::decide::table::{ActiveRoute, Route};
 use crate::http::exchange::{Answer, Outgoing, OutgoingBody};
 use crate::http::fields;
 use crate::in_progress::Progress;
@@ -12,6 +9,9 @@
 use crate::outbound::repeat::Counts;
 use crate::shared::Shared;
 use crate::wire::{AttemptResult, Handover, Told};
+use bramblewheel_decisions::directory::Choice;
+use bramblewheel_decisions::retry_budget::FirstSend;
+use bramblewheel_decisions::table::{ActiveRoute, Route};
 use bramblewheel_process::invariants::lock;
 use bramblewheel_protocol::content::ContentDigest;
 use bramblewheel_protocol::routing::TableVersion;
--- a/crates/bramblewheel-proxy/src/outbound/ending.rs
+++ b/crates/bramblewheel-proxy/src/outbound/ending.rs
@@ -1,8 +1,8 @@
 //! How calls end, and what the end of a send says of its endpoint.
 
-use crate::decide::directory::SendEnd;
 use crate::http::exchange::Answer;
 use crate::wire::AttemptResult;
+use bramblewheel_decisions::directory::SendEnd;
 use std::time::Duration;
 
 /// The end of a call.
--- a/crates/bramblewheel-proxy/src/outbound/mod.rs
+++ b/crates/bramblewheel-proxy/src/outbound/mod.rs
@@ -12,7 +12,6 @@
 mod send;
 mod stopping;
 
-use crate::decide::request_content::RequestContent;
 use crate::http::body::{self, AnswerBody};
 use crate::http::exchange::OutgoingBody;
 use crate::http::fields::{self, KEEP_ALIVE};
@@ -21,6 +20,7 @@
 use crate::inbound::dispatch::text;
 use crate::shared::Shared;
 use access::{AccessRefusal, TableInUse, tenant_of};
+use bramblewheel_decisions::request_content::RequestContent;
 use bramblewheel_protocol::content::ContentDigest;
 use bramblewheel_protocol::routing::QUARANTINE_TIME;
 use bramblewheel_types::Timestamp;
--- a/crates/bramblewheel-proxy/src/outbound/open_send.rs
+++ b/crates/bramblewheel-proxy/src/outbound/open_send.rs
@@ -1,7 +1,7 @@
 //! A send that has not ended yet.
 
-use crate::decide::directory::SendEnd;
 use crate::shared::Shared;
+use bramblewheel_decisions::directory::SendEnd;
 use bramblewheel_types::{EndpointId, Timestamp};
 
 /// Tells the directory of a send that was given up, unless it ended by itself.
--- a/crates/bramblewheel-proxy/src/outbound/repeat.rs
+++ b/crates/bramblewheel-proxy/src/outbound/repeat.rs
@@ -1,12 +1,12 @@
 //! Whether a request is sent once more after a send that ended without a success.
 
-use crate::decide::retry_bound::{RepeatDecision, RepeatReason};
-use crate::decide::tenants::is_most_important;
 use crate::http::exchange::Outgoing;
 use crate::inbound::dispatch::text;
 use crate::outbound::call::Call;
 use crate::outbound::ending::is_proved_not_run;
 use crate::wire::AttemptResult;
+use bramblewheel_decisions::retry_bound::{RepeatDecision, RepeatReason};
+use bramblewheel_decisions::tenants::is_most_important;
 use bramblewheel_process::invariants::lock;
 use bramblewheel_types::{ServiceName, Timestamp};
 use std::time::Duration;
--- a/crates/bramblewheel-proxy/src/outbound/room.rs
+++ b/crates/bramblewheel-proxy/src/outbound/room.rs
@@ -1,11 +1,11 @@
 //! Room for a call: whether it is refused before anything is sent, and what its end says of the room for
 //! its like.
 
-use crate::decide::early_refusal::RoomFound;
-use crate::decide::tenants::is_most_important;
 use crate::inbound::dispatch::text;
 use crate::outbound::call::Call;
 use crate::outbound::ending::Final;
+use bramblewheel_decisions::early_refusal::RoomFound;
+use bramblewheel_decisions::tenants::is_most_important;
 use bramblewheel_process::invariants::lock;
 use bramblewheel_types::ServiceName;
 use rand::RngExt;
--- a/crates/bramblewheel-proxy/src/outbound/send.rs
+++ b/crates/bramblewheel-proxy/src/outbound/send.rs
@@ -1,6 +1,5 @@
 //! One send of a call: what goes along with it, and what its end tells.
 
-use crate::decide::directory::Choice;
 use crate::http::exchange::Outgoing;
 use crate::in_progress::Stage;
 use crate::inbound::dispatch::{Attempted, Dispatched, text};
@@ -10,6 +9,7 @@
 use crate::outbound::open_send::OpenSend;
 use crate::outbound::repeat::Counts;
 use crate::wire::Handover;
+use bramblewheel_decisions::directory::Choice;
 use bramblewheel_process::invariants::lock;
 use bramblewheel_types::Timestamp;
 use http::HeaderValue;
--- a/crates/bramblewheel-proxy/src/outbound/stopping.rs
+++ b/crates/bramblewheel-proxy/src/outbound/stopping.rs
@@ -1,9 +1,9 @@
 //! Requests of callers while the daemon stops: which are taken, and until when they may be sent and run.
 
-use crate::decide::admission::longest_wait;
-use crate::decide::stop_schedule::{LateDecision, LateRequest};
 use crate::inbound::dispatch::text;
 use crate::outbound::call::Call;
+use bramblewheel_decisions::admission::longest_wait;
+use bramblewheel_decisions::stop_schedule::{LateDecision, LateRequest};
 use bramblewheel_types::{Millis, Timestamp};
 use std::time::Duration;
 
--- a/crates/bramblewheel-proxy/src/planned_stop.rs
+++ b/crates/bramblewheel-proxy/src/planned_stop.rs
@@ -10,10 +10,10 @@
 //! 4. Half a second before the end by force everything that is left gets an answer: not run where that is true, else one that
 //!    promises nothing. Only answers that are being passed on go on, until the connections are closed.
 
-use crate::decide::stop_schedule::StopSchedule;
 use crate::in_progress::OpenRequest;
 use crate::inbound::dispatch::text;
 use crate::shared::Shared;
+use bramblewheel_decisions::stop_schedule::StopSchedule;
 use bramblewheel_process::clock::Clock;
 use bramblewheel_types::{Millis, Timestamp};
 use std::sync::OnceLock;
--- a/crates/bramblewheel-proxy/src/settings.rs
+++ b/crates/bramblewheel-proxy/src/settings.rs
@@ -1,8 +1,8 @@
 //! What a daemon of the routed data path is told at its start.
 
-use crate::decide::retry_budget::RetryTerms;
-use crate::decide::tenant_quota::QuotaTerms;
 use crate::dialect::Dialect;
+use bramblewheel_decisions::retry_budget::RetryTerms;
+use bramblewheel_decisions::tenant_quota::QuotaTerms;
 use bramblewheel_types::{DaemonId, RegionName, ZoneName};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
--- a/crates/bramblewheel-proxy/src/wire.rs
+++ b/crates/bramblewheel-proxy/src/wire.rs
@@ -1,7 +1,7 @@
 //! Headers between daemons: what one tells the other besides the request and its answer.
 
-use crate::decide::directory::LoadReport;
 use crate::http::fields::set_or_remove;
+use bramblewheel_decisions::directory::LoadReport;
 use bramblewheel_protocol::content::ContentDigest;
 use bramblewheel_types::{EndpointId, Millis, ServiceName};
 use http::{HeaderMap, HeaderName, HeaderValue};
--- a/crates/bramblewheel-proxy/tests/pinned_metrics.rs
+++ b/crates/bramblewheel-proxy/tests/pinned_metrics.rs
@@ -1,6 +1,6 @@
 //! Names and labels of the metrics stay as they are: dashboards and alerts of the users hold them.
 
-use bramblewheel_proxy::decide::retry_budget::BoundUse;
+use bramblewheel_decisions::retry_budget::BoundUse;
 use bramblewheel_proxy::in_progress::{Sender, Stage};
 use bramblewheel_proxy::metrics::Metrics;
 use bramblewheel_proxy::wire::AttemptResult;
--- a/crates/bramblewheel-proxy/tests/sockets/retry_bound.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/retry_bound.rs
@@ -3,7 +3,7 @@
 
 use crate::support::endpoint::Act;
 use crate::support::{Mesh, eventually};
-use bramblewheel_proxy::decide::retry_budget::BoundUse;
+use bramblewheel_decisions::retry_budget::BoundUse;
 use bytes::Bytes;
 use http::StatusCode;
 use std::time::Duration;
--- a/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
@@ -8,6 +8,10 @@
     AdminSettings, FormationSettings, ListenSettings, LogSettings, SpareSettings, StorageSettings,
     TimingSettings,
 };
+use bramblewheel_decisions::retry_budget::RetryTerms;
+use bramblewheel_decisions::table::{Route, RouteTable, ServiceTerms, Target};
+use bramblewheel_decisions::tenant_quota::QuotaTerms;
+use bramblewheel_decisions::tenants::{KeyDigest, Quota, Tenant};
 use bramblewheel_process::logging::silent;
 use bramblewheel_protocol::control::{ReplyBody, RequestBody};
 use bramblewheel_protocol::packed::PackedText;
@@ -16,10 +20,6 @@
     TableVersion,
 };
 use bramblewheel_proxy::control::group::ControlGroup;
-use bramblewheel_proxy::decide::retry_budget::RetryTerms;
-use bramblewheel_proxy::decide::table::{Route, RouteTable, ServiceTerms, Target};
-use bramblewheel_proxy::decide::tenant_quota::QuotaTerms;
-use bramblewheel_proxy::decide::tenants::{KeyDigest, Quota, Tenant};
 use bramblewheel_proxy::{Daemon, Dialect, Settings};
 use bramblewheel_types::{
     DaemonId, EndpointId, Millis, RegionName, ServiceName, TenantName, ZoneName,
--- a/crates/bramblewheel-proxy/tests/wire.rs
+++ b/crates/bramblewheel-proxy/tests/wire.rs
@@ -1,7 +1,7 @@
 //! What daemons tell each other in headers.
 
+use bramblewheel_decisions::directory::LoadReport;
 use bramblewheel_protocol::content::ContentDigest;
-use bramblewheel_proxy::decide::directory::LoadReport;
 use bramblewheel_proxy::wire::{AttemptResult, Handover, Told};
 use bramblewheel_types::{EndpointId, ServiceName};
 use http::{HeaderMap, HeaderValue};
