--- a/crates/bramblewheel-decisions/src/fading_share.rs
+++ b/crates/bramblewheel-decisions/src/fading_share.rs
@@ -1,11 +1,22 @@
-//! The share of an endpoint's requests that failed, or were refused, lately.
+//! Shares and reports that count less the older they are: nothing that was measured once may decide forever.
+//!
+//! Rule: what was measured counts in full at first and falls linearly to nothing over its lifetime. An endpoint that
+//! was avoided for its failures is so tried again, and an old report loses against what is seen here.
+//!
+//! Inputs: outcomes of single requests or a share measured elsewhere (0 to 1), and the time. Owns nothing but the
+//! value; relies on the caller for the time. Seen in: the cost of an endpoint and the refused part of a class only.
 
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
-/// Time after which a share that nothing confirmed counts for nothing: an endpoint that gets no work
-/// any more must be tried again.
-const FADE: Duration = Duration::from_secs(6);
+/// Time after which a share that nothing confirmed counts for nothing. Chosen, not measured.
+const SHARE_LIFETIME: Duration = Duration::from_secs(6);
+
+/// How much of something measured at `measured` still counts, 1 to 0.
+pub(crate) fn remaining_weight(now: Timestamp, measured: Timestamp, lifetime: Duration) -> f64 {
+    let age = now.since(measured).as_secs_f64();
+    (1.0 - age / lifetime.as_secs_f64()).max(0.0)
+}
 
 /// A moving average of outcomes that fades while nothing is recorded.
 ///
@@ -25,7 +36,7 @@
 }
 
 impl FadingShare {
-    /// A share that somebody else measured, as of `now`.
+    /// A share, 0 to 1, that another process measured, as of `now`.
     pub fn measured(now: Timestamp, share: f64) -> Self {
         Self {
             share,
@@ -33,7 +44,7 @@
         }
     }
 
-    /// Notes the end of one request; `weight` is that of the newest in the average, between 0 and 1.
+    /// Records the outcome of one request; `weight` is that of the newest in the average, between 0 and 1.
     pub fn record(&mut self, now: Timestamp, is_counted: bool, weight: f64) {
         let outcome = f64::from(u8::from(is_counted));
         let before = self.at(now);
@@ -46,19 +57,17 @@
         if self.share == 0.0 {
             return 0.0;
         }
-        let age = now.since(self.recorded).as_secs_f64();
-        let left = (1.0 - age / FADE.as_secs_f64()).max(0.0);
-        self.share * left
+        self.share * remaining_weight(now, self.recorded, SHARE_LIFETIME)
     }
 }
 
-/// A part in whole hundredths, as it is told to other daemons; cut to between 0 and 10,000.
-pub fn whole_percent(part: f64) -> u32 {
+/// A share as whole percent, the form in which it is reported to other daemons: 1.0 gives 100. Cut to between 0 and 10,000.
+pub fn whole_percent(share: f64) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "bounded and not negative"
     )]
-    let percent = (part.clamp(0.0, 100.0) * 100.0).round() as u32;
+    let percent = (share.clamp(0.0, 100.0) * 100.0).round() as u32;
     percent
 }
--- a/crates/bramblewheel-decisions/src/lib.rs
+++ b/crates/bramblewheel-decisions/src/lib.rs
@@ -5,6 +5,7 @@
 //! `bramblewheel-proxy` gives inputs, carries decisions out and logs them.
 
 pub mod admission;
+mod bounded_map;
 pub mod class_limit;
 pub mod credential;
 pub mod directory;
