--- a/crates/bramblewheel-decisions/src/credential.rs
+++ b/crates/bramblewheel-decisions/src/credential.rs
@@ -1,12 +1,22 @@
-//! The key that a request carries.
+//! Which key a request carries.
+//!
+//! Rule: exactly one `Authorization` field, of the scheme of keys, that is visible ASCII and not empty. Anything
+//! else is no key, and says why.
+//!
+//! Inputs: a request's headers and the scheme's name (from the settings). Reason: an ambiguous field must not let a
+//! request pass as one tenant here and as another elsewhere; the key itself is kept nowhere but as a digest.
+//!
+//! Owns nothing; relies on [`KeyDigest`].
+//!
+//! Seen in: metric `bramblewheel_unauthorized`; log line `unauthorized` (`reason`).
 
 use crate::tenants::KeyDigest;
 use http::HeaderMap;
 use http::header::AUTHORIZATION;
 use thiserror::Error;
 
-/// Longest key, in bytes. Keys have some twenty signs; a longer one is nobody's, and is not worth a
-/// digest.
+/// Longest key, in bytes. Keys have some twenty characters; a longer one is nobody's, and is not worth a
+/// digest. Chosen, not measured.
 const LONGEST_KEY: usize = 512;
 
 /// A request carries no key that could be looked up. No message shows what it carries.
@@ -15,7 +25,7 @@
     /// The field is missing.
     #[error("no key")]
     Missing,
-    /// The field stands more than once.
+    /// There is more than one such field.
     #[error("more than one key")]
     Several,
     /// The field has another scheme than the one of keys, or is not visible ASCII.
--- a/crates/bramblewheel-decisions/src/early_refusal/mod.rs
+++ b/crates/bramblewheel-decisions/src/early_refusal/mod.rs
@@ -1,22 +1,23 @@
 //! Refuse early: which part of a class's requests the caller's daemon refuses before sending them anywhere.
 //!
-//! Rule: the refused part of a class rises while too many of the requests sent find no capacity, at the service itself or
-//! downstream of it, and falls otherwise. Less important classes that need the same service are refused too, so that the
-//! rank holds across routes. Requests are refused at random by that part; who is exempt is decided by the caller of this
-//! module.
+//! Rule: the refused part of a class rises while too many of the requests sent find no capacity, at the service
+//! itself or downstream of it, and falls otherwise. Less important classes that need the same service are refused
+//! too, so that the rank holds across routes. Requests are refused at random by that part; who is exempt is decided
+//! by the caller of this module.
 //!
-//! Inputs: how each sent request ended ([`CapacityFound`]; seen by this daemon, no age), its class, its rank (0 is the most
-//! important) and its service. Two outcomes count: no endpoint had capacity, and an endpoint failed the request since
-//! one of its own calls found no capacity. One endpoint that is full is no evidence, since another may have room.
+//! Inputs: how each sent request ended ([`CapacityFound`]; seen by this daemon, no age), its class, its rank (0 is
+//! the most important) and its service. Two outcomes count: no endpoint had capacity, and an endpoint failed the
+//! request since one of its own calls found no capacity. One endpoint that is full is no evidence, since another may
+//! have room.
 //!
-//! Reason: in an overload each refusal at an endpoint's daemon costs two daemons a connection and an answer, and a request is
-//! offered to several of them; a request that fails downstream has cost the work of a whole call tree. Some requests
-//! are always sent, since their outcomes are the only input.
+//! Reason: in an overload each refusal at an endpoint's daemon costs two daemons a connection and an answer, and a
+//! request is offered to several of them; a request that fails downstream has cost the work of a whole call tree.
+//! Some requests are always sent, since their outcomes are the only input.
 //!
 //! Owns the state of each class at this daemon. Relies on the caller for time and for the random draw.
 //!
-//! Seen in: metric `bramblewheel_refused_early`; log lines `refused early` (`refused_part`, `for_others`, `short`) and
-//! `room at endpoints` (`change`, `short`).
+//! Seen in: metric `bramblewheel_refused_early`; log lines `refused early` (`refused_part`, `for_others`, `short`)
+//! and `room at endpoints` (`change`, `short`).
 
 mod class_state;
 mod refused_part;
@@ -94,8 +95,8 @@
         state.map_or(0.0, |state| state.refused_part(now))
     }
 
-    /// The downstream service for whose lack of capacity a class's requests are refused now; none if it is the service that
-    /// they go to themselves.
+    /// The downstream service for whose lack of capacity a class's requests are refused now; none if it is the
+    /// service that they go to themselves.
     pub fn short_downstream(&self, class: RequestClass) -> Option<&ServiceName> {
         self.classes.get(&class)?.dominant_downstream()
     }
--- a/crates/bramblewheel-decisions/src/early_refusal/refused_part.rs
+++ b/crates/bramblewheel-decisions/src/early_refusal/refused_part.rs
@@ -1,7 +1,7 @@
 //! A part of one class's requests that is refused for one reason, and how it follows what the requests sent find.
 //!
-//! While the share of requests without capacity is above what is tolerated, the part rises in proportion to the excess;
-//! otherwise it falls at a constant rate. Owns the three settings of that control loop, one for each reason.
+//! While the share of requests without capacity is above what is tolerated, the part rises in proportion to the
+//! excess; otherwise it falls at a constant rate. Owns the three settings of that control loop, one for each reason.
 
 use crate::fading_share::FadingShare;
 use bramblewheel_types::Timestamp;
@@ -26,8 +26,8 @@
 /// For requests that found no endpoint of their service with capacity. They cost little, and if none of them were
 /// sent, endpoints might have free slots.
 ///
-/// Tolerated: 0.08 served 10,967 requests in place of 11,365, measured by `tests/early_refusal.rs` with an earlier way of
-/// telling that there is no capacity. Rise and fall: chosen, not measured.
+/// Tolerated: 0.08 served 10,967 requests in place of 11,365, measured by `tests/early_refusal.rs` with an earlier
+/// way of telling that there is no capacity. Rise and fall: chosen, not measured.
 pub(super) const AT_SERVICE: RefusalSettings = RefusalSettings {
     tolerated: 0.2,
     rise_per_second: 2.0,
@@ -37,9 +37,9 @@
 /// For requests that failed for want of capacity downstream. Much work is lost with each of them, and whether
 /// there is capacity again shows only after the time of a whole tree.
 ///
-/// Measured on whole days of one deployment, mean worth (`docs/NEW-CUSTOMER.md`, rounds 1 to 5c and 11): tolerated 0.05 gave
-/// 0.505 and 0.12 gave 0.497. Rise 4: 0.431 with a fall of 0.5, 0.441 with 1.0 and 1.5; rise 2 with a fall of
-/// 1.5: 0.440. Differences below 0.01 are noise.
+/// Measured on whole days of one deployment, mean worth (`docs/NEW-CUSTOMER.md`, rounds 1 to 5c and 11): tolerated
+/// 0.05 gave 0.505 and 0.12 gave 0.497. Rise 4: 0.431 with a fall of 0.5, 0.441 with 1.0 and 1.5; rise 2 with a fall
+/// of 1.5: 0.440. Differences below 0.01 are noise.
 pub(super) const DOWNSTREAM: RefusalSettings = RefusalSettings {
     tolerated: 0.05,
     rise_per_second: 4.0,
@@ -93,8 +93,8 @@
         self.without_capacity.at(now)
     }
 
-    /// Records whether a request that was sent found no capacity. It ended `step` after the one before, `idle` after the
-    /// part began to fall by itself.
+    /// Records whether a request that was sent found no capacity. It ended `step` after the one before, `idle` after
+    /// the part began to fall by itself.
     pub(super) fn record(
         &mut self,
         now: Timestamp,
--- a/crates/bramblewheel-decisions/src/fading_share.rs
+++ b/crates/bramblewheel-decisions/src/fading_share.rs
@@ -4,7 +4,8 @@
 //! was avoided for its failures is so tried again, and an old report loses against what is seen here.
 //!
 //! Inputs: outcomes of single requests or a share measured elsewhere (0 to 1), and the time. Owns nothing but the
-//! value; relies on the caller for the time. Seen in: the cost of an endpoint and the refused part of a class only.
+//! value; relies on the caller for the time. Not logged by itself: it shows in the choice of endpoints and in the
+//! refused part of a class.
 
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
@@ -61,7 +62,8 @@
     }
 }
 
-/// A share as whole percent, the form in which it is reported to other daemons: 1.0 gives 100. Cut to between 0 and 10,000.
+/// A share as whole percent, the form in which it is reported to other daemons: 1.0 gives 100. Cut to between 0 and
+/// 10,000.
 pub fn whole_percent(share: f64) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
--- a/crates/bramblewheel-decisions/src/lib.rs
+++ b/crates/bramblewheel-decisions/src/lib.rs
@@ -1,6 +1,9 @@
 //! Pure decisions of the routed data path: route tables, the choice of an endpoint, admission, early refusals, the
 //! bound on retries, tenants and quotas, planned stops, quarantine.
 //!
+//! `docs/DECISIONS.md` lists the rules with their inputs, constants, metrics and log lines; each stands in one
+//! module here.
+//!
 //! No clock, socket, file, thread or global random source: time and a seed are arguments. The async code of
 //! `bramblewheel-proxy` gives inputs, carries decisions out and logs them.
 
--- a/crates/bramblewheel-decisions/src/request_content.rs
+++ b/crates/bramblewheel-decisions/src/request_content.rs
@@ -1,16 +1,22 @@
-//! Which requests are tries of the same one.
+//! Which requests are the same one sent again, by what they contain.
 //!
-//! Each try of a caller has an id of its own, and callers try again at other daemons. What they send
-//! stays the same: tenant, method, host, path with its query, and body.
+//! Rule: requests with the same tenant, method, host, path with its query, and body are the same. Of a long body only
+//! the beginning counts.
+//!
+//! Inputs: the request at its caller's daemon. Reason: each resend of a caller has an id of its own and may go to
+//! another daemon, while what it sends stays the same. The quarantine needs to know such requests again.
+//!
+//! Owns nothing; relies on SHA-256. Seen in: `content` in the log lines of a request.
 
 use bramblewheel_protocol::content::ContentDigest;
 use sha2::{Digest, Sha256};
 
-/// Bytes of a body that count. Longer bodies are passed on as they come, so that only their beginning is
-/// known when the request is sent.
+/// Bytes of a body that count. Longer bodies are passed on as they come, so that only their beginning is known when
+/// the request is sent. It is what is held of a body; a digest of it takes 106 to 130 us, of 300 bytes 0.8 us
+/// (`docs/design/17-crashing-requests.md`).
 pub const COUNTED_BODY_BYTES: usize = 64 * 1024;
 
-/// What of a request its tries have in common.
+/// What a request and its resends have in common.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
     /// Tenant that it comes from; empty without one. No tenant can get another's requests refused.
--- a/crates/bramblewheel-decisions/src/retry_bound.rs
+++ b/crates/bramblewheel-decisions/src/retry_bound.rs
@@ -1,23 +1,23 @@
 //! Whether the bound on retries has room: for a retry here, and for a call that a retried run makes.
 //!
-//! Rule: a request is retried only while little of the bound is used downstream, and while this daemon's budget for the
-//! service has room for a request of its kind. A call of a retried run is refused, with a probability of its
+//! Rule: a request is retried only while little of the bound is used downstream, and while this daemon's budget for
+//! the service has room for a request of its kind. A call of a retried run is refused, with a probability of its
 //! retried share, once the budget has no room for that share.
 //!
-//! Inputs: the retry budget of this daemon (window of the settings, [`RetryBudget`]); the used part of the bound downstream of a
-//! class (0 to 1, reported by the daemons beside endpoints with their answers, at most 4 s old and counting less
-//! with age); why the request is to be retried; the retried share of a call (0 to 1).
+//! Inputs: the retry budget of this daemon (window of the settings, [`RetryBudget`]); the used part of the bound
+//! downstream of a class (0 to 1, reported by the daemons beside endpoints with their answers, at most 4 s old and
+//! counting less with age); why the request is to be retried; the retried share of a call (0 to 1).
 //!
-//! Reason: a retry here makes all calls downstream again, while one at the service that rejects a call costs a single send. So
-//! retries are left to the daemons next to the trouble. The refusal of calls is the last resort that makes the bound
-//! hold at every service of a call tree; the reports upstream keep it rare.
+//! Reason: a retry here makes all calls downstream again, while one at the service that rejects a call costs a
+//! single send. So retries are left to the daemons next to the trouble. The refusal of calls is the last resort that
+//! makes the bound hold at every service of a call tree; the reports upstream keep it rare.
 //!
 //! Owns the budget and the reports. Relies on the caller for time and for the random draw.
 //!
 //! Seen in: metrics `bramblewheel_repeats`, `bramblewheel_over_budget` (by service and result before) and
-//! `bramblewheel_refused_calls_of_repeats` (by service); log lines `repeat refused` (`used_below`, or `used`, `allowed`,
-//! `calls_of_repeats`, `root_rank`) and `call of a repeated run refused` (`repeated`). The wire, metrics and log lines say
-//! "repeat" for a retry.
+//! `bramblewheel_refused_calls_of_repeats` (by service); log lines `repeat refused` (`used_below`, or `used`,
+//! `allowed`, `calls_of_repeats`, `root_rank`) and `call of a repeated run refused` (`repeated`). The wire, metrics
+//! and log lines say "repeat" for a retry.
 
 use crate::bounded_map::make_space;
 use crate::fading_share::remaining_weight;
@@ -27,22 +27,25 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Part of the budget, 0 to 1, that may go to requests which an endpoint ran and failed: a quarter of the ratio, where the budget
-/// is 0.8 of it. Where many fail, their cause mostly lies downstream, and a retry meets it again. Chosen, not measured.
+/// Part of the budget, 0 to 1, that may go to requests which an endpoint ran and failed: a quarter of the ratio,
+/// where the budget is 0.8 of it. Where many fail, their cause mostly lies downstream, and a retry meets it again.
+/// Chosen, not measured.
 const PART_FOR_FAILED: f64 = 0.25 / 0.8;
 /// Part of the budget, 0 to 1, that may go to requests that are not of the most important rank. Where endpoints
-/// reject much, trees of many calls end only if each of their calls is retried; the rest is kept for those that matter
-/// most. Measured only together with two other changes: on an overloaded day the most important class was served 0.672 in place
-/// of 0.590 (`docs/design/16-shifted-work.md`).
+/// reject much, trees of many calls end only if each of their calls is retried; the rest is kept for those that
+/// matter most. Measured only together with two other changes: on an overloaded day the most important class was
+/// served 0.672 in place of 0.590 (`docs/design/16-shifted-work.md`).
 const PART_FOR_LESS_IMPORTANT: f64 = 0.5;
-/// Used part of the bound downstream, 0 to 1, from which on nothing is retried here. The rest is room for the calls of
-/// runs that are retried before the report of them is here. Measured on 6,000 drawn call trees (`tests/repeat_bound`):
-/// without it 6 broke the bound, with it none, and 0.603 in place of 0.599 of the callers' requests were served.
+/// Used part of the bound downstream, 0 to 1, from which on nothing is retried here. The rest is room for the calls
+/// of runs that are retried before the report of them is here. Measured on 6,000 drawn call trees
+/// (`tests/repeat_bound`): without it 6 broke the bound, with it none, and 0.603 in place of 0.599 of the callers'
+/// requests were served.
 const MOST_USED_DOWNSTREAM: f64 = 0.6;
 /// Age at which a report of the bound's use downstream counts for nothing any more; up to there it counts less and
 /// less. The window of the bound has moved on by a good part then. Chosen, not measured.
 const REPORT_LIFETIME: Duration = Duration::from_secs(4);
-/// Weight of a report that less is used than before, 0 to 1; one that more is used counts at once. Chosen, not measured.
+/// Weight of a report that less is used than before, 0 to 1; one that more is used counts at once. Chosen, not
+/// measured.
 const EASING_WEIGHT: f64 = 0.2;
 /// Classes of which the use downstream is kept; bounds the memory. Chosen, not measured.
 const MAX_CLASSES: usize = 512;
@@ -174,8 +177,8 @@
         }
     }
 
-    /// Records what an endpoint's daemon reported with an answer: the used part of the bound (0 to 1 or somewhat more) where
-    /// the calls go that are made for this class.
+    /// Records what an endpoint's daemon reported with an answer: the used part of the bound (0 to 1 or somewhat
+    /// more) where the calls go that are made for this class.
     pub fn note_used_downstream(
         &mut self,
         now: Timestamp,
--- a/crates/bramblewheel-decisions/src/retry_budget/mod.rs
+++ b/crates/bramblewheel-decisions/src/retry_budget/mod.rs
@@ -1,23 +1,24 @@
 //! Bound on retries over all daemons: what this daemon may use of it, for each service.
 //!
-//! Rule: all daemons together send a service, in any window, at most `ratio` times its first sends plus a fixed `slack`
-//! beyond the first send of each request. Each daemon allows itself the ratio on its own first sends and an even share
-//! of the slack, so that the sums stay below the bound however requests are spread, without any exchange.
+//! Rule: all daemons together send a service, in any window, at most `ratio` times its first sends plus a fixed
+//! `slack` beyond the first send of each request. Each daemon allows itself the ratio on its own first sends and an
+//! even share of the slack, so that the sums stay below the bound however requests are spread, without any exchange.
 //!
-//! Inputs: this daemon's first sends and retries to each service, counted over the window that ends now; the retried share of
-//! each first send (0 to 1, [`FirstSend::retried_share`]); the number of daemons (from the directory, as old as
-//! its last update); the settings.
+//! Inputs: this daemon's first sends and retries to each service, counted over the window that ends now; the retried
+//! share of each first send (0 to 1, [`FirstSend::retried_share`]); the number of daemons (from the directory, as
+//! old as its last update); the settings.
 //!
 //! Reason: a run that is retried makes its calls again, and each of these is a send beyond the first at whatever
-//! service it goes to. So a first send counts as a retry by its retried share, and only the rest of it earns retries. Were such
-//! calls first sends, each service would keep to its own bound and the one downstream of all of them would get the sum: measured,
-//! 2,007 arrivals beyond the first where 1,828 were allowed, of which the callers' daemons had counted some 1,200.
+//! service it goes to. So a first send counts as a retry by its retried share, and only the rest of it earns
+//! retries. Were such calls first sends, each service would keep to its own bound and the one downstream of all of
+//! them would get the sum: measured, 2,007 arrivals beyond the first where 1,828 were allowed, of which the callers'
+//! daemons had counted some 1,200.
 //!
 //! Owns the counts. Relies on the caller for time, and on [`crate::running_requests`] for the retried share.
 //!
-//! Seen in: metrics `bramblewheel_retry_bound_used` and `bramblewheel_retry_bound_allowed` (sends, by service), log line
-//! `retry bound` (`first_sends`, `repeats`, `calls_of_repeats`, `allowed`, `allowed_for_calls`), once a second while
-//! anything is used.
+//! Seen in: metrics `bramblewheel_retry_bound_used` and `bramblewheel_retry_bound_allowed` (sends, by service), log
+//! line `retry bound` (`first_sends`, `repeats`, `calls_of_repeats`, `allowed`, `allowed_for_calls`), once a second
+//! while anything is used.
 
 mod window;
 
@@ -36,20 +37,20 @@
 
 /// For retries. The rest is for the calls of runs that are retried already when the bound is nearly used up.
 ///
-/// Measured on 2,000 drawn call trees (`tests/repeat_bound`): with 0.85 of the ratio 3 broke the bound, with 0.8 one, with 0.603
-/// of the callers' requests served both times. The part of the slack: chosen, not measured.
+/// Measured on 2,000 drawn call trees (`tests/repeat_bound`): with 0.85 of the ratio 3 broke the bound, with 0.8
+/// one, with 0.603 of the callers' requests served both times. The part of the slack: chosen, not measured.
 const FOR_RETRIES: AllowedParts = AllowedParts {
     ratio: 0.8,
     slack: 0.5,
 };
-/// For calls of retried runs. The rest of the ratio covers that the retried share of a call is an inference, the rest of
-/// the slack what daemons forget when they restart. Chosen, not measured.
+/// For calls of retried runs. The rest of the ratio covers that the retried share of a call is an inference, the
+/// rest of the slack what daemons forget when they restart. Chosen, not measured.
 const FOR_CALLS: AllowedParts = AllowedParts {
     ratio: 0.9,
     slack: 0.5,
 };
-/// Part of the ratio that a daemon uses at its start, 0 to 1; it grows to all within the first window. A daemon that was
-/// restarted has forgotten what it sent, and which runs of its endpoint are retried.
+/// Part of the ratio that a daemon uses at its start, 0 to 1; it grows to all within the first window. A daemon that
+/// was restarted has forgotten what it sent, and which runs of its endpoint are retried.
 ///
 /// Measured on 6,000 drawn call trees: with 0.5 one broke the bound, in which 11 of 17 daemons restarted within 8 s;
 /// with 0.3 none did.
--- a/crates/bramblewheel-decisions/src/running_requests.rs
+++ b/crates/bramblewheel-decisions/src/running_requests.rs
@@ -1,10 +1,20 @@
-//! Which request of the local endpoint a call belongs to.
+//! Running requests: which request of the local endpoint made a call.
 //!
-//! An endpoint that runs a request calls other services for it, and nothing on the call names that
-//! request. What is known is the time left: a call has either all that its parent has left, or less
-//! where its own kind has a shorter limit. So a parent whose time ends with the call's is taken to be
-//! the one; failing that, every request that has more time left than the call may be it. Of these the
-//! most frequent rank is taken, and the route of which most is repeated.
+//! Rule: a request whose time ends with the call's is taken to be its parent; failing that, every request that has
+//! more time left than the call may be it. Of these the most frequent rank is taken, and the retried share of the
+//! class that has most.
+//!
+//! Inputs: the deadline of a call (as it came to this daemon, in whole ms); the requests that the local endpoint
+//! runs, with deadline, root rank, class and retried share (0 to 1).
+//!
+//! Reason: an endpoint that runs a request calls other services for it, and nothing on the call names that request.
+//! What is known is the time left: a call has either all that its parent has left, or less where its own kind has a
+//! shorter limit. A wrong inference costs order in a queue, or precision of the bound on retries.
+//!
+//! Owns the running requests by their deadline. Relies on the caller for time and to say when a request ends.
+//!
+//! Seen in: `root_rank` of the log line `request ended`; `has_parent` and `may_have_parent` of `request while
+//! stopping`; metric `bramblewheel_repeated_runs` (runs with a retried share).
 
 use crate::request_class::RequestClass;
 use bramblewheel_types::Timestamp;
@@ -12,11 +22,12 @@
 use std::collections::btree_map::Range;
 use std::time::Duration;
 
-/// How much earlier a call's time may seem to end than its parent's: both are told in whole
-/// milliseconds, rounded down, and each is read a moment after it was written.
-const EARLIER: Duration = Duration::from_millis(4);
-/// How much later it may seem to end: the resolution in which it is told.
-const LATER: Duration = Duration::from_millis(1);
+/// How much earlier a call's time may seem to end than its parent's: both are sent in whole
+/// milliseconds, rounded down, and each is read a moment after it was written. Chosen, not measured.
+const SEEMS_EARLIER: Duration = Duration::from_millis(4);
+/// How much later it may seem to end: the resolution in which it is sent.
+const SEEMS_LATER: Duration = Duration::from_millis(1);
+
 /// Names a running request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunningId {
@@ -29,12 +40,19 @@
 pub struct RunningRequest {
     /// Rank of the request at the root of its tree.
     pub root_rank: u32,
-    /// Number that stands for its route.
+    /// Its class.
     pub class: RequestClass,
-    /// Part to which it is repeated, between 0 and 1.
+    /// Its retried share, between 0 and 1.
     pub retried_share: f64,
 }
 
+/// Sum and number of the retried shares of one class.
+#[derive(Clone, Copy, Debug, Default)]
+struct MeanShare {
+    total: f64,
+    count: f64,
+}
+
 /// The requests that run at the local endpoint, by the end of their time.
 #[derive(Debug, Default)]
 pub struct RunningRequests {
@@ -43,7 +61,7 @@
 }
 
 impl RunningRequests {
-    /// Notes that a request runs until `deadline` at the latest.
+    /// Records that a request runs until `deadline` at the latest.
     pub fn begin(&mut self, deadline: Timestamp, request: RunningRequest) -> RunningId {
         self.next_number += 1;
         let id = RunningId {
@@ -54,7 +72,7 @@
         id
     }
 
-    /// Notes that a request has ended.
+    /// Records that a request has ended.
     pub fn end(&mut self, id: RunningId) {
         self.running.remove(&id);
     }
@@ -66,11 +84,11 @@
         parents.or_else(|| most_frequent(self.possible_parents(deadline)))
     }
 
-    /// Part to which a call with this deadline is made by a run that is repeated: the most that the requests
-    /// allow which may have made it, since nothing tells which route makes which calls.
+    /// Retried share, 0 to 1, of a call with this deadline: the largest that the requests
+    /// allow which may have made it, since nothing shows which class makes which calls.
     ///
-    /// Of a route, what runs now counts and not a mean of its last runs: with a mean over some ten runs the calls of repeated
-    /// runs counted seconds late, and the bound broke in 4 of 6,000 drawn trees in place of 1.
+    /// Of a class, what runs now counts and not a mean of its last runs: with a mean over some ten runs the calls of
+    /// retried runs counted seconds late, and the bound broke in 4 of 6,000 drawn trees in place of 1.
     pub fn retried_share_of(&self, deadline: Timestamp) -> f64 {
         let parents = self
             .parents(deadline)
@@ -78,16 +96,14 @@
         if let Some(largest) = parents.reduce(f64::max) {
             return largest;
         }
-        let mut by_class: BTreeMap<RequestClass, (f64, f64)> = BTreeMap::new();
+        let mut by_class: BTreeMap<RequestClass, MeanShare> = BTreeMap::new();
         for (_, request) in self.possible_parents(deadline) {
-            let (retried_share, count) = by_class.entry(request.class).or_default();
-            *retried_share += request.retried_share;
-            *count += 1.0;
+            let mean = by_class.entry(request.class).or_default();
+            mean.total += request.retried_share;
+            mean.count += 1.0;
         }
-        let parts = by_class
-            .values()
-            .map(|(retried_share, count)| retried_share / count);
-        parts.fold(0.0, f64::max)
+        let shares = by_class.values().map(|mean| mean.total / mean.count);
+        shares.fold(0.0, f64::max)
     }
 
     /// Whether a request runs whose time ends with that of a call.
@@ -103,7 +119,7 @@
     /// Requests whose time ends with that of a call.
     fn parents(&self, deadline: Timestamp) -> Range<'_, RunningId, RunningRequest> {
         let earliest = RunningId {
-            deadline: Timestamp::ZERO + deadline.since(Timestamp::ZERO + LATER),
+            deadline: Timestamp::ZERO + deadline.since(Timestamp::ZERO + SEEMS_LATER),
             number: 0,
         };
         self.running.range(earliest..=latest(deadline))
@@ -118,7 +134,7 @@
 /// The last of the requests whose time ends with that of a call.
 fn latest(deadline: Timestamp) -> RunningId {
     RunningId {
-        deadline: deadline + EARLIER,
+        deadline: deadline + SEEMS_EARLIER,
         number: u64::MAX,
     }
 }
--- a/crates/bramblewheel-decisions/src/stop_schedule.rs
+++ b/crates/bramblewheel-decisions/src/stop_schedule.rs
@@ -1,21 +1,39 @@
-//! What a daemon that was told to stop still takes, and until when everything must have an answer.
+//! Planned stop: which requests a daemon that was told to stop still takes, and until when everything must have an
+//! answer.
 //!
-//! The end by force comes at a time that is known from the order on. So whatever is in progress has a time by which it
-//! must be answered, and what is taken later has to end before it. No promise may rest on a guess here: a request is
-//! let in by its own time, or since a request that the local endpoint runs may have made it.
+//! Rule: in the first half of the grace time all callers' requests are taken. After that a request is taken only if
+//! its own time ends before the last answers, or if a request that the local endpoint runs made it, or may have.
+//!
+//! Inputs: the time of the order and the grace time (settings); for each request its deadline, whether the local
+//! endpoint runs a request whose time ends with it or later ([`crate::running_requests`]), and whether its class is
+//! likely nested ([`crate::nested_routes`]).
+//!
+//! Reason: the end by force comes at a time that is known from the order on. So whatever is in progress has a time
+//! by which it must be answered, and what is taken later has to end before it. No promise may rest on an inference
+//! alone.
+//!
+//! Owns the times of one stop; relies on the caller for time.
+//!
+//! Seen in: log lines `stopping`, `request while stopping` (`decision`, `has_parent`, `may_have_parent`,
+//! `is_taken_for_call`, `left_ms`), `cut off by the stop` and `stopped`; metric `bramblewheel_cut_off`.
 
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
-/// Time in which whoever asks whether the daemon is ready learns that it is not: two questions.
+/// Time in which whoever asks whether the daemon is ready learns that it is not: two of its questions. Chosen, not
+/// measured.
 const NOTICE_TIME: Duration = Duration::from_millis(2_300);
-/// Part of the grace time in which all callers' requests are taken. What they take has as long again to end.
+/// Part of the grace time, 0 to 1, in which all callers' requests are taken. What is taken has as long again to end.
+/// Measured by `sockets/planned_stops.rs`: 5 of 30 requests were cut off when all were taken until 1 s before the
+/// end, none with half of the grace time.
 const TAKING_PART: f64 = 0.5;
-/// Part of the grace time that is left for the end of connections.
-const END_TIME: Duration = Duration::from_millis(1_000);
+/// Time before the end by force from which on the listeners are closed. Chosen, not measured.
+const CLOSED_LISTENERS_TIME: Duration = Duration::from_millis(1_000);
 /// Time between the last answers and the end by force: for the answers to be written, and for the end of the process.
+/// Chosen, not measured.
 const ANSWER_TIME: Duration = Duration::from_millis(500);
 /// Time between the closing of the last connection and the end by force, for the end of the process.
+/// Chosen, not measured.
 const EXIT_TIME: Duration = Duration::from_millis(250);
 
 /// Times of a planned stop.
@@ -25,7 +43,8 @@
     pub noticed: Timestamp,
     /// Until then all callers' requests are taken.
     pub taking_until: Timestamp,
-    /// Until then callers' requests are sent to endpoints, for the first time or again: what is sent later would seldom end.
+    /// Until then callers' requests are sent to endpoints, for the first time or again: what
+    /// is sent later would seldom end.
     pub latest_send: Timestamp,
     /// By then the listeners are closed.
     pub listening_until: Timestamp,
@@ -44,14 +63,14 @@
     pub has_parent: bool,
     /// Whether the local endpoint runs a request that has as much time left, or more.
     pub may_have_parent: bool,
-    /// Whether its route is taken for one that only endpoints call.
+    /// Whether its class is likely one that only endpoints call; `is_taken_for_call` in the log, too.
     pub is_taken_for_call: bool,
 }
 
 /// Why a request is taken while the daemon stops, or that it is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LateDecision {
-    /// The time of refusals has not come.
+    /// All requests are still taken.
     Early,
     /// Its own time ends before the daemon's.
     EndsInTime,
@@ -62,7 +81,7 @@
 }
 
 impl LateDecision {
-    /// Name in logs.
+    /// Value of `decision` in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Early => "early",
@@ -76,7 +95,7 @@
 impl StopSchedule {
     /// The times of a stop that begins now and ends by force after the grace time.
     pub fn new(now: Timestamp, grace: Duration) -> Self {
-        let listening = grace.saturating_sub(END_TIME);
+        let listening = grace.saturating_sub(CLOSED_LISTENERS_TIME);
         let taking = grace.mul_f64(TAKING_PART).max(NOTICE_TIME).min(listening);
         let answers = grace.saturating_sub(ANSWER_TIME).max(taking);
         Self {
@@ -91,8 +110,8 @@
 
     /// Whether a request that comes now is taken.
     ///
-    /// A guess whether endpoints call a route never lets a request in by itself. Where it did, callers of a route whose
-    /// requests seemed to come from few machines were taken until the end by force and cut off: 7 of 30 in
+    /// The inference that endpoints call a route never admits a request by itself. Where it did, callers of a route
+    /// whose requests seemed to come from few machines were taken until the end by force and cut off: 7 of 30 in
     /// `planned_stops::a_planned_stop_rests_on_no_guess_who_calls_a_route`.
     pub fn decide(&self, now: Timestamp, request: LateRequest) -> LateDecision {
         if now < self.taking_until {
--- a/crates/bramblewheel-decisions/src/table/mod.rs
+++ b/crates/bramblewheel-decisions/src/table/mod.rs
@@ -3,8 +3,8 @@
 //! Rule: of the routes of the request's host, the one with the longest prefix of its path is taken; its services
 //! share the requests by weight. A table is put in force whole, after [`RouteTable::check`] found nothing.
 //!
-//! Inputs: the table of the control group (in force since its last update), and a request's host and path. Reason: operators
-//! move traffic by replacing a table; which requests a change concerns follows from the table alone.
+//! Inputs: the table of the control group (in force since its last update), and a request's host and path. Reason:
+//! operators move traffic by replacing a table; which requests a change concerns follows from the table alone.
 //!
 //! Owns the table's types and, in [`Router`], the table prepared for look-ups with the turn of each route. Relies on
 //! [`crate::tenants`] for the tenants of a table.
--- a/crates/bramblewheel-decisions/src/table_lease.rs
+++ b/crates/bramblewheel-decisions/src/table_lease.rs
@@ -1,22 +1,33 @@
-//! How long a daemon may go by the tenants of its route table.
+//! Lease on the table: how long a daemon may go by the tenants of its route table.
 //!
-//! A key that operators took away must not be accepted for long, by any daemon, whether it hears of the
-//! change or not. So a daemon that is told to fail closed uses keys only under a lease: the control
-//! group says which version was the newest at a moment after the daemon asked, confirmed by a quorum,
-//! and the daemon counts from the moment at which it asked. The clock goes on while the process is
-//! paused, so that a daemon that wakes sees its lease as over.
+//! Rule: keys are used only while a quorum of the control group confirmed lately that no table newer than the one in
+//! force was accepted. The lease counts from the moment at which the daemon asked.
+//!
+//! Inputs: the confirmations (the newest version at a moment after the daemon asked, asked for every 250 ms to 1 s
+//! by the size of the fleet); the version in force; the bound of the settings; a clock that goes on while the
+//! process is paused.
+//!
+//! Reason: a key that operators took away must not be accepted for long by any daemon, whether the change reaches it
+//! or not. A daemon that wakes from a pause sees its lease as over.
 //!
 //! Invariant: while the lease is valid, no version newer than the one in force was accepted longer ago
-//! than the lease's length.
+//! than the bound.
+//!
+//! Owns the lease. Relies on the control group for the confirmations and on the caller for time.
+//!
+//! Seen in: metrics `bramblewheel_has_lease` (1 or 0) and `bramblewheel_without_lease` (requests refused); log lines
+//! `lease on table begins`, `lease on table is over`, `lease not renewed` (`reason`, `left_ms`) and `request refused`
+//! (`reason`).
 
 use bramblewheel_protocol::routing::TableVersion;
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
-/// Part of the bound that a lease uses: clocks of two machines run apart by far less than the rest.
+/// Part of the bound that a lease uses, 0 to 1: clocks of two machines run apart by far less than the rest. Chosen,
+/// not measured.
 const USED_PART: f64 = 0.97;
-/// Taken off besides: the time from the look at the lease until the request is on its way.
-const REACTION: Duration = Duration::from_millis(50);
+/// Taken off besides: the time from the check of the lease until the request is on its way. Chosen, not measured.
+const TIME_FROM_CHECK_TO_USE: Duration = Duration::from_millis(50);
 
 /// A confirmation for a version that is not in force here yet.
 #[derive(Clone, Copy, Debug)]
@@ -39,7 +50,11 @@
     /// A lease for deployments in which a key must be out of use `bound` after its end was accepted;
     /// one that never ends where there is no bound.
     pub fn new(bound: Option<Duration>) -> Self {
-        let length = |bound: Duration| bound.mul_f64(USED_PART).saturating_sub(REACTION);
+        let length = |bound: Duration| {
+            bound
+                .mul_f64(USED_PART)
+                .saturating_sub(TIME_FROM_CHECK_TO_USE)
+        };
         Self {
             length: bound.map(length),
             installed: TableVersion::default(),
@@ -53,7 +68,7 @@
         self.length.is_some()
     }
 
-    /// Notes that a quorum confirmed, at some moment after `asked_at`, that `newest` was the newest
+    /// Records that a quorum confirmed, at some moment after `asked_at`, that `newest` was the newest
     /// version.
     pub fn confirm(&mut self, asked_at: Timestamp, newest: TableVersion) {
         if newest <= self.installed {
@@ -68,7 +83,7 @@
         }
     }
 
-    /// Notes which version is in force here from now on.
+    /// Records which version is in force here from now on.
     pub fn install(&mut self, version: TableVersion) {
         self.installed = version;
         if let Some(pending) = self.pending.take_if(|pending| pending.version <= version) {
--- a/crates/bramblewheel-decisions/src/tenant_quota/mod.rs
+++ b/crates/bramblewheel-decisions/src/tenant_quota/mod.rs
@@ -1,21 +1,22 @@
 //! Quotas: whether a tenant's request is admitted here, so that all daemons together keep its quota.
 //!
-//! Rule: from the sums over all daemons every daemon works out the same part of the tenant's requests to admit: what the
-//! sliding window has left, spent over a part of the window. Besides, each daemon holds to the part of the quota that it used when
-//! the sums were made; that bounds what all admit while no sums come, whatever is asked for.
+//! Rule: from the sums over all daemons every daemon works out the same part of the tenant's requests to admit: what
+//! the sliding window has left, spent over a part of the window. Besides, each daemon holds to the part of the quota
+//! that it used when the sums were made; that bounds what all admit while no sums come, whatever is asked for.
 //!
-//! Inputs: requests asked for and admitted here, over the window of the settings; the sums over all daemons (reported to and
-//! received from the control group every 250 ms to 1 s by the size of the fleet; fresh for 600 ms); the tenant's quota (requests a
-//! second and at once); the number of daemons; a number drawn for the request.
+//! Inputs: requests asked for and admitted here, over the window of the settings; the sums over all daemons
+//! (reported to and received from the control group every 250 ms to 1 s by the size of the fleet; fresh for 600 ms);
+//! the tenant's quota (requests a second and at once); the number of daemons; a number drawn for the request.
 //!
-//! Reason: a tenant's requests enter at every daemon, a few at each. No daemon can tell by itself whether the quota is
-//! used up, and even shares would refuse the second of two requests that come together by chance. What was admitted too
-//! much before the sums arrived is paid back within the window.
+//! Reason: a tenant's requests enter at every daemon, a few at each. No daemon can tell by itself whether the quota
+//! is used up, and even shares would refuse the second of two requests that come together by chance. What was
+//! admitted too much before the sums arrived is paid back within the window.
 //!
-//! Owns this daemon's counts and the last sums. Relies on the caller for time and the draw, and on the control group for
-//! the sums.
+//! Owns this daemon's counts and the last sums. Relies on the caller for time and the draw, and on the control group
+//! for the sums.
 //!
-//! Seen in: metric `bramblewheel_over_quota`; log line `over quota` (`rate`, `burst`, `part`, `let_in`, `sums_age_ms`).
+//! Seen in: metric `bramblewheel_over_quota`; log line `over quota` (`rate`, `burst`, `part`, `let_in`,
+//! `sums_age_ms`).
 
 mod settings;
 mod tenant_use;
@@ -146,7 +147,8 @@
         })
     }
 
-    /// What is known of a tenant in the window that ends with the slot `newest`; its rounding is `chance` if it has none yet.
+    /// What is known of a tenant in the window that ends with the slot `newest`; its rounding is `chance` if it has
+    /// none yet.
     fn known_use(&mut self, tenant: u64, newest: u64, chance: f64) -> KnownUse {
         make_space(&mut self.uses, &tenant, MAX_TENANTS);
         let tenant_use = self.uses.entry(tenant).or_default();
--- a/crates/bramblewheel-decisions/src/tenant_quota/tenant_use.rs
+++ b/crates/bramblewheel-decisions/src/tenant_quota/tenant_use.rs
@@ -81,7 +81,8 @@
         }
     }
 
-    /// The use in the window that ends with the slot `newest`: admitted over all of it, asked for in its newest slots.
+    /// The use in the window that ends with the slot `newest`: admitted over all of it, asked for in its newest
+    /// slots.
     pub(super) fn usage(&self, tenant: u64, newest: u64) -> TenantUsage {
         let mut usage = TenantUsage {
             tenant,
--- a/crates/bramblewheel-decisions/src/tenants.rs
+++ b/crates/bramblewheel-decisions/src/tenants.rs
@@ -1,8 +1,17 @@
-//! Tenants: whose keys callers present, how important they are, and how much they may ask for.
+//! Tenants: whose keys callers present, how important their requests are, and how much they may ask for.
 //!
-//! A daemon holds digests of the keys, so that nothing it prints and no image of its memory shows a
-//! key that it did not just receive. A look-up costs one digest and one look into a hash table,
-//! whatever the number of tenants.
+//! Rule: the rank of a tenant comes before that of the route, but the first rank of routes is the most important one
+//! whatever the tenant's. Requests are admitted and limited by class: route and rank of the tenant.
+//!
+//! Inputs: the tenants of the table in force; the digest of a request's key. Reason: tenants of one rank must not
+//! limit those of another, while a look-up costs one digest and one look-up in a hash table, whatever the number
+//! of tenants.
+//!
+//! Owns the tenants of a table, with digests of their keys only, so that nothing that is printed and no image of the
+//! memory shows a key that was not just received. Relies on [`crate::table_lease`] for how long they may be gone by.
+//!
+//! Seen in: metric `bramblewheel_unauthorized`; log line `unauthorized` (`reason`); `tenant`, `rank` and `root_rank`
+//! of `request ended`.
 
 use crate::request_class::RequestClass;
 use crate::stable_hash::stable_hash;
@@ -14,16 +23,21 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Ranks that routes have within one rank of tenants; a higher route rank counts as the last of them.
+/// Ranks that routes have within one rank of tenants; a higher route rank counts as the last of them. Chosen, not
+/// measured.
 const ROUTE_RANKS: u32 = 1_024;
 
-/// Whether a request's route is of the most important rank, whatever its tenant's.
+/// Multiplier that keeps the classes of one route apart: 2^64 by the golden ratio, odd. A property of the number, not
+/// measured.
+const CLASS_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// Whether a request's route is of the most important rank, whatever its tenant's; `rank` is that of the request.
 pub fn is_most_important(rank: u32) -> bool {
     rank.is_multiple_of(ROUTE_RANKS)
 }
 
 /// SHA-256 of a key. Two digests are compared in a time that may depend on where they differ, which
-/// tells nothing of a key: whoever measures it can't choose digests.
+/// shows nothing of a key: whoever measures it can't choose digests.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
@@ -43,9 +57,9 @@
 /// How much a tenant may ask for, over all daemons together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second.
+    /// Requests a second; 0 or more.
     pub rate: f64,
-    /// Requests at once beyond that.
+    /// Requests at once beyond that; 0 or more.
     pub burst: f64,
 }
 
@@ -150,24 +164,23 @@
     pub number: u64,
     /// How much it may ask for; unlimited if none.
     pub quota: Option<Quota>,
-    /// Place of its rank among the ranks of all tenants; 0 is the most important.
-    rank_place: u32,
+    /// Position of its rank among the ranks of all tenants; 0 is the most important.
+    rank_position: u32,
 }
 
 impl ActiveTenant {
     /// Rank of its requests on a route with this rank: that of the tenant comes first.
     pub fn rank_on(&self, route_rank: u32) -> u32 {
         let within = route_rank.min(ROUTE_RANKS - 1);
-        self.rank_place
+        self.rank_position
             .saturating_mul(ROUTE_RANKS)
             .saturating_add(within)
     }
 
-    /// Number that stands for its requests on a route and those of tenants with the same rank; that of
+    /// Class of its requests on a route, shared with tenants of the same rank; its number is that of
     /// the route itself where the rank is the most important one.
     pub fn class_on(&self, route_number: u64) -> RequestClass {
-        const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
-        RequestClass(route_number ^ u64::from(self.rank_place).wrapping_mul(SPREAD))
+        RequestClass(route_number ^ u64::from(self.rank_position).wrapping_mul(CLASS_SPREAD))
     }
 }
 
@@ -182,7 +195,7 @@
     /// Prepares tenants that were checked.
     pub fn new(tenants: Vec<Tenant>) -> Self {
         let ranks: BTreeSet<u32> = tenants.iter().map(|tenant| tenant.rank).collect();
-        let places: HashMap<u32, u32> = ranks.into_iter().zip(0..).collect();
+        let positions: HashMap<u32, u32> = ranks.into_iter().zip(0..).collect();
         let mut directory = Self {
             by_key: HashMap::new(),
             has_tenants: !tenants.is_empty(),
@@ -192,7 +205,7 @@
                 .expect("names consist of visible ASCII");
             let active = Arc::new(ActiveTenant {
                 number: stable_hash(tenant.name.as_str().bytes()),
-                rank_place: places[&tenant.rank],
+                rank_position: positions[&tenant.rank],
                 name: tenant.name,
                 quota: tenant.quota,
                 header,
