--- a/crates/bramblewheel-decisions/src/tenants.rs
+++ b/crates/bramblewheel-decisions/src/tenants/mod.rs
@@ -4,7 +4,7 @@
 //! whatever the tenant's. Requests are admitted and limited by class: route and rank of the tenant.
 //!
 //! Inputs: the tenants of the table in force; the digest of a request's key. Reason: tenants of one rank must not
-//! limit those of another, while a look-up costs one digest and one look-up in a hash table, whatever the number
+//! limit those of another, while finding a key costs one digest and one look-up in a hash table, whatever the number
 //! of tenants.
 //!
 //! Owns the tenants of a table, with digests of their keys only, so that nothing that is printed and no image of the
@@ -13,15 +13,18 @@
 //! Seen in: metric `bramblewheel_unauthorized`; log line `unauthorized` (`reason`); `tenant`, `rank` and `root_rank`
 //! of `request ended`.
 
+mod check;
+
+pub use check::{TenantError, check};
+
 use crate::request_class::RequestClass;
 use crate::stable_hash::stable_hash;
 use bramblewheel_types::TenantName;
 use http::HeaderValue;
 use sha2::{Digest, Sha256};
-use std::collections::{BTreeSet, HashMap, HashSet};
+use std::collections::{BTreeSet, HashMap};
 use std::fmt;
 use std::sync::Arc;
-use thiserror::Error;
 
 /// Ranks that routes have within one rank of tenants; a higher route rank counts as the last of them. Chosen, not
 /// measured.
@@ -76,83 +79,6 @@
     pub quota: Option<Quota>,
 }
 
-/// Tenants can't be put in force. No message shows a key.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum TenantError {
-    /// Two tenants have one name.
-    #[error("tenant {0}: the name stands twice")]
-    SameName(TenantName),
-    /// Two tenants share a key.
-    #[error("tenants {first} and {second} share a key")]
-    SharedKey {
-        /// One of them.
-        first: TenantName,
-        /// The other.
-        second: TenantName,
-    },
-    /// A tenant names a key twice.
-    #[error("tenant {0}: a key stands twice")]
-    RepeatedKey(TenantName),
-    /// A key is empty.
-    #[error("tenant {0}: a key is empty")]
-    EmptyKey(TenantName),
-    /// A rate is below zero or no number.
-    #[error("tenant {0}: the rate is below zero or no number")]
-    BadRate(TenantName),
-    /// A burst is below zero or no number.
-    #[error("tenant {0}: the burst is below zero or no number")]
-    BadBurst(TenantName),
-}
-
-/// Checks what tenants say together.
-///
-/// # Errors
-/// The first [`TenantError`] found.
-pub fn check(tenants: &[Tenant]) -> Result<(), TenantError> {
-    let mut names = HashSet::new();
-    let mut holders: HashMap<KeyDigest, &TenantName> = HashMap::new();
-    let empty = KeyDigest::of(b"");
-    for tenant in tenants {
-        let name = || tenant.name.clone();
-        if !names.insert(&tenant.name) {
-            return Err(TenantError::SameName(name()));
-        }
-        check_quota(tenant)?;
-        for key in &tenant.keys {
-            if *key == empty {
-                return Err(TenantError::EmptyKey(name()));
-            }
-            match holders.insert(*key, &tenant.name) {
-                None => {}
-                Some(first) if *first == tenant.name => {
-                    return Err(TenantError::RepeatedKey(name()));
-                }
-                Some(first) => {
-                    return Err(TenantError::SharedKey {
-                        first: first.clone(),
-                        second: name(),
-                    });
-                }
-            }
-        }
-    }
-    Ok(())
-}
-
-fn check_quota(tenant: &Tenant) -> Result<(), TenantError> {
-    let Some(quota) = tenant.quota else {
-        return Ok(());
-    };
-    let is_amount = |amount: f64| amount.is_finite() && amount >= 0.0;
-    if !is_amount(quota.rate) {
-        return Err(TenantError::BadRate(tenant.name.clone()));
-    }
-    if !is_amount(quota.burst) {
-        return Err(TenantError::BadBurst(tenant.name.clone()));
-    }
-    Ok(())
-}
-
 /// A tenant in force.
 #[derive(Debug)]
 pub struct ActiveTenant {
