--- a/crates/bramblewheel-decisions/src/stop_schedule.rs
+++ b/crates/bramblewheel-decisions/src/stop_schedule.rs
@@ -63,8 +63,8 @@
     pub has_parent: bool,
     /// Whether the local endpoint runs a request that has as much time left, or more.
     pub may_have_parent: bool,
-    /// Whether its class is likely one that only endpoints call; `is_taken_for_call` in the log, too.
-    pub is_taken_for_call: bool,
+    /// Whether its class is likely one that only endpoints call; `is_taken_for_call` in the log.
+    pub is_likely_nested: bool,
 }
 
 /// Why a request is taken while the daemon stops, or that it is not.
@@ -120,7 +120,7 @@
         if request.deadline <= self.answers_by {
             return LateDecision::EndsInTime;
         }
-        let may_be_call = request.may_have_parent && request.is_taken_for_call;
+        let may_be_call = request.may_have_parent && request.is_likely_nested;
         if request.has_parent || may_be_call {
             return LateDecision::OfRequestInProgress;
         }
--- a/crates/bramblewheel-decisions/tests/stop_schedule.rs
+++ b/crates/bramblewheel-decisions/tests/stop_schedule.rs
@@ -13,7 +13,7 @@
         deadline: at(deadline),
         has_parent: false,
         may_have_parent: false,
-        is_taken_for_call: false,
+        is_likely_nested: false,
     }
 }
 
@@ -40,7 +40,7 @@
         for allowed in (100..8_000).step_by(100) {
             let late = request(now + allowed);
             let believed = LateRequest {
-                is_taken_for_call: true,
+                is_likely_nested: true,
                 ..late
             };
             let decisions = [late, believed].map(|late| schedule.decide(at(now), late));
@@ -65,7 +65,7 @@
     };
     let with_less_time = LateRequest {
         has_parent: false,
-        is_taken_for_call: true,
+        is_likely_nested: true,
         ..call
     };
     for late in [call, with_less_time] {
@@ -73,7 +73,7 @@
         assert_eq!(decision, LateDecision::OfRequestInProgress);
     }
     let of_a_caller = LateRequest {
-        is_taken_for_call: false,
+        is_likely_nested: false,
         ..with_less_time
     };
     let decision = schedule.decide(at(4_900), of_a_caller);
--- a/crates/bramblewheel-proxy/src/outbound/stopping.rs
+++ b/crates/bramblewheel-proxy/src/outbound/stopping.rs
@@ -18,7 +18,7 @@
             deadline,
             has_parent: parents.has_one,
             may_have_parent: parents.may_have_one,
-            is_taken_for_call: self.is_likely_nested,
+            is_likely_nested: self.is_likely_nested,
         };
         let decision = schedule.decide(self.shared.clock.now(), request);
         if decision != LateDecision::Early {
