--- /dev/null
+++ b/crates/bramblewheel-decisions/tests/decide/admission.rs
@@ -0,0 +1,83 @@
+//! The queue at an endpoint.
+
+use bramblewheel_decisions::admission::{Admission, AdmissionQueue, Arrival};
+use bramblewheel_types::Timestamp;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
+
+fn arrival(rank: u32, due: u64, until: Timestamp) -> Arrival {
+    Arrival {
+        rank,
+        due: Timestamp::from_millis(due),
+        until,
+    }
+}
+
+#[test]
+fn of_equal_rank_the_one_that_is_due_first_runs_first() {
+    let mut queue = AdmissionQueue::default();
+    queue.set_slots(1);
+    let until = Timestamp::from_millis(1_000);
+    assert_eq!(queue.arrive(arrival(1, 100, until)), Admission::Run);
+    let mut tickets = Vec::new();
+    for (rank, due) in [(1, 300), (1, 120), (0, 900)] {
+        match queue.arrive(arrival(rank, due, until)) {
+            Admission::Wait(place) => tickets.push(place.ticket),
+            other => panic!("waits: {other:?}"),
+        }
+    }
+    for next in [tickets[2], tickets[1], tickets[0]] {
+        assert_eq!(queue.finish(Timestamp::ZERO), vec![next]);
+    }
+}
+
+#[test]
+fn nobody_is_refused_while_a_less_important_request_waits() {
+    let mut random = Pcg64Mcg::seed_from_u64(3);
+    for _ in 0..50 {
+        let mut queue = AdmissionQueue::default();
+        queue.set_slots(4);
+        let mut waiting = BTreeMap::new();
+        let until = Timestamp::from_millis(1_000);
+        for _ in 0..60 {
+            let rank = random.random_range(0..4_u32);
+            match queue.arrive(arrival(rank, 0, until)) {
+                Admission::Run => {}
+                Admission::Wait(place) => {
+                    waiting.insert(place.ticket, rank);
+                }
+                Admission::WaitInsteadOf(place, displaced) => {
+                    let least = waiting.values().max().copied();
+                    let gone = waiting.remove(&displaced);
+                    assert_eq!(gone, least);
+                    assert!(gone > Some(rank));
+                    waiting.insert(place.ticket, rank);
+                }
+                Admission::Refuse => {
+                    assert!(waiting.values().all(|other| *other <= rank));
+                }
+            }
+        }
+        let next = queue.finish(Timestamp::ZERO);
+        let first = waiting.values().min();
+        assert_eq!(next.first().map(|ticket| &waiting[ticket]), first);
+    }
+}
+
+#[test]
+fn a_request_that_ran_out_of_time_while_it_waited_does_not_run() {
+    let mut queue = AdmissionQueue::default();
+    queue.set_slots(1);
+    let soon = Timestamp::from_millis(10);
+    assert_eq!(queue.arrive(arrival(1, 0, soon)), Admission::Run);
+    let Admission::Wait(late) = queue.arrive(arrival(0, 0, soon)) else {
+        panic!("waits");
+    };
+    let later = Timestamp::from_millis(90);
+    let Admission::Wait(early) = queue.arrive(arrival(1, 0, later)) else {
+        panic!("waits");
+    };
+    assert_eq!(queue.finish(Timestamp::from_millis(50)), vec![early.ticket]);
+    assert!(!queue.leave(&late));
+}
