--- a/crates/bramblewheel-decisions/src/tenant_quota/settings.rs
+++ b/crates/bramblewheel-decisions/src/tenant_quota/settings.rs
@@ -14,7 +14,7 @@
 /// that no more is admitted than it has left. A tenant that asks for more without end gets `1 / (1 + SPENDING_PART)`
 /// of what the window holds, which is its rate where the burst is as much as the rate.
 ///
-/// Measured on virtual time (`tests/tenant_quota.rs`, 72 daemons, at most 2,594 requests in 5 s): over 0.2 of the
+/// Measured on virtual time (`tests/tenant_quota`, 72 daemons, at most 2,594 requests in 5 s): over 0.2 of the
 /// window the bound held, but for the leader lost as the tenant turned hot (2,860); within 1 s, with what leaves the
 /// window in that second, 2,723. At 0.16 such a tenant gets 1.03 of its rate (`docs/design/15-tenants.md`).
 const SPENDING_PART: f64 = 0.16;
--- /dev/null
+++ b/crates/bramblewheel-decisions/tests/call_trees/parents.rs
@@ -0,0 +1,40 @@
+//! Which running request a call belongs to.
+
+use crate::at;
+use bramblewheel_decisions::request_class::RequestClass;
+use bramblewheel_decisions::running_requests::{RunningRequest, RunningRequests};
+
+fn of_rank(root_rank: u32) -> RunningRequest {
+    RunningRequest {
+        root_rank,
+        class: RequestClass(1),
+        retried_share: 0.0,
+    }
+}
+
+#[test]
+fn a_call_belongs_to_the_request_whose_time_ends_with_its_own() {
+    let mut running = RunningRequests::default();
+    running.begin(at(800), of_rank(0));
+    running.begin(at(2_000), of_rank(2));
+    running.begin(at(2_010), of_rank(2));
+    assert_eq!(running.root_rank_of(at(798)), Some(0));
+    assert_eq!(running.root_rank_of(at(1_999)), Some(2));
+}
+
+#[test]
+fn a_call_with_less_time_belongs_to_the_most_frequent_of_those_with_more() {
+    let mut running = RunningRequests::default();
+    running.begin(at(800), of_rank(0));
+    let (one, other) = (
+        running.begin(at(2_000), of_rank(2)),
+        running.begin(at(2_010), of_rank(2)),
+    );
+    running.begin(at(3_000), of_rank(1));
+    assert_eq!(running.root_rank_of(at(1_500)), Some(2));
+    assert_eq!(running.root_rank_of(at(2_500)), Some(1));
+    assert_eq!(running.root_rank_of(at(5_000)), None);
+    running.end(one);
+    running.end(other);
+    assert_eq!(running.root_rank_of(at(1_500)), Some(1));
+}
--- a/crates/bramblewheel-decisions/tests/quarantine_fleet.rs
+++ b/crates/bramblewheel-decisions/tests/quarantine_fleet/fleet.rs
@@ -1,5 +1,4 @@
-//! A fleet on virtual time in which a request ends the endpoints that run it: what reaches endpoints after it is
-//! found out, and which other requests are refused. Unsafe variants must be caught.
+//! The fleet on virtual time: daemons, their endpoints, callers and the control group.
 
 use bramblewheel_control::state::{Command, ControlState, LoggedCommand};
 use bramblewheel_decisions::endpoint_crash::UnansweredRequests;
@@ -11,9 +10,6 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const SEEDS: u64 = 100;
-/// Seeds within which an unsafe variant must be caught.
-const SEEDS_TO_CATCH: u64 = 20;
 const STEP_MILLIS: u64 = 5;
 const LENGTH_MILLIS: u64 = 30_000;
 /// From here on the fatal request is sent.
@@ -38,7 +34,7 @@
 
 /// What is kept in mind, and told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Variant {
+pub enum Variant {
     Product,
     /// Nothing is reported.
     NoMemory,
@@ -82,19 +78,19 @@
 }
 
 #[derive(Debug, Default)]
-struct Found {
+pub struct Found {
     /// Times at which endpoints ended under the fatal request.
-    fatal_ends: Vec<u64>,
+    pub fatal_ends: Vec<u64>,
     /// Sends of it that reached an endpoint.
     fatal_sends: Vec<u64>,
     /// Other requests that were lost with endpoints until their callers gave up.
-    given_up: u32,
+    pub given_up: u32,
     /// First and last refusal of each content that ends well.
-    refused: std::collections::BTreeMap<ContentDigest, (u64, u64)>,
+    pub refused: std::collections::BTreeMap<ContentDigest, (u64, u64)>,
 }
 
 impl Found {
-    fn breach(&self) -> Option<String> {
+    pub fn breach(&self) -> Option<String> {
         if let Some(third) = self.fatal_ends.get(2) {
             let limit = third + FOUND_OUT_MILLIS;
             let late = self.fatal_sends.iter().filter(|at| **at > limit).count();
@@ -115,9 +111,9 @@
     }
 }
 
-struct Fleet {
+pub struct Fleet {
     variant: Variant,
-    has_fatal: bool,
+    pub has_fatal: bool,
     random: Pcg64Mcg,
     now: u64,
     daemons: Vec<Daemon>,
@@ -130,7 +126,7 @@
 }
 
 impl Fleet {
-    fn new(variant: Variant, seed: u64) -> Self {
+    pub fn new(variant: Variant, seed: u64) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let daemons = random.random_range(3..18);
         let groups = if variant == Variant::LocalOnly {
@@ -153,7 +149,7 @@
         }
     }
 
-    fn run(mut self) -> Found {
+    pub fn run(mut self) -> Found {
         while self.now < LENGTH_MILLIS {
             self.now += STEP_MILLIS;
             self.deliver();
@@ -386,71 +382,3 @@
         self.end_endpoint(daemon);
     }
 }
-
-fn breaches(variant: Variant, seeds: u64) -> Vec<(u64, String)> {
-    let run = |seed| {
-        let found = Fleet::new(variant, seed).run();
-        found.breach().map(|breach| (seed, breach))
-    };
-    (0..seeds).filter_map(run).collect()
-}
-
-#[test]
-fn what_ends_endpoints_is_found_out_and_nothing_else_is_refused_for_long() {
-    assert_eq!(breaches(Variant::Product, SEEDS), []);
-}
-
-/// Figures of the runs above: endpoints that one such request ended, other contents refused. One in four runs
-/// has no such request: there a content is refused for a moment when several endpoints end at once that never
-/// ran it before, until a daemon that did says so.
-#[test]
-fn a_fatal_request_ends_few_endpoints() {
-    let (mut most, mut refused, mut refused_in_calm) = (0, 0, 0);
-    for seed in 0..SEEDS {
-        let fleet = Fleet::new(Variant::Product, seed);
-        let has_fatal = fleet.has_fatal;
-        let found = fleet.run();
-        most = most.max(found.fatal_ends.len());
-        if has_fatal {
-            refused += found.refused.len();
-        } else {
-            refused_in_calm += found.refused.len();
-        }
-    }
-    println!("at most {most} ends under one request");
-    println!("other contents refused: {refused}, without it {refused_in_calm}");
-    assert!(most <= 16, "{most} ends");
-    assert!(refused <= 4, "{refused} other contents refused");
-    assert!(refused_in_calm <= 1, "{refused_in_calm} refused without it");
-}
-
-/// What sending on a lost request is worth: the ends that it adds, against the requests of others whose callers
-/// give up. Both ways find the fatal request out.
-#[test]
-fn lost_requests_are_sent_on_at_the_cost_of_few_ends() {
-    let figures = |variant| {
-        let runs = (0..SEEDS).map(|seed| Fleet::new(variant, seed).run());
-        let sums = runs.map(|found| (found.fatal_ends.len(), found.given_up));
-        sums.fold((0, 0), |sum, run| (sum.0 + run.0, sum.1 + run.1))
-    };
-    let (ends, given_up) = figures(Variant::Product);
-    let (ends_alone, given_up_alone) = figures(Variant::NeverSentOn);
-    println!(
-        "sent on: {ends} ends, {given_up} others given up; never: {ends_alone} and {given_up_alone}"
-    );
-    assert_eq!(breaches(Variant::NeverSentOn, SEEDS), []);
-    assert!(
-        given_up * 2 < given_up_alone,
-        "{given_up}, {given_up_alone}"
-    );
-    assert!(ends <= ends_alone * 3 / 2, "{ends}, {ends_alone}");
-}
-
-#[test]
-fn unsafe_variants_are_caught() {
-    for variant in [Variant::NoMemory, Variant::LocalOnly, Variant::BlameAll] {
-        let caught = breaches(variant, SEEDS_TO_CATCH);
-        println!("{variant:?}: {} of {SEEDS_TO_CATCH} seeds", caught.len());
-        assert!(!caught.is_empty(), "{variant:?}");
-    }
-}
--- a/crates/bramblewheel-decisions/tests/repeat_bound/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/repeat_bound/fleet.rs
@@ -2,11 +2,11 @@
 
 use crate::judge::Judge;
 use crate::shape::{Calls, SECONDS, Shape, TERMS};
+use crate::tree::{AttemptEnd, Call, CallId, Event, Run, RunId, class_of};
 use crate::way::Way;
-use bramblewheel_decisions::request_class::RequestClass;
 use bramblewheel_decisions::retry_bound::{RetryBound, RetryDecision, RetryReason};
 use bramblewheel_decisions::retry_budget::FirstSend;
-use bramblewheel_decisions::running_requests::{RunningId, RunningRequest, RunningRequests};
+use bramblewheel_decisions::running_requests::{RunningRequest, RunningRequests};
 use bramblewheel_types::{ServiceName, Timestamp};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -22,57 +22,6 @@
 /// Time of a hop between daemons, in milliseconds.
 const HOP_MILLIS: u64 = 1;
 
-type CallId = usize;
-type RunId = usize;
-
-/// One request of a caller or of a run.
-#[derive(Clone, Debug)]
-struct Call {
-    service: usize,
-    /// Daemon that it was made at.
-    daemon: usize,
-    parent: Option<RunId>,
-    makes_calls: bool,
-    deadline: u64,
-    arrivals: u32,
-    /// Whether it is made by a run that is itself a repeat, or by one below such a run.
-    is_below_repeat: bool,
-    /// Part to which its daemon takes it for one that a repeated run makes.
-    retried_share: f64,
-}
-
-/// One run of a request at an endpoint.
-#[derive(Clone, Debug)]
-struct Run {
-    call: CallId,
-    /// Daemon beside the endpoint.
-    daemon: usize,
-    /// Life of the daemon in which it began.
-    life: u32,
-    is_repeat: bool,
-    running: RunningId,
-    calls_made: u32,
-    calls_open: u32,
-    has_failed: bool,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Event {
-    RootArrives(usize),
-    Sent(CallId),
-    Refused(CallId),
-    WorkDone(RunId),
-    Restart,
-}
-
-/// How a send ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AttemptEnd {
-    Rejected,
-    Lost,
-    Failed,
-}
-
 struct Daemon {
     bound: RetryBound,
     running: RunningRequests,
@@ -439,11 +388,6 @@
     }
 }
 
-/// Stands for the requests of a service that make calls, or for those that make none.
-fn class_of(service: usize, makes_calls: bool) -> RequestClass {
-    RequestClass(service as u64 * 2 + u64::from(makes_calls))
-}
-
 fn bound(daemons: usize, now: Timestamp) -> RetryBound {
     let mut bound = RetryBound::new(TERMS, now);
     bound.share_among(u32::try_from(daemons).expect("few"));
--- a/crates/bramblewheel-decisions/tests/repeat_bound/main.rs
+++ b/crates/bramblewheel-decisions/tests/repeat_bound/main.rs
@@ -15,6 +15,7 @@
 mod fleet;
 mod judge;
 mod shape;
+mod tree;
 mod way;
 
 use fleet::Fleet;
--- /dev/null
+++ b/crates/bramblewheel-decisions/tests/repeat_bound/tree.rs
@@ -0,0 +1,60 @@
+//! Calls and runs of a tree, and what happens to them.
+
+use bramblewheel_decisions::request_class::RequestClass;
+use bramblewheel_decisions::running_requests::RunningId;
+
+pub type CallId = usize;
+pub type RunId = usize;
+
+/// One request of a caller or of a run.
+#[derive(Clone, Debug)]
+pub struct Call {
+    pub service: usize,
+    /// Daemon that it was made at.
+    pub daemon: usize,
+    pub parent: Option<RunId>,
+    pub makes_calls: bool,
+    pub deadline: u64,
+    pub arrivals: u32,
+    /// Whether it is made by a run that is itself a repeat, or by one below such a run.
+    pub is_below_repeat: bool,
+    /// Part to which its daemon takes it for one that a repeated run makes.
+    pub retried_share: f64,
+}
+
+/// One run of a request at an endpoint.
+#[derive(Clone, Debug)]
+pub struct Run {
+    pub call: CallId,
+    /// Daemon beside the endpoint.
+    pub daemon: usize,
+    /// Life of the daemon in which it began.
+    pub life: u32,
+    pub is_repeat: bool,
+    pub running: RunningId,
+    pub calls_made: u32,
+    pub calls_open: u32,
+    pub has_failed: bool,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Event {
+    RootArrives(usize),
+    Sent(CallId),
+    Refused(CallId),
+    WorkDone(RunId),
+    Restart,
+}
+
+/// How a send ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptEnd {
+    Rejected,
+    Lost,
+    Failed,
+}
+
+/// Stands for the requests of a service that make calls, or for those that make none.
+pub fn class_of(service: usize, makes_calls: bool) -> RequestClass {
+    RequestClass(service as u64 * 2 + u64::from(makes_calls))
+}
