--- a/crates/bramblewheel-decisions/tests/call_trees/narrow_service.rs
+++ b/crates/bramblewheel-decisions/tests/call_trees/narrow_service.rs
@@ -6,7 +6,7 @@
 
 const SEEDS: std::ops::Range<u64> = 0..12;
 
-/// Two kinds of trees whose calls meet in one service that has room for about half of them; the more
+/// Two kinds of trees whose calls meet in one service that has capacity for about half of them; the more
 /// urgent ones alone need less than it has.
 fn drawn_kinds(seed: u64) -> Vec<Kind> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
--- a/crates/bramblewheel-decisions/tests/call_trees/scene.rs
+++ b/crates/bramblewheel-decisions/tests/call_trees/scene.rs
@@ -15,7 +15,7 @@
 pub enum Policy {
     /// All calls are alike, and trees are begun whatever comes of them.
     CallsAlone,
-    /// Calls have the rank of their tree; trees that would fail below are refused early.
+    /// Calls have the rank of their tree; trees that would fail downstream are refused early.
     WholeTrees,
 }
 
@@ -183,9 +183,9 @@
         };
         match self.queues[endpoint].arrive(arrival) {
             Admission::Run => self.plan(micros + WORK_MICROS, Next::Ends(id, endpoint)),
-            Admission::Wait(place) => self.wait(until, id, endpoint, place.ticket),
-            Admission::WaitInsteadOf(place, displaced) => {
-                self.wait(until, id, endpoint, place.ticket);
+            Admission::Wait(position) => self.wait(until, id, endpoint, position.ticket),
+            Admission::WaitInsteadOf(position, displaced) => {
+                self.wait(until, id, endpoint, position.ticket);
                 if let Some((other, _)) = self.waiting.remove(&(endpoint, displaced)) {
                     self.fail(micros, other);
                 }
--- a/crates/bramblewheel-decisions/tests/decide/admission.rs
+++ b/crates/bramblewheel-decisions/tests/decide/admission.rs
@@ -23,7 +23,7 @@
     let mut tickets = Vec::new();
     for (rank, due) in [(1, 300), (1, 120), (0, 900)] {
         match queue.arrive(arrival(rank, due, until)) {
-            Admission::Wait(place) => tickets.push(place.ticket),
+            Admission::Wait(position) => tickets.push(position.ticket),
             other => panic!("waits: {other:?}"),
         }
     }
@@ -44,15 +44,15 @@
             let rank = random.random_range(0..4_u32);
             match queue.arrive(arrival(rank, 0, until)) {
                 Admission::Run => {}
-                Admission::Wait(place) => {
-                    waiting.insert(place.ticket, rank);
+                Admission::Wait(position) => {
+                    waiting.insert(position.ticket, rank);
                 }
-                Admission::WaitInsteadOf(place, displaced) => {
+                Admission::WaitInsteadOf(position, displaced) => {
                     let least = waiting.values().max().copied();
                     let gone = waiting.remove(&displaced);
                     assert_eq!(gone, least);
                     assert!(gone > Some(rank));
-                    waiting.insert(place.ticket, rank);
+                    waiting.insert(position.ticket, rank);
                 }
                 Admission::Refuse => {
                     assert!(waiting.values().all(|other| *other <= rank));
--- a/crates/bramblewheel-decisions/tests/decide/choice.rs
+++ b/crates/bramblewheel-decisions/tests/decide/choice.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn news(name: &str, zone: &str, state: EndpointState) -> EndpointUpdate {
+fn update(name: &str, zone: &str, state: EndpointState) -> EndpointUpdate {
     let record = EndpointRecord {
         endpoint: EndpointId::new(name).expect("a name"),
         service: service("kassa"),
@@ -32,7 +32,7 @@
     let daemon = DaemonId::new("caller").expect("a name");
     let mut directory = Directory::new(ZoneName::new("north").expect("a name"), daemon);
     for (name, zone) in endpoints {
-        directory.apply(Timestamp::ZERO, &news(name, zone, EndpointState::Ready));
+        directory.apply(Timestamp::ZERO, &update(name, zone, EndpointState::Ready));
     }
     directory
 }
@@ -76,7 +76,7 @@
     assert_eq!(choose(&mut directory, 5_000), "near");
     directory.apply(
         Timestamp::ZERO,
-        &news("near", "north", EndpointState::Draining),
+        &update("near", "north", EndpointState::Draining),
     );
     assert_eq!(choose(&mut directory, 5_001), "far");
     // The only one that is left is tried even if it could not be reached a moment ago.
@@ -104,7 +104,7 @@
     };
     let near = EndpointId::new("near").expect("a name");
     let change = |directory: &mut Directory, name: &str, zone: &str, state: EndpointState| {
-        directory.apply(Timestamp::ZERO, &news(name, zone, state));
+        directory.apply(Timestamp::ZERO, &update(name, zone, state));
     };
     change(&mut directory, "near", "north", EndpointState::Silent);
     assert_eq!(choose(&mut directory, &[]).as_deref(), Some("far"));
--- a/crates/bramblewheel-decisions/tests/decide/class_limit.rs
+++ b/crates/bramblewheel-decisions/tests/decide/class_limit.rs
@@ -45,7 +45,7 @@
     assert!(small.begin(false) && !small.begin(false) && small.begin(true));
 }
 
-/// Refusing at the top spares the calls below: the more of them fail, the sooner.
+/// Refusing at the top spares the calls downstream: the more of them fail, the sooner.
 #[test]
 fn the_limit_falls_by_the_part_that_fails() {
     let objective = Duration::from_millis(1_500);
--- a/crates/bramblewheel-decisions/tests/decide/retry_budget.rs
+++ b/crates/bramblewheel-decisions/tests/decide/retry_budget.rs
@@ -40,7 +40,7 @@
                 budgets[daemon].record_first(now, &kassa, FROM_OUTSIDE);
                 firsts.push(step);
             }
-            // Everything fails: each daemon would repeat as often as it may.
+            // Everything fails: each daemon would retry as often as it may.
             if budgets[daemon].withdraw(now, &kassa, 1.0) {
                 retries.push(step);
             }
--- a/crates/bramblewheel-decisions/tests/early_refusal.rs
+++ b/crates/bramblewheel-decisions/tests/early_refusal.rs
@@ -182,7 +182,7 @@
     assert_eq!(early.refused_part(at(0), OTHER_CLASS), 0.0);
 }
 
-/// Where a few endpoints refuse and others have room, all requests are sent.
+/// Where a few endpoints refuse and others have free slots, all requests are sent.
 #[test]
 fn refusals_of_a_few_endpoints_refuse_nothing_early() {
     let mut early = EarlyRefusal::default();
@@ -207,7 +207,7 @@
     assert_eq!(changes, [CapacityChange::Scarce, CapacityChange::Back]);
 }
 
-/// A tenth of the requests without room changes nothing where nothing has run for them, and refuses
+/// A tenth of the requests without capacity changes nothing where nothing has run for them, and refuses
 /// some early where each of them was begun.
 #[test]
 fn work_that_is_lost_below_counts_more_than_refusals() {
@@ -238,7 +238,7 @@
 const OTHER_TREES: RequestClass = RequestClass(3);
 const ELSEWHERE: RequestClass = RequestClass(4);
 
-/// What is refused for others on each route after a second in which urgent trees fail for want of room.
+/// What is refused for others on each route after a second in which urgent trees fail for want of capacity.
 fn refused_for_urgent() -> [f64; 4] {
     let mut early = EarlyRefusal::default();
     let name = |service: &str| ServiceName::new(service).expect("a name");
@@ -250,12 +250,16 @@
     ];
     for step in 0..50 {
         let now = Timestamp::from_millis(step * 20);
-        let below = CapacityFound::NoneDownstream(name("deep"));
-        early.record(now, URGENT_TREES, below.clone());
+        let downstream = CapacityFound::NoneDownstream(name("deep"));
+        early.record(now, URGENT_TREES, downstream.clone());
         // Single ones of the others met the shortage once.
         let met = step == 0;
         early.record(now, DIRECT, none_there_if(met));
-        let other = if met { below } else { CapacityFound::Enough };
+        let other = if met {
+            downstream
+        } else {
+            CapacityFound::Enough
+        };
         early.record(now, OTHER_TREES, other);
         early.record(now, ELSEWHERE, none_there_if(met));
         for (class, rank, target) in described {
--- a/crates/bramblewheel-decisions/tests/failures.rs
+++ b/crates/bramblewheel-decisions/tests/failures.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// A repeat of a request that was run makes its calls again, so that less may be repeated.
+/// A retry of a request that was run makes its calls again, so that less may be retried.
 #[test]
 fn repeats_of_failed_requests_leave_room_for_others() {
     let terms = RetryBoundSettings {
--- a/crates/bramblewheel-decisions/tests/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/fleet.rs
@@ -30,7 +30,7 @@
     ZoneName::new(&format!("zone-{}", number % ZONES)).expect("a name")
 }
 
-fn news(number: usize) -> EndpointUpdate {
+fn update(number: usize) -> EndpointUpdate {
     let name = format!("e-{number}");
     let record = EndpointRecord {
         endpoint: EndpointId::new(&name).expect("a name"),
@@ -62,7 +62,7 @@
     running: u32,
     waiting: VecDeque<Sent>,
     arrivals: u32,
-    /// Slots in use, summed over the looks in the measured time.
+    /// Slots in use, summed over the samples in the measured time.
     used: u64,
 }
 
@@ -98,7 +98,7 @@
             let name = DaemonId::new(&format!("d-{number}")).expect("a name");
             let mut directory = Directory::new(zone(number), name);
             for endpoint in 0..ENDPOINTS {
-                directory.apply(Timestamp::ZERO, &news(endpoint));
+                directory.apply(Timestamp::ZERO, &update(endpoint));
             }
             directories.push(directory);
         }
@@ -170,10 +170,10 @@
 
     fn join(&mut self, at: u64) {
         let now = Timestamp::from_millis(at / 1_000);
-        let news = news(self.endpoints.len());
+        let update = update(self.endpoints.len());
         self.endpoints.push(Endpoint::default());
         for directory in &mut self.directories {
-            directory.apply(now, &news);
+            directory.apply(now, &update);
         }
     }
 
--- a/crates/bramblewheel-decisions/tests/quarantine_fleet/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/quarantine_fleet/fleet.rs
@@ -32,7 +32,7 @@
 /// Contents that one caller asks for.
 const FIRST_RARE: u64 = 1_000;
 
-/// What is kept in mind, and told.
+/// What is remembered and reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
     Product,
--- a/crates/bramblewheel-decisions/tests/repeat_bound/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/repeat_bound/fleet.rs
@@ -25,7 +25,7 @@
 struct Daemon {
     bound: RetryBound,
     running: RunningRequests,
-    life: u32,
+    incarnation: u32,
 }
 
 /// A fleet that plays a shape.
@@ -68,7 +68,7 @@
         let daemons = (0..count).map(|_| Daemon {
             bound: bound(count, Timestamp::ZERO),
             running: RunningRequests::default(),
-            life: 0,
+            incarnation: 0,
         });
         Self {
             judge: Judge::new(shape.services.len()),
@@ -129,7 +129,7 @@
             makes_calls: self.random.random_bool(calling_part),
             deadline: now + CALLER_PATIENCE,
             arrivals: 0,
-            is_below_repeat: false,
+            is_downstream_of_retry: false,
             retried_share: 0.0,
         };
         self.begin_call(now, call);
@@ -139,16 +139,16 @@
     fn entry(&mut self) -> usize {
         let count = self.daemons.len();
         let drawn: f64 = self.random.random_range(0.0..1.0);
-        let place = if self.shape.is_skewed {
+        let position = if self.shape.is_skewed {
             drawn.powi(3)
         } else {
             drawn
         };
-        ((place * count as f64) as usize).min(count - 1)
+        ((position * count as f64) as usize).min(count - 1)
     }
 
     fn begin_call(&mut self, now: u64, call: Call) {
-        if !call.is_below_repeat {
+        if !call.is_downstream_of_retry {
             self.judge.request(now, call.service);
         }
         if call.parent.is_none() {
@@ -186,14 +186,14 @@
         let Call {
             service,
             arrivals,
-            is_below_repeat,
+            is_downstream_of_retry,
             deadline,
             makes_calls,
             retried_share,
             ..
         } = self.calls[id];
-        let is_repeat = arrivals > 0 || is_below_repeat;
-        if is_repeat {
+        let is_retry = arrivals > 0 || is_downstream_of_retry;
+        if is_retry {
             self.judge.extra_arrival(now, service);
         }
         self.calls[id].arrivals += 1;
@@ -202,7 +202,7 @@
         let fault = self.shape.services[service].fault.contains(&now);
         let rejected = self.shape.services[service].rejected;
         if fault && self.random.random_bool(rejected) {
-            self.tell(now, daemon, id);
+            self.report(now, daemon, id);
             return self.ended_without_success(now + HOP_MILLIS, id, AttemptEnd::Rejected);
         }
         let request = RunningRequest {
@@ -214,8 +214,8 @@
         self.runs.push(Run {
             call: id,
             daemon,
-            life: beside.life,
-            is_repeat,
+            incarnation: beside.incarnation,
+            is_retry,
             running: beside.running.begin(at(deadline), request),
             calls_made: 0,
             calls_open: 0,
@@ -227,17 +227,17 @@
         self.plan(now + HOP_MILLIS + work, Event::WorkDone(run));
     }
 
-    /// The daemon beside an endpoint tells the caller's one what is used of the bound below.
-    fn tell(&mut self, now: u64, teller: usize, id: CallId) {
-        if !self.way.tells() {
+    /// The daemon beside an endpoint reports to the caller's one what is used of the bound downstream.
+    fn report(&mut self, now: u64, reporter: usize, id: CallId) {
+        if !self.way.reports() {
             return;
         }
-        let used = self.daemons[teller].bound.used_by_calls(at(now));
+        let used = self.daemons[reporter].bound.used_by_calls(at(now));
         let call = &self.calls[id];
         let class = class_of(call.service, call.makes_calls);
         let is_likely_nested = call.parent.is_some();
-        let told = &mut self.daemons[call.daemon].bound;
-        told.note_used_downstream(at(now), class, is_likely_nested, used);
+        let caller = &mut self.daemons[call.daemon].bound;
+        caller.note_used_downstream(at(now), class, is_likely_nested, used);
     }
 
     /// The calls of a run, if its service makes some for such requests.
@@ -291,7 +291,7 @@
             makes_calls: true,
             deadline: limit.map_or(left, |limit| left.min(now + limit)),
             arrivals: 0,
-            is_below_repeat: parent.is_repeat,
+            is_downstream_of_retry: parent.is_retry,
             retried_share: 0.0,
         }
     }
@@ -301,15 +301,15 @@
         let Run {
             call,
             daemon,
-            life,
+            incarnation,
             has_failed,
             running,
             ..
         } = self.runs[run];
-        let is_same_life = self.daemons[daemon].life == life;
-        if is_same_life {
+        let is_same_incarnation = self.daemons[daemon].incarnation == incarnation;
+        if is_same_incarnation {
             self.daemons[daemon].running.end(running);
-            self.tell(now, daemon, call);
+            self.report(now, daemon, call);
         }
         let service = &self.shape.services[self.calls[call].service];
         let lost = if service.fault.contains(&now) {
@@ -317,7 +317,7 @@
         } else {
             0.0
         };
-        let is_lost = self.random.random_bool(lost) || !is_same_life;
+        let is_lost = self.random.random_bool(lost) || !is_same_incarnation;
         if is_lost {
             self.ended_without_success(now, call, AttemptEnd::Lost);
         } else if has_failed {
@@ -328,14 +328,14 @@
     }
 
     fn ended_without_success(&mut self, now: u64, id: CallId, end: AttemptEnd) {
-        if self.is_sent_again(now, id, end) {
+        if self.is_retried(now, id, end) {
             self.plan(now, Event::Sent(id));
         } else {
             self.call_ended(now, id, false);
         }
     }
 
-    fn is_sent_again(&mut self, now: u64, id: CallId, end: AttemptEnd) -> bool {
+    fn is_retried(&mut self, now: u64, id: CallId, end: AttemptEnd) -> bool {
         let call = &self.calls[id];
         let is_likely_nested = call.parent.is_some();
         let may_run_again = self.shape.services[call.service].is_repeatable;
@@ -382,7 +382,7 @@
     fn restart(&mut self, now: u64) {
         let count = self.daemons.len();
         let daemon = &mut self.daemons[self.random.random_range(0..count)];
-        daemon.life += 1;
+        daemon.incarnation += 1;
         daemon.bound = bound(count, at(now));
         daemon.running = RunningRequests::default();
     }
--- a/crates/bramblewheel-decisions/tests/repeat_bound/judge.rs
+++ b/crates/bramblewheel-decisions/tests/repeat_bound/judge.rs
@@ -3,7 +3,7 @@
 use crate::shape::{SECONDS, TERMS};
 use std::fmt;
 
-/// Time between two windows that are looked at, in milliseconds.
+/// Time between two windows that are checked, in milliseconds.
 const STEP_MILLIS: u64 = 100;
 
 /// Arrivals beyond the first of their request, against what is allowed, in one window of one service.
@@ -54,7 +54,7 @@
 struct Counted {
     /// Times of requests that callers and first runs made.
     requests: Vec<u64>,
-    /// Times of arrivals beyond the first of their request, or of calls of repeated runs.
+    /// Times of arrivals beyond the first of their request, or of calls of retried runs.
     extra: Vec<u64>,
 }
 
--- a/crates/bramblewheel-decisions/tests/repeat_bound/main.rs
+++ b/crates/bramblewheel-decisions/tests/repeat_bound/main.rs
@@ -1,16 +1,17 @@
-//! The bound on repeated sends over whole call trees, on virtual time.
+//! The bound on retries over whole call trees, on virtual time.
 //!
-//! What users saw: a service that all trees meet in got 11% more arrivals beyond the first of their request than the bound
-//! allows, while its endpoints rejected a part of what they got and callers came in numbers.
+//! What users saw: a service that all trees meet in got 11% more arrivals beyond the first of their request than the
+//! bound allows, while its endpoints rejected a part of what they got and callers came in numbers.
 //!
-//! The order of events: requests are sent again at the services above, after rejections and lost answers. Each of these
-//! runs makes its calls again, up to four in a row. The daemon beside the endpoint that makes them took them for first
-//! sends, which even earned further repeats, so that each service kept to its own part and the one below all of them got the sum.
+//! The order of events: requests are retried at the services upstream, after rejections and lost answers. Each of
+//! these runs makes its calls again, up to four in a row. The daemon beside the endpoint that makes them took them
+//! for first sends, which even earned further retries, so that each service kept to its own part and the one
+//! downstream of all got the sum.
 //!
 //! The evidence: with rejections at the upper services only, the lowest one got 1,224 arrivals beyond the first for
-//! 5,005 requests in 10 s, of 1,058 allowed, although nothing at all was sent to it again. With rejections there
-//! and lost answers above, its callers' daemons counted some 1,200 repeats of their own, within their part, of 2,518 in all;
-//! the 513 runs that were repeated above account for the rest.
+//! 5,005 requests in 10 s, of 1,058 allowed, although nothing at all was sent to it again. With rejections there and
+//! lost answers above, its callers' daemons counted some 1,200 retries of their own, within their part, of 2,518 in
+//! all; the 513 runs that were retried upstream account for the rest.
 
 mod fleet;
 mod judge;
@@ -156,7 +157,7 @@
         println!("{way:?}: {summary}");
         summary
     };
-    summary(Way::NothingTold);
+    summary(Way::NothingReported);
     summary(Way::NothingRefused);
     let only_counted = summary(Way::OnlyCounted);
     assert!(
--- a/crates/bramblewheel-decisions/tests/repeat_bound/tree.rs
+++ b/crates/bramblewheel-decisions/tests/repeat_bound/tree.rs
@@ -16,9 +16,9 @@
     pub makes_calls: bool,
     pub deadline: u64,
     pub arrivals: u32,
-    /// Whether it is made by a run that is itself a repeat, or by one below such a run.
-    pub is_below_repeat: bool,
-    /// Part to which its daemon takes it for one that a repeated run makes.
+    /// Whether it is made by a run that is itself a retry, or by one downstream of such a run.
+    pub is_downstream_of_retry: bool,
+    /// Retried share that its daemon takes it to have.
     pub retried_share: f64,
 }
 
@@ -28,9 +28,9 @@
     pub call: CallId,
     /// Daemon beside the endpoint.
     pub daemon: usize,
-    /// Life of the daemon in which it began.
-    pub life: u32,
-    pub is_repeat: bool,
+    /// Incarnation of the daemon in which it began.
+    pub incarnation: u32,
+    pub is_retry: bool,
     pub running: RunningId,
     pub calls_made: u32,
     pub calls_open: u32,
--- a/crates/bramblewheel-decisions/tests/tenant_quota/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/tenant_quota/fleet.rs
@@ -22,8 +22,8 @@
 const REPORT_MILLIS: u64 = 250;
 /// From a report to the arrival of its answer.
 const ANSWER_MILLIS: u64 = 60;
-/// Between two words of a replica to the others, in steps of the time here.
-const TELL_MILLIS: u64 = 80;
+/// Between two reports of a replica to the others, in steps of the time here.
+const EXCHANGE_MILLIS: u64 = 80;
 /// Wait for a replica that does not answer.
 const TIMEOUT_MILLIS: u64 = 500;
 pub const REPLICAS: usize = 3;
@@ -89,12 +89,12 @@
 pub struct Outcome {
     pub asked: usize,
     pub refused: usize,
-    /// When requests were let in, in milliseconds.
+    /// When requests were admitted, in milliseconds.
     pub admitted: Vec<u64>,
 }
 
 impl Outcome {
-    /// Most requests let in within any window.
+    /// Most requests admitted within any window.
     pub fn most_in_window(&self) -> usize {
         let mut first = 0;
         let mut most = 0;
@@ -149,7 +149,7 @@
         }
     }
 
-    fn tell_each_other(&mut self, now: Timestamp, is_lost: impl Fn(usize) -> bool) {
+    fn exchange_sums(&mut self, now: Timestamp, is_lost: impl Fn(usize) -> bool) {
         for from in (0..REPLICAS).filter(|replica| !is_lost(*replica)) {
             let Some(sums) = self.usage[from].sums_to_tell(now) else {
                 continue;
@@ -209,8 +209,8 @@
         if now == scene.lost_millis.end {
             replicas.restart(scene.lost_replicas);
         }
-        if now % TELL_MILLIS == 0 {
-            replicas.tell_each_other(at, is_lost);
+        if now % EXCHANGE_MILLIS == 0 {
+            replicas.exchange_sums(at, is_lost);
         }
         let (arrived, waiting): (Vec<_>, Vec<_>) =
             answers.into_iter().partition(|answer| answer.due <= now);
--- a/crates/bramblewheel-decisions/tests/tenant_quota/main.rs
+++ b/crates/bramblewheel-decisions/tests/tenant_quota/main.rs
@@ -1,4 +1,4 @@
-//! Quotas over all daemons, on virtual time: daemons that report to replicas and are told the sums.
+//! Quotas over all daemons, on virtual time: daemons that report to replicas and receive the sums.
 
 mod fleet;
 mod single;
@@ -139,7 +139,7 @@
     }
 }
 
-/// Daemons that never hear of each other let in far too much: the sums are what holds the bound.
+/// Daemons that know nothing of each other admit far too much: the sums are what holds the bound.
 #[test]
 fn without_sums_the_bound_breaks() {
     let scene = Scene {
--- a/crates/bramblewheel-decisions/tests/tenant_quota/single.rs
+++ b/crates/bramblewheel-decisions/tests/tenant_quota/single.rs
@@ -5,7 +5,7 @@
 use bramblewheel_decisions::tenants::Quota;
 use bramblewheel_types::Timestamp;
 
-/// Only what runs uses up a quota: a request that was refused after it was let in leaves its part to the
+/// Only what runs uses up a quota: a request that was refused after it was admitted leaves its part to the
 /// next one.
 #[test]
 fn what_has_not_run_is_taken_back() {
@@ -15,24 +15,24 @@
         burst: 0.0,
     };
     let mut quotas = TenantQuotas::new(TERMS);
-    let mut let_in_for_good = 0;
+    let mut admitted_for_good = 0;
     for number in 0..40 {
         let QuotaDecision::Admitted(admitted) = quotas.decide(now, TENANT, quota, 0.5) else {
             panic!("request {number} is refused although few have run");
         };
         if number % 10 == 0 {
-            let_in_for_good += 1;
+            admitted_for_good += 1;
         } else {
             quotas.refund(admitted);
         }
         let own = quotas.usage(now);
-        assert_eq!(own[0].admitted, let_in_for_good);
-        assert_eq!(own[0].asked, let_in_for_good);
+        assert_eq!(own[0].admitted, admitted_for_good);
+        assert_eq!(own[0].asked, admitted_for_good);
         quotas.take_sums(now, &own, &own);
     }
 }
 
-/// Requests begin while no replica can be asked: an even part of the quota is let in at each daemon.
+/// Requests begin while no replica can be asked: an even part of the quota is admitted at each daemon.
 #[test]
 fn requests_that_begin_without_any_sums_get_an_even_part() {
     let now = Timestamp::from_millis(10_000);
--- a/crates/bramblewheel-decisions/tests/tenants.rs
+++ b/crates/bramblewheel-decisions/tests/tenants.rs
@@ -88,7 +88,7 @@
     assert!(!TenantDirectory::default().has_tenants());
 }
 
-/// A tenant without any key left is one all the same: its former callers are not let in.
+/// A tenant without any key left is one all the same: its former callers are not admitted.
 #[test]
 fn a_directory_whose_last_key_was_taken_away_still_asks_for_keys() {
     let directory = TenantDirectory::new(vec![tenant("stall", &[])]);
