--- /dev/null
+++ b/crates/bramblewheel-decisions/src/table/mod.rs
@@ -0,0 +1,83 @@
+//! Route tables: which service a request goes to, and with which limits.
+//!
+//! Rule: of the routes of the request's host, the one with the longest prefix of its path is taken; its services
+//! share the requests by weight. A table is put in force whole, after [`RouteTable::check`] found nothing.
+//!
+//! Inputs: the table of the control group (in force since its last update), and a request's host and path. Reason:
+//! operators move traffic by replacing a table; which requests a change concerns follows from the table alone.
+//!
+//! Owns the table's types and, in [`Router`], the table prepared for look-ups with the turn of each route. Relies on
+//! [`crate::tenants`] for the tenants of a table.
+//!
+//! Seen in: metric `bramblewheel_table_version`; log lines `route table in force` (`routes`, `tenants`) and
+//! `no route` (`host`, `path`); `route` and `table` in the lines of a request.
+
+mod check;
+mod router;
+
+pub use check::TableError;
+pub use router::{ActiveRoute, Router, normal_host};
+
+use crate::tenants::Tenant;
+use bramblewheel_protocol::routing::TableVersion;
+use bramblewheel_types::ServiceName;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// One version of the routes, as operators state it.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RouteTable {
+    /// Version of the table.
+    pub version: TableVersion,
+    /// Routes, in any order.
+    pub routes: Vec<Route>,
+    /// Services that routes may name.
+    pub services: BTreeMap<ServiceName, ServiceSettings>,
+    /// How long a caller's connection may rest between two requests, if stated.
+    pub caller_rest: Option<Duration>,
+    /// Longest body of a request in bytes, if stated.
+    pub longest_body: Option<usize>,
+    /// Tenants; requests need no key where there are none.
+    pub tenants: Vec<Tenant>,
+}
+
+/// Settings of a service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ServiceSettings {
+    /// Connections that one endpoint takes, from all together.
+    pub max_connections: u32,
+}
+
+/// Settings of the requests to one host whose path begins with one prefix.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Route {
+    /// Name of the route.
+    pub name: String,
+    /// Host, in lower case, without a port.
+    pub host: String,
+    /// Beginning of the path; starts and ends with a slash.
+    pub prefix: String,
+    /// Services that share the requests.
+    pub targets: Vec<Target>,
+    /// Whether a request may be run more than once.
+    pub is_repeatable: bool,
+    /// Longest time from the first byte to the answer.
+    pub timeout: Duration,
+    /// Time within which an answer is of full use.
+    pub objective: Duration,
+    /// Endpoints that may be sent one request.
+    pub max_attempts: u32,
+    /// Importance; 0 is the most important.
+    pub rank: u32,
+    /// Whether requests need no key.
+    pub is_public: bool,
+}
+
+/// One of the services that share the requests of a route.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Target {
+    /// The service.
+    pub service: ServiceName,
+    /// Its share, relative to the other targets'; 0 or more.
+    pub weight: f64,
+}
