--- a/crates/bramblewheel-decisions/src/admission.rs
+++ b/crates/bramblewheel-decisions/src/admission.rs
@@ -22,13 +22,13 @@
 
 /// Part of an endpoint's slots that is used, 0 to 1: some endpoints slow down when nearly full. Chosen, not measured.
 const USED_SLOTS: f64 = 0.94;
-/// Requests that may wait for each slot that is used. Measured, mean worth of 15 whole days (`docs/NEW-CUSTOMER.md`,
+/// Requests that may wait for each slot that is used. Measured, mean worth of 15 whole days (`docs/design/19-narrow-services.md`,
 /// round 9): 0.505 with 4, 0.489 with 1.5.
 const WAITING_PER_SLOT: f64 = 4.0;
 /// Requests that may wait at an endpoint of a single slot, at least. Chosen, not measured.
 const LEAST_WAITING: usize = 2;
 /// Part of the objective, 0 to 1, that a request may wait unserved. Measured, mean worth of 15 whole days
-/// (`docs/NEW-CUSTOMER.md`, round 10): 0.505 with 0.6, 0.494 with 0.3.
+/// (`docs/design/19-narrow-services.md`, round 10): 0.505 with 0.6, 0.494 with 0.3.
 const WAITING_PART_OF_OBJECTIVE: f64 = 0.6;
 /// The wait takes at most one part in so many of the time that is left. Chosen, not measured.
 const WAITING_DIVISOR_OF_TIME_LEFT: u32 = 2;
--- a/crates/bramblewheel-decisions/src/class_limit.rs
+++ b/crates/bramblewheel-decisions/src/class_limit.rs
@@ -27,14 +27,14 @@
 /// failures at 0.15, 5.661 with 0.8 and failures at 0.6.
 const BUSY_PART_OF_OBJECTIVE: f64 = 0.4;
 /// The same as a multiple of the usual time, so that a class which is always slow is not stopped. Measured on a long
-/// surge (`docs/design/13-large-fleets.md`): worth 0.793 with 1.8, 0.771 with 1.4.
+/// surge (`docs/design/13-fleet-size.md`): worth 0.793 with 1.8, 0.771 with 1.4.
 const BUSY_MULTIPLE_OF_USUAL: f64 = 1.8;
 /// Least length of a window. Chosen, not measured.
 const WINDOW: Duration = Duration::from_millis(200);
 /// Answers without which a window says nothing and goes on. Chosen, not measured.
 const LEAST_ANSWERS: u32 = 5;
 /// Share of the answers, 0 to 1, that may be failures before the limit falls: calls that are refused deep down make
-/// their parents fail, and fast. Measured on a long surge (`docs/design/13-large-fleets.md`): worth 0.793 with 0.15
+/// their parents fail, and fast. Measured on a long surge (`docs/design/13-fleet-size.md`): worth 0.793 with 0.15
 /// and an increase of 0.08, 0.788 with 0.06 and 0.05.
 const TOLERATED_FAILURES: f64 = 0.15;
 /// What the limit falls to in one window, as a part of what was in use. Chosen, not measured.
--- a/crates/bramblewheel-decisions/src/directory/endpoint.rs
+++ b/crates/bramblewheel-decisions/src/directory/endpoint.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// Cost of leaving the own zone, in units of a full endpoint: bytes between zones cost more than a somewhat longer
-/// wait. Measured, mean worth of whole days (`docs/NEW-CUSTOMER.md`, round 6): 0.441 with 0.3, 0.450 with 0.6 and
+/// wait. Measured, mean worth of whole days (`docs/design/19-narrow-services.md`, round 6): 0.441 with 0.3, 0.450 with 0.6 and
 /// with 1.0.
 const OTHER_ZONE_COST: f64 = 0.6;
 /// Cost of an idle endpoint of usual speed, in units of a full endpoint, so that slowness counts without load too.
@@ -31,14 +31,14 @@
 /// Weight of the newest answer in the mean of an endpoint's slowness, 0 to 1. Chosen, not measured.
 const NEWEST_TIME_WEIGHT: f64 = 0.2;
 /// Age at which a load report counts for nothing any more; up to there it counts less and less. Measured on virtual
-/// time (`tests/fleet.rs`, `docs/design/13-large-fleets.md`) only together with the near endpoints: chosen.
+/// time (`tests/fleet.rs`, `docs/design/13-fleet-size.md`) only together with the near endpoints: chosen.
 const REPORT_LIFETIME: Duration = Duration::from_secs(2);
 /// Load of an endpoint of which nothing is known, as a part of the mean load of the known ones: less than all of it,
-/// so that it is tried. Measured on virtual time (`docs/design/13-large-fleets.md`): with 0.6 a daemon met 6.5 to
+/// so that it is tried. Measured on virtual time (`docs/design/13-fleet-size.md`): with 0.6 a daemon met 6.5 to
 /// 7.5 endpoints in 4 s in place of 3.9, and 0.021 of the requests went to slow ones in place of 0.003.
 const UNKNOWN_PART: f64 = 0.9;
 /// Multiple of the usual answer time after which an outstanding request is overdue. Its value is chosen; without
-/// any, 0.010 to 0.022 of the requests went to slow endpoints in place of 0.003 (`docs/design/13-large-fleets.md`).
+/// any, 0.010 to 0.022 of the requests went to slow endpoints in place of 0.003 (`docs/design/13-fleet-size.md`).
 const OVERDUE_MULTIPLE: f64 = 1.6;
 /// Cost of an endpoint that fails all requests, in units of a full endpoint. An endpoint that fails does so fast,
 /// and would look idle and quick without it. Its value is chosen; with it a day of failing endpoints went from 0.066
--- a/crates/bramblewheel-decisions/src/directory/mod.rs
+++ b/crates/bramblewheel-decisions/src/directory/mod.rs
@@ -37,7 +37,7 @@
 const FREE_FAILURES: f64 = 0.04;
 /// Largest random part of the cost, in units of a full endpoint, so that daemons don't all choose alike, and one
 /// does not send all to the endpoint whose load it learned last. Measured on virtual time
-/// (`docs/design/13-large-fleets.md`): with 0.1 the busiest endpoint had 1.69 of the mean use, with 0.05 1.66.
+/// (`docs/design/13-fleet-size.md`): with 0.1 the busiest endpoint had 1.69 of the mean use, with 0.05 1.66.
 const JITTER: f64 = 0.05;
 
 /// Where a request is sent.
--- a/crates/bramblewheel-decisions/src/early_refusal/refused_part.rs
+++ b/crates/bramblewheel-decisions/src/early_refusal/refused_part.rs
@@ -37,7 +37,7 @@
 /// For requests that failed for want of capacity downstream. Much work is lost with each of them, and whether
 /// there is capacity again shows only after the time of a whole tree.
 ///
-/// Measured on whole days of one deployment, mean worth (`docs/NEW-CUSTOMER.md`, rounds 1 to 5c and 11): tolerated
+/// Measured on whole days of one deployment, mean worth (`docs/design/19-narrow-services.md`, rounds 1 to 5c and 11): tolerated
 /// 0.05 gave 0.505 and 0.12 gave 0.497. Rise 4: 0.431 with a fall of 0.5, 0.441 with 1.0 and 1.5; rise 2 with a fall
 /// of 1.5: 0.440. Differences below 0.01 are noise.
 pub(super) const DOWNSTREAM: RefusalSettings = RefusalSettings {
@@ -50,7 +50,7 @@
 /// refused in numbers.
 ///
 /// With this rule the worth of two overloaded days was 0.403 and 0.676, without it 0.391 and 0.643
-/// (`docs/design/16-shifted-work.md`, "Who makes room"). The three figures were not measured apart: chosen.
+/// (`docs/design/16-tenant-ranks-and-rejections.md`, "Who makes room"). The three figures were not measured apart: chosen.
 pub(super) const FOR_OTHERS: RefusalSettings = RefusalSettings {
     tolerated: 0.03,
     rise_per_second: 4.0,
--- a/crates/bramblewheel-decisions/src/retry_bound.rs
+++ b/crates/bramblewheel-decisions/src/retry_bound.rs
@@ -34,7 +34,7 @@
 /// Part of the budget, 0 to 1, that may go to requests that are not of the most important rank. Where endpoints
 /// reject much, trees of many calls end only if each of their calls is retried; the rest is kept for those that
 /// matter most. Measured only together with two other changes: on an overloaded day the most important class was
-/// served 0.672 in place of 0.590 (`docs/design/16-shifted-work.md`).
+/// served 0.672 in place of 0.590 (`docs/design/16-tenant-ranks-and-rejections.md`).
 const PART_FOR_LESS_IMPORTANT: f64 = 0.5;
 /// Used part of the bound downstream, 0 to 1, from which on nothing is retried here. The rest is room for the calls
 /// of runs that are retried before the report of them is here. Measured on 6,000 drawn call trees
