--- a/crates/bramblewheel-decisions/src/lib.rs
+++ b/crates/bramblewheel-decisions/src/lib.rs
@@ -5,16 +5,20 @@
 //! `bramblewheel-proxy` gives inputs, carries decisions out and logs them.
 
 pub mod admission;
+pub mod attempt_result;
 pub mod class_limit;
 pub mod credential;
 pub mod directory;
 pub mod early_refusal;
 pub mod endpoint_crash;
+pub mod exemption;
 pub mod fading_share;
 pub mod nested_routes;
 pub mod quarantine;
 pub mod request_class;
 pub mod request_content;
+pub mod retry;
+pub mod retry_after;
 pub mod retry_bound;
 pub mod retry_budget;
 pub mod running_requests;
