--- a/crates/bramblewheel-proxy/src/local/mod.rs
+++ b/crates/bramblewheel-proxy/src/local/mod.rs
@@ -11,13 +11,13 @@
 pub use permit::Permit;
 
 use crate::wire::Handover;
-use bramblewheel_decisions::admission::Arrival;
+use bramblewheel_decisions::admission::{Arrival, QueuePosition};
 use bramblewheel_decisions::directory::LoadReport;
 use bramblewheel_decisions::endpoint_crash::EndpointCrash;
+use bramblewheel_decisions::exemption::is_exempt_from_class_limit;
 use bramblewheel_decisions::fading_share::whole_percent;
 use bramblewheel_decisions::request_class::RequestClass;
 use bramblewheel_decisions::running_requests::RunningRequest;
-use bramblewheel_decisions::tenants::is_most_important;
 use bramblewheel_process::clock::Clock;
 use bramblewheel_process::invariants::lock;
 use bramblewheel_protocol::content::ContentDigest;
@@ -26,8 +26,10 @@
 use permit::{ClassShare, Waiting};
 use starts::Origin;
 use state::{Current, RefusedCall, State};
+use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
+use tokio::sync::oneshot;
 
 /// Pause after the endpoint could not be reached, in which it is not tried again.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(300);
@@ -287,7 +289,7 @@
         self.lock().refused_call = Some(RefusedCall { at: now, short });
     }
 
-    /// Waits for a place at the endpoint, until `until` at the latest.
+    /// Waits for a slot at the endpoint, until `until` at the latest.
     ///
     /// # Errors
     /// [`Refusal`]; the endpoint got nothing.
@@ -301,71 +303,94 @@
         let share = ClassShare {
             class: handover.class,
             objective: handover.objective,
-            is_limited: !is_most_important(handover.rank) && !is_likely_nested,
+            is_limited: !is_exempt_from_class_limit(handover.rank, is_likely_nested),
         };
         let begun = clock.now();
-        let (address, waiting) = {
-            let now = clock.now();
-            let mut state = self.lock();
-            if let Some(refusal) = state.refusal(&handover.endpoint, now) {
-                return Err(refusal);
-            }
-            if !state.begin_in_class(now, share) {
+        let entered = self.enter(clock.now(), handover, share, until)?;
+        if let Some((position, admission)) = entered.waiting {
+            let mut waiting = Waiting {
+                local: self,
+                clock,
+                class: share,
+                position,
+                is_over: false,
+            };
+            let admitted = clock.timeout_at(until, admission).await;
+            let Ok(admitted) = admitted else {
+                return Err(Refusal::Full);
+            };
+            waiting.is_over = true;
+            if !matches!(admitted, Ok(true)) {
+                self.lock().end_in_class(clock.now(), share, None);
                 return Err(Refusal::Full);
             }
-            let current = state.current.as_ref().ok_or(Refusal::Leaving)?;
-            let address = current.record.endpoint_address;
-            let entered = state.enter(Arrival {
-                rank: handover.root_rank,
-                due: now + handover.remaining,
-                until,
-            });
-            if entered.is_err() {
-                state.end_in_class(now, share, None);
-            }
-            (address, entered?)
-        };
+        }
+        Ok(self.permit(clock, handover, share, begun, entered.address))
+    }
+
+    /// Takes a request in at the endpoint: it runs or waits.
+    fn enter(
+        &self,
+        now: Timestamp,
+        handover: &Handover,
+        share: ClassShare,
+        until: Timestamp,
+    ) -> Result<Entered, Refusal> {
+        let mut state = self.lock();
+        if let Some(refusal) = state.refusal(&handover.endpoint, now) {
+            return Err(refusal);
+        }
+        if !state.begin_in_class(now, share) {
+            return Err(Refusal::Full);
+        }
+        let current = state.current.as_ref().ok_or(Refusal::Leaving)?;
+        let address = current.record.endpoint_address;
+        let entered = state.enter(Arrival {
+            rank: handover.root_rank,
+            due: now + handover.remaining,
+            until,
+        });
+        if entered.is_err() {
+            state.end_in_class(now, share, None);
+        }
+        let waiting = entered?;
+        Ok(Entered { address, waiting })
+    }
+
+    /// The slot of a request that runs from now on.
+    fn permit(
+        self: &Arc<Self>,
+        clock: Clock,
+        handover: &Handover,
+        class: ClassShare,
+        begun: Timestamp,
+        address: SocketAddr,
+    ) -> Permit {
         let request = RunningRequest {
             root_rank: handover.root_rank,
             class: handover.class,
             retried_share: handover.retried_share,
         };
-        let permit = || {
-            let running = &mut self.lock().running;
-            Permit {
-                local: Arc::clone(self),
-                clock,
-                class: share,
-                begun,
-                answered: None,
-                running: running.begin(begun + handover.remaining, request),
-                address,
-                endpoint: handover.endpoint.clone(),
-                content: handover.content,
-                is_sent: false,
-            }
-        };
-        let Some((place, told)) = waiting else {
-            return Ok(permit());
-        };
-        let mut waiting = Waiting {
-            local: self,
+        let running = &mut self.lock().running;
+        Permit {
+            local: Arc::clone(self),
             clock,
-            class: share,
-            place,
-            is_over: false,
-        };
-        match clock.timeout_at(until, told).await {
-            Ok(Ok(true)) => {
-                waiting.is_over = true;
-                Ok(permit())
-            }
-            Ok(_) => {
-                waiting.is_over = true;
-                self.lock().end_in_class(clock.now(), share, None);
-                Err(Refusal::Full)
-            }
-            Err(_) => Err(Refusal::Full),
+            class,
+            begun,
+            answered: None,
+            running: running.begin(begun + handover.remaining, request),
+            address,
+            endpoint: handover.endpoint.clone(),
+            content: handover.content,
+            is_sent: false,
         }
     }
 }
+
+/// A request that was taken in at the endpoint.
+struct Entered {
+    /// Where the endpoint listens.
+    address: SocketAddr,
+    /// Its position in the queue and what tells whether it may run; none where it runs at once.
+    waiting: Option<(QueuePosition, oneshot::Receiver<bool>)>,
+}
--- a/crates/bramblewheel-proxy/src/local/permit.rs
+++ b/crates/bramblewheel-proxy/src/local/permit.rs
@@ -84,7 +84,7 @@
     pub(super) local: &'a LocalEndpoint,
     pub(super) clock: Clock,
     pub(super) class: ClassShare,
-    pub(super) place: QueuePosition,
+    pub(super) position: QueuePosition,
     pub(super) is_over: bool,
 }
 
@@ -96,8 +96,8 @@
         let now = self.clock.now();
         let mut state = self.local.lock();
         state.end_in_class(now, self.class, None);
-        let has_waited = state.queue.leave(&self.place);
-        let was_told = state.waiting.remove(&self.place.ticket).is_none();
+        let has_waited = state.queue.leave(&self.position);
+        let was_told = state.waiting.remove(&self.position.ticket).is_none();
         // A place that was given at the last moment is given back.
         if !has_waited && was_told {
             let started = state.queue.finish(now);
