--- a/crates/bramblewheel-proxy/src/inbound/mod.rs
+++ b/crates/bramblewheel-proxy/src/inbound/mod.rs
@@ -1,4 +1,7 @@
 //! Requests that other daemons hand over for the endpoint beside this one.
+//!
+//! Reads the handover and the body, has [`dispatch`](dispatch::dispatch) run the request, and reports how the attempt
+//! ended with its answer. Owns the connections of other daemons. Shown by the metric `bramblewheel_inbound_total`.
 
 pub mod dispatch;
 
@@ -13,6 +16,7 @@
 use bramblewheel_types::Timestamp;
 use bytes::Bytes;
 use dispatch::{Dispatched, dispatch};
+use http::request::Parts;
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
 use std::sync::Arc;
@@ -36,10 +40,7 @@
         progress: &Progress,
     ) -> Response<AnswerBody> {
         let (mut head, incoming) = request.into_parts();
-        if head.uri.path() == PING_PATH
-            && head.method == Method::GET
-            && !Handover::is_on(&head.headers)
-        {
+        if is_probe(&head) {
             return Response::new(AnswerBody::whole(Bytes::new()));
         }
         let handover = match Handover::take(&mut head.headers) {
@@ -49,12 +50,12 @@
                 return self.without_attempt(AttemptResult::Leaving);
             }
         };
-        let body = match body::read(incoming).await {
-            // The caller's daemon bounds it.
-            Ok(read) => OutgoingBody::new(read, usize::MAX),
-            // The daemon that sends it went away, or its caller did.
-            Err(_) => return self.without_attempt(AttemptResult::Unreachable),
+        // The daemon that sends it went away, or its caller did.
+        let Ok(read) = body::read(incoming).await else {
+            return self.without_attempt(AttemptResult::Unreachable);
         };
+        // The caller's daemon bounds the body.
+        let body = OutgoingBody::new(read, usize::MAX);
         fields::keep_end_to_end(&mut head.headers);
         let mut outgoing = Outgoing {
             method: head.method,
@@ -74,22 +75,28 @@
         };
         self.shared.metrics.inbound(attempted.dispatched.result());
         match attempted.dispatched {
-            Dispatched::Answered(answer) => pass_on(*answer, &attempted.told),
-            Dispatched::Without(result) => without_answer(result, &attempted.told),
+            Dispatched::Answered(answer) => pass_on(*answer, &attempted.report),
+            Dispatched::Without(result) => without_answer(result, &attempted.report),
         }
     }
 
     /// An answer to a request that is not passed to the endpoint.
     fn without_attempt(&self, result: AttemptResult) -> Response<AnswerBody> {
         let load = self.shared.local.load(self.shared.clock.now());
-        let told = AnswerReport {
+        let report = AnswerReport {
             load: Some(load),
             ..AnswerReport::default()
         };
-        without_answer(result, &told)
+        without_answer(result, &report)
     }
 }
 
+/// Whether another daemon only wants to know whether this one answers.
+fn is_probe(head: &Parts) -> bool {
+    let is_handed_over = Handover::is_on(&head.headers);
+    head.uri.path() == PING_PATH && head.method == Method::GET && !is_handed_over
+}
+
 /// How an attempt ends that the daemon can't wait for.
 fn at_the_end(progress: &Progress) -> AttemptResult {
     match progress.stage() {
@@ -98,19 +105,19 @@
     }
 }
 
-fn pass_on(answer: Answer, told: &AnswerReport) -> Response<AnswerBody> {
+fn pass_on(answer: Answer, report: &AnswerReport) -> Response<AnswerBody> {
     let mut response = answer.into_response();
-    AttemptResult::Answered.write(told, response.headers_mut());
+    report.write(AttemptResult::Answered, response.headers_mut());
     response
 }
 
-fn without_answer(result: AttemptResult, told: &AnswerReport) -> Response<AnswerBody> {
+fn without_answer(result: AttemptResult, report: &AnswerReport) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(Bytes::new()));
     *response.status_mut() = match result {
         AttemptResult::Lost => StatusCode::BAD_GATEWAY,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    result.write(told, response.headers_mut());
+    report.write(result, response.headers_mut());
     response
 }
 
--- a/crates/bramblewheel-proxy/src/outbound/access.rs
+++ b/crates/bramblewheel-proxy/src/outbound/access.rs
@@ -1,8 +1,15 @@
 //! Who a request comes from, and whether it may be served: the key, the lease on the table, the quota.
+//!
+//! The rules stand in [`bramblewheel_decisions::tenants`], [`bramblewheel_decisions::table_lease`] and
+//! [`bramblewheel_decisions::tenant_quota`]; the state is that of the daemon ([`Shared::tenant_access`]). Owns nothing.
+//! Shown by the metrics `bramblewheel_unauthorized_total`, `bramblewheel_over_quota_total` and
+//! `bramblewheel_without_lease_total`, and by the log lines `unauthorized`, `over quota` and `request refused`.
 
 use crate::inbound::dispatch::text;
+use crate::outbound::reply::Reply;
 use crate::shared::Shared;
 use bramblewheel_decisions::credential::key_in;
+use bramblewheel_decisions::retry_after::RefusalReason;
 use bramblewheel_decisions::table::{Route, Router};
 use bramblewheel_decisions::tenant_quota::{OverQuota, QuotaCharge, QuotaDecision};
 use bramblewheel_decisions::tenants::ActiveTenant;
@@ -12,28 +19,17 @@
 use std::fmt::Display;
 use std::sync::Arc;
 
-/// Why a request is not served to its caller; nothing has run.
-#[derive(Debug)]
-pub(super) enum AccessRefusal {
-    /// Its key is missing, or nobody holds it.
-    Unauthorized,
-    /// Whether its key is still held can't be known.
-    NoLease,
-    /// Its tenant has used up its quota.
-    OverQuota {
-        /// Part of the tenant's requests that is let in.
-        part: f64,
-    },
-}
-
-/// A table and whether its tenants may be gone by. The lease is looked at first: a table that comes in
+/// A table and whether its tenants may be gone by. The lease is read first: a table that comes in
 /// between is newer than the one that the lease is for, never older.
 pub(super) struct TableInUse {
+    /// Whether the lease on the table was valid.
     pub(super) has_lease: bool,
+    /// The table; none before the first was confirmed.
     pub(super) router: Option<Arc<Router>>,
 }
 
 impl TableInUse {
+    /// The table in force.
     pub(super) fn now(shared: &Shared) -> Self {
         let has_lease = shared.tenant_access().lease.is_valid(shared.clock.now());
         Self {
@@ -43,15 +39,18 @@
     }
 }
 
-/// A request that was let in for a tenant.
+/// A request that was admitted for a tenant.
 pub(super) struct TenantRequest {
     pub(super) tenant: Arc<ActiveTenant>,
-    /// What it takes of the tenant's quota; none without one.
+    /// What is charged to the tenant's quota, and refunded if the request has not run; none without a quota.
     pub(super) charge: Option<QuotaCharge>,
 }
 
 /// The tenant that a request comes from; none where the table has no tenants, and for requests without
-/// a known key on routes that need none.
+/// a known key on routes that need none. Draws a number where the tenant has a quota.
+///
+/// # Errors
+/// What the caller is answered that may not be served; logged and counted.
 pub(super) fn tenant_of(
     shared: &Shared,
     router: &Router,
@@ -59,7 +58,7 @@
     route: &Route,
     id: &HeaderValue,
     headers: &HeaderMap,
-) -> Result<Option<TenantRequest>, AccessRefusal> {
+) -> Result<Option<TenantRequest>, Reply> {
     let tenants = router.tenants();
     if !tenants.has_tenants() {
         return Ok(None);
@@ -88,14 +87,14 @@
     router: &Router,
     route: &Route,
     id: &HeaderValue,
-) -> Result<Option<TenantRequest>, AccessRefusal> {
+) -> Result<Option<TenantRequest>, Reply> {
     if route.is_public {
         return Ok(None);
     }
     shared.metrics.without_lease.inc();
     slog::info!(shared.log, "request refused"; "id" => text(id), "route" => &route.name,
         "reason" => "the lease on the table is over", "table" => router.version().0);
-    Err(AccessRefusal::NoLease)
+    Err(Reply::Refusal(RefusalReason::NoLease))
 }
 
 fn unauthorized(
@@ -104,11 +103,11 @@
     route: &Route,
     id: &HeaderValue,
     reason: &dyn Display,
-) -> AccessRefusal {
+) -> Reply {
     shared.metrics.unauthorized.inc();
     slog::info!(shared.log, "unauthorized"; "id" => text(id), "route" => &route.name,
         "reason" => %reason, "table" => router.version().0);
-    AccessRefusal::Unauthorized
+    Reply::Unauthorized
 }
 
 fn within_quota(
@@ -117,7 +116,7 @@
     route: &Route,
     id: &HeaderValue,
     tenant: Arc<ActiveTenant>,
-) -> Result<TenantRequest, AccessRefusal> {
+) -> Result<TenantRequest, Reply> {
     let Some(quota) = tenant.quota else {
         return Ok(TenantRequest {
             tenant,
@@ -147,5 +146,7 @@
         "part" => format_args!("{part:.2}"), "let_in" => admitted,
         "sums_age_ms" => Millis::of(age).0,
         "table" => router.version().0);
-    Err(AccessRefusal::OverQuota { part })
+    Err(Reply::Refusal(RefusalReason::OverQuota {
+        admitted_part: part,
+    }))
 }
--- /dev/null
+++ b/crates/bramblewheel-proxy/src/outbound/arrival.rs
@@ -0,0 +1,157 @@
+//! A request from its caller up to its admission: its id, its route, its tenant, its body.
+//!
+//! Each step may end with a reply; nothing has run then. Relies on the route table in force, on `access` for keys and
+//! quotas, and on the planned stop, which bounds the wait for a body. Owns nothing.
+
+use crate::http::body;
+use crate::http::exchange::{Outgoing, OutgoingBody};
+use crate::http::fields;
+use crate::in_progress::Progress;
+use crate::inbound::dispatch::text;
+use crate::outbound::access::{TableInUse, TenantRequest, tenant_of};
+use crate::outbound::caller_request::NewCallerRequest;
+use crate::outbound::reply::Reply;
+use crate::shared::Shared;
+use crate::wire::Handover;
+use bramblewheel_decisions::request_content::RequestContent;
+use bramblewheel_decisions::retry_after::RefusalReason;
+use bramblewheel_decisions::table::{ActiveRoute, Router};
+use bramblewheel_protocol::content::ContentDigest;
+use bramblewheel_types::Timestamp;
+use http::header::{AUTHORIZATION, HOST};
+use http::request::Parts;
+use http::uri::PathAndQuery;
+use http::{HeaderValue, Request, StatusCode};
+use hyper::body::{Body, Incoming};
+use std::sync::Arc;
+
+/// Reads a request that has come from its caller, and admits it.
+///
+/// # Errors
+/// What its caller is answered if it can't be served; nothing has run.
+pub(super) async fn read(
+    shared: &Arc<Shared>,
+    request: Request<Incoming>,
+    arrived: Timestamp,
+    progress: &Arc<Progress>,
+) -> Result<(NewCallerRequest, Outgoing), Reply> {
+    let (mut head, incoming) = request.into_parts();
+    let dialect = &shared.settings.dialect;
+    let Some(id) = dialect.id(&head.headers).cloned() else {
+        return Err(Reply::Status(StatusCode::BAD_REQUEST));
+    };
+    progress.note_id(&id);
+    let TableInUse { has_lease, router } = TableInUse::now(shared);
+    let router = router.ok_or_else(|| without_configuration(shared, &id))?;
+    let host = host_of(&head);
+    let route = find_route(shared, &router, &id, &host, &head)?;
+    let from = tenant_of(shared, &router, has_lease, &route.route, &id, &head.headers)?;
+    let has_tenants = router.tenants().has_tenants();
+    if has_tenants {
+        head.headers.remove(AUTHORIZATION);
+    }
+    // Calls of endpoints carry no key, and all others do.
+    let is_nested_by_table = has_tenants && route.route.is_public && from.is_none();
+    let remaining = dialect.remaining(&head.headers);
+    let body = read_body(shared, &id, incoming, router.longest_body()).await?;
+    let content = content_of(&head, &host, from.as_ref(), &body);
+    let request = NewCallerRequest {
+        id,
+        content,
+        route,
+        table: router.version(),
+        from,
+        is_nested_by_table,
+        arrived,
+        remaining,
+        progress: Arc::clone(progress),
+    };
+    Ok((request, outgoing(shared, head, body)))
+}
+
+fn without_configuration(shared: &Shared, id: &HeaderValue) -> Reply {
+    slog::info!(shared.log, "request refused"; "id" => text(id),
+        "reason" => "no configuration is known yet");
+    let since_start = shared.clock.now().since(Timestamp::ZERO);
+    Reply::Refusal(RefusalReason::NoConfiguration { since_start })
+}
+
+fn find_route(
+    shared: &Shared,
+    router: &Router,
+    id: &HeaderValue,
+    host: &str,
+    head: &Parts,
+) -> Result<Arc<ActiveRoute>, Reply> {
+    let path = head.uri.path();
+    let Some(route) = router.find(host, path) else {
+        slog::info!(shared.log, "no route"; "id" => text(id), "host" => host,
+            "path" => path, "table" => router.version().0);
+        return Err(Reply::Status(StatusCode::NOT_FOUND));
+    };
+    Ok(Arc::clone(route))
+}
+
+/// Reads a body of at most `longest` bytes: whole, or its beginning where it is too long to be kept.
+async fn read_body(
+    shared: &Shared,
+    id: &HeaderValue,
+    incoming: Incoming,
+    longest: usize,
+) -> Result<OutgoingBody, Reply> {
+    if incoming.size_hint().lower() > longest as u64 {
+        slog::info!(shared.log, "request refused"; "id" => text(id),
+            "reason" => "its body is too long", "longest" => longest);
+        return Err(Reply::Status(StatusCode::PAYLOAD_TOO_LARGE));
+    }
+    let read = tokio::select! {
+        biased;
+        read = body::read(incoming) => read,
+        () = shared.stop.answers_due(shared.clock) => {
+            slog::info!(shared.log, "request refused"; "id" => text(id),
+                "reason" => "the daemon stops before its body is there");
+            return Err(Reply::Refusal(RefusalReason::Stopping));
+        }
+    };
+    match read {
+        Ok(read) => Ok(OutgoingBody::new(read, longest)),
+        Err(_) => Err(Reply::Status(StatusCode::BAD_REQUEST)),
+    }
+}
+
+/// The request as it goes on: without what concerns one connection or only this layer.
+fn outgoing(shared: &Shared, head: Parts, body: OutgoingBody) -> Outgoing {
+    let mut headers = head.headers;
+    fields::keep_end_to_end(&mut headers);
+    Handover::strip(&mut headers);
+    shared.settings.dialect.strip(&mut headers);
+    Outgoing {
+        method: head.method,
+        target: head.uri,
+        headers,
+        body,
+    }
+}
+
+fn content_of(
+    head: &Parts,
+    host: &str,
+    from: Option<&TenantRequest>,
+    body: &OutgoingBody,
+) -> ContentDigest {
+    let target = head.uri.path_and_query();
+    let content = RequestContent {
+        tenant: from.map_or("", |from| from.tenant.name.as_str()),
+        method: head.method.as_str(),
+        host,
+        target: target.map_or("", PathAndQuery::as_str),
+        body: body.known(),
+    };
+    content.digest()
+}
+
+fn host_of(head: &Parts) -> String {
+    let named = head.headers.get(HOST).and_then(|value| value.to_str().ok());
+    let host = named.or_else(|| head.uri.host());
+    host.unwrap_or_default().to_owned()
+}
--- a/crates/bramblewheel-proxy/src/outbound/attempt.rs
+++ b/crates/bramblewheel-proxy/src/outbound/attempt.rs
@@ -1,78 +1,123 @@
-//! One attempt of a call at the daemon beside an endpoint.
+//! One attempt of a caller request: what is handed over with it, and what its end says.
+//!
+//! Relies on `hand_over` for the way to the daemon beside the endpoint. What that daemon reports goes to the directory,
+//! the bound on retries and the likely nested classes, all under one lock.
 
-use crate::http::exchange::{self, NoAnswer, Outgoing};
-use crate::in_progress::{Progress, Stage};
-use crate::inbound::dispatch::{Attempted, Dispatched, dispatch};
-use crate::outbound::liveness::patience;
-use crate::shared::Shared;
-use crate::wire::{AnswerReport, AttemptResult, Handover};
-use bramblewheel_decisions::directory::Choice;
+use crate::http::exchange::Outgoing;
+use crate::in_progress::Stage;
+use crate::inbound::dispatch::{Attempted, Dispatched, text};
+use crate::outbound::attempts::Attempts;
+use crate::outbound::caller_request::CallerRequest;
+use crate::outbound::hand_over::hand_over;
+use crate::outbound::open_attempt::OpenAttempt;
+use crate::wire::{AnswerReport, Handover};
+use bramblewheel_decisions::directory::{AttemptEnd, Choice};
+use bramblewheel_process::invariants::lock;
 use bramblewheel_types::Timestamp;
-use http::HeaderMap;
-use std::sync::Arc;
+use http::HeaderValue;
+use std::sync::atomic::Ordering;
 
-/// Hands a request to the daemon beside the chosen endpoint: to this one without a hop. A daemon that
-/// falls silent meanwhile is not waited for, if the request may be repeated.
-pub(super) async fn attempt(
-    shared: &Arc<Shared>,
-    choice: &Choice,
-    handover: &Handover,
-    deadline: Timestamp,
-    is_repeatable: bool,
-    outgoing: &mut Outgoing,
-    progress: &Progress,
-) -> Attempted {
-    if choice.daemon == shared.settings.name {
-        return dispatch(shared, handover, shared.clock.now(), outgoing, progress).await;
+impl CallerRequest<'_> {
+    /// Hands the request to the daemon beside the chosen endpoint, by the request's deadline at the latest.
+    pub(super) async fn attempt(
+        &self,
+        choice: &Choice,
+        outgoing: &mut Outgoing,
+        attempts: &Attempts,
+    ) -> Dispatched {
+        let route = &self.route.route;
+        let begun = self.shared.clock.now();
+        let deadline = self.attempt_deadline();
+        let handover = self.handover(choice, begun, deadline, attempts);
+        let mut open = OpenAttempt {
+            shared: self.shared,
+            endpoint: &choice.endpoint,
+            route: &route.name,
+            begun,
+            is_over: false,
+        };
+        let had_may_run = self.may_have_run.swap(true, Ordering::Relaxed);
+        let is_repeatable = route.is_repeatable && outgoing.body.is_whole();
+        let attempting = hand_over(
+            self.shared,
+            choice,
+            &handover,
+            deadline,
+            is_repeatable,
+            outgoing,
+            &self.progress,
+        );
+        let attempted = attempting.await;
+        self.progress.enters(Stage::Waiting);
+        let Attempted { dispatched, report } = attempted;
+        open.is_over = true;
+        let result = dispatched.result();
+        if !had_may_run && result.is_proved_not_run() {
+            self.may_have_run.store(false, Ordering::Relaxed);
+        }
+        self.shared.metrics.attempt(result);
+        let time = self.shared.clock.since(begun);
+        let end = result.end_for_directory(dispatched.has_failed(), time);
+        self.note_report(choice, end, &report);
+        *lock(&self.last_report) = report;
+        dispatched
     }
-    let (daemon, clock) = (choice.address, shared.clock);
-    let pool = shared.daemon_pools.get(daemon);
-    let asked = shared.liveness.answers(clock, daemon, &pool, is_repeatable);
-    if !asked.await {
-        return without(AttemptResult::Unreachable, AnswerReport::default());
+
+    /// What is handed over with an attempt that begins now.
+    fn handover(
+        &self,
+        choice: &Choice,
+        begun: Timestamp,
+        deadline: Timestamp,
+        attempts: &Attempts,
+    ) -> Handover {
+        let route = &self.route.route;
+        let remaining = deadline.since(begun);
+        let longest_wait = self.longest_wait_now(route.objective, remaining);
+        Handover {
+            endpoint: choice.endpoint.clone(),
+            rank: self.rank,
+            root_rank: self.root_rank,
+            class: self.class,
+            objective: route.objective.min(route.timeout),
+            remaining,
+            wait: longest_wait.saturating_sub(attempts.waited),
+            caller: self.caller(),
+            is_likely_nested: self.is_likely_nested,
+            tenant: self.from.as_ref().map(|from| from.tenant.header.clone()),
+            content: Some(self.content),
+            retried_share: attempts.counts.retried_share(self.retried_share),
+        }
     }
-    let write = |headers: &mut HeaderMap| {
-        let handover = Handover {
-            remaining: clock.left_until(deadline),
-            ..handover.clone()
-        };
-        handover.write(headers);
-    };
-    progress.enters(Stage::Sent);
-    let patience = patience(handover.objective);
-    let sent = tokio::select! {
-        sent = exchange::send(&pool, outgoing, write) => sent,
-        () = shared.liveness.until_silent(clock, daemon, &pool, patience), if is_repeatable => {
-            slog::info!(shared.log, "daemon fell silent"; "daemon" => %choice.daemon,
-                "endpoint" => %choice.endpoint);
-            return without(AttemptResult::Silent, AnswerReport::default());
+
+    /// Notes how an attempt ended and what the daemon beside the endpoint reported.
+    fn note_report(&self, choice: &Choice, end: AttemptEnd, report: &AnswerReport) {
+        let route = &self.route.route.name;
+        let now = self.shared.clock.now();
+        let mut routing = self.shared.routing();
+        let directory = &mut routing.directory;
+        directory.record_end(now, &choice.endpoint, route, end, report.load);
+        if report.load.is_some() {
+            let used = f64::from(report.bound_used_percent) / 100.0;
+            let bound = &mut routing.retry_bound;
+            bound.note_used_downstream(now, self.class, self.is_likely_nested, used);
         }
-    };
-    let mut received = match sent {
-        Ok(received) => received,
-        Err(NoAnswer::NotSent) => {
-            return without(AttemptResult::Unreachable, AnswerReport::default());
+        let is_new = routing.note_nested(self.class, report);
+        drop(routing);
+        if is_new {
+            slog::info!(self.shared.log, "callers of route"; "route" => route,
+                "is_nested" => report.is_likely_nested, "told_by" => %choice.daemon, "last" => text(&self.id));
         }
-        Err(NoAnswer::Lost) => return without(AttemptResult::Lost, AnswerReport::default()),
-    };
-    shared.liveness.heard(daemon, clock.now());
-    // An answer that does not say how the attempt ended is not one of a daemon.
-    let Some((result, told)) = AttemptResult::take(&mut received.head.headers) else {
-        return without(AttemptResult::Lost, AnswerReport::default());
-    };
-    match (received.read(None).await, result) {
-        (Ok(answer), AttemptResult::Answered) => Attempted {
-            dispatched: Dispatched::Answered(Box::new(answer)),
-            told,
-        },
-        (Err(_), AttemptResult::Answered) => without(AttemptResult::Lost, told),
-        (_, result) => without(result, told),
     }
-}
 
-fn without(result: AttemptResult, told: AnswerReport) -> Attempted {
-    Attempted {
-        dispatched: Dispatched::Without(result),
-        told,
+    /// Name of the service on this machine, which the request comes from.
+    fn caller(&self) -> Option<HeaderValue> {
+        let registered = self.shared.local.record();
+        let settings = &self.shared.settings;
+        let name = match &registered {
+            Some(record) => Some(record.service.as_str()),
+            None => settings.service.as_deref(),
+        };
+        name.and_then(|name| HeaderValue::try_from(name).ok())
     }
 }
--- a/crates/bramblewheel-proxy/src/outbound/capacity.rs
+++ b/crates/bramblewheel-proxy/src/outbound/capacity.rs
@@ -1,20 +1,23 @@
-//! Room for a call: whether it is refused before anything is sent, and what its end says of the room for
-//! its like.
+//! Capacity for a caller request: whether it is refused before anything is sent, and what its outcome says of the
+//! capacity for its class.
+//!
+//! The rule stands in [`bramblewheel_decisions::early_refusal`], who is exempt in
+//! [`bramblewheel_decisions::exemption`]. Owns nothing. Shown by the metric `bramblewheel_refused_early_total` and the log
+//! lines `refused early` and `room at endpoints`.
 
 use crate::inbound::dispatch::text;
-use crate::outbound::call::Call;
-use crate::outbound::ending::Final;
+use crate::outbound::caller_request::CallerRequest;
+use crate::outbound::outcome::RequestOutcome;
 use bramblewheel_decisions::early_refusal::CapacityFound;
-use bramblewheel_decisions::tenants::is_most_important;
+use bramblewheel_decisions::exemption::is_exempt_from_early_refusal;
 use bramblewheel_process::invariants::lock;
 use bramblewheel_types::ServiceName;
 use rand::RngExt;
 
-impl Call<'_> {
-    /// Whether endpoints would refuse the request, so that it is refused here. What is most important
-    /// is always sent.
+impl CallerRequest<'_> {
+    /// Whether endpoints would refuse the request, so that it is refused here; logs and counts it then.
     pub(super) fn is_refused_early(&self) -> bool {
-        if is_most_important(self.rank) || self.is_likely_nested {
+        if is_exempt_from_early_refusal(self.rank, self.is_likely_nested) {
             return false;
         }
         let now = self.shared.clock.now();
@@ -37,10 +40,10 @@
         true
     }
 
-    /// Notes what the end of the request says of the room for its like. If it is a call of the local
-    /// endpoint, what it was for will fail for that.
-    pub(super) fn note_capacity(&self, ended: &Final) {
-        let Some(found) = self.capacity_found(ended) else {
+    /// Notes what the outcome says of the capacity for the request's class. If the local endpoint made it, the request
+    /// that it made it for will fail for that.
+    pub(super) fn note_capacity(&self, outcome: &RequestOutcome) {
+        let Some(found) = self.capacity_found(outcome) else {
             return;
         };
         let now = self.shared.clock.now();
@@ -72,29 +75,23 @@
         }
     }
 
-    /// What the end of the request says of the room for its like; none if it says nothing.
-    fn capacity_found(&self, ended: &Final) -> Option<CapacityFound> {
-        match ended {
-            Final::Answered(answer) if answer.status().is_server_error() => {
+    /// What the outcome says of the capacity for the request's class; none if it says nothing.
+    fn capacity_found(&self, outcome: &RequestOutcome) -> Option<CapacityFound> {
+        match outcome {
+            RequestOutcome::Answered(answer) if answer.status().is_server_error() => {
                 let short = lock(&self.last_report).short_downstream.clone();
                 Some(short.map_or(CapacityFound::Enough, CapacityFound::NoneDownstream))
             }
-            Final::Answered(_) => Some(CapacityFound::Enough),
-            Final::NotRun { .. } if lock(&self.full_service).is_some() => {
+            RequestOutcome::Answered(_) => Some(CapacityFound::Enough),
+            RequestOutcome::NotRun { .. } if lock(&self.full_service).is_some() => {
                 Some(CapacityFound::NoneAtService)
             }
-            Final::NotRun { .. }
-            | Final::Quarantined
-            | Final::Stopping
-            | Final::Unknown
-            | Final::OutlastsStop
-            | Final::TimedOut => None,
+            RequestOutcome::NotRun { .. }
+            | RequestOutcome::Quarantined
+            | RequestOutcome::Stopping
+            | RequestOutcome::Unknown
+            | RequestOutcome::OutlastsStop
+            | RequestOutcome::TimedOut => None,
         }
     }
-
-    pub(super) fn is_widely_refused(&self) -> bool {
-        let now = self.shared.clock.now();
-        let routing = self.shared.routing();
-        routing.early_refusal.is_widespread(now, self.class)
-    }
 }
--- a/crates/bramblewheel-proxy/src/outbound/retry.rs
+++ b/crates/bramblewheel-proxy/src/outbound/retry.rs
@@ -1,122 +1,90 @@
-//! Whether a request is sent once more after a send that ended without a success.
+//! Carries out what is decided after an attempt without a success.
+//!
+//! The rule stands in [`bramblewheel_decisions::retry`]; here its inputs are gathered, and the bound on retries is
+//! charged where the rule wants a retry. Owns nothing; relies on the routing state and the quarantine of the daemon.
 
 use crate::http::exchange::Outgoing;
 use crate::inbound::dispatch::text;
-use crate::outbound::call::Call;
-use crate::outbound::ending::is_proved_not_run;
-use crate::wire::AttemptResult;
+use crate::outbound::caller_request::CallerRequest;
+use bramblewheel_decisions::attempt_result::AttemptResult;
+use bramblewheel_decisions::retry::{
+    AfterFailure, AttemptCounts, FailedAttempt, GiveUp, RetriedRequest, ServiceState, after_failure,
+};
 use bramblewheel_decisions::retry_bound::{RetryDecision, RetryReason};
-use bramblewheel_decisions::tenants::is_most_important;
 use bramblewheel_process::invariants::lock;
-use bramblewheel_types::{ServiceName, Timestamp};
-use std::time::Duration;
+use bramblewheel_types::ServiceName;
 
-/// Sends after an endpoint or its daemon was not there; they cost nobody anything.
-const MAX_FREE_REROUTES: u32 = 3;
-/// Sends after a daemon had no room; in an overload each costs two daemons some work.
-const MAX_REROUTES_WHEN_FULL: u32 = 2;
-/// The same where most endpoints of the service refuse.
-const MAX_REROUTES_WHEN_WIDELY_FULL: u32 = 1;
-/// Sends of one request to endpoints that rejected it. With five of them a call ends at 0.95 of the times
-/// where endpoints reject 0.55 of all they get, and four calls in a row at 0.82; with two, at 0.24.
-const MAX_SENDS_WHEN_REJECTED: u32 = 5;
-/// Mean share of failures of a service's endpoints up to which a request that failed is sent again.
-const RARE_FAILURES: f64 = 0.2;
-/// Time without which another send is not worth its cost.
-const LEAST_TIME_TO_RETRY: Duration = Duration::from_millis(20);
-
-/// Counts of one call.
-#[derive(Default)]
-pub(super) struct Counts {
-    /// Sends that reached an endpoint or may have.
-    pub(super) arrivals: u32,
-    free_reroutes: u32,
-    found_full: u32,
-    /// Time that it has waited at endpoints' daemons that had no room in the end.
-    pub(super) waited: Duration,
-}
-
-impl Call<'_> {
-    /// Whether several endpoints ended under the request's content.
-    fn is_suspect(&self) -> bool {
-        self.shared.quarantine().is_watched(self.content)
-    }
-
-    /// Whether another send is allowed after one that ended without an answer; pays for it.
-    pub(super) fn may_try_again(
+impl CallerRequest<'_> {
+    /// What becomes of the request after an attempt without a success, which `counts` includes; charges a retry.
+    pub(super) fn after_failure(
         &self,
         service: &ServiceName,
         result: AttemptResult,
+        counts: AttemptCounts,
         outgoing: &Outgoing,
-        counts: &mut Counts,
-        deadline: Timestamp,
-    ) -> bool {
-        let left = self.shared.clock.left_until(deadline);
-        if !outgoing.body.is_whole() || left < LEAST_TIME_TO_RETRY {
-            return false;
-        }
-        match result {
-            AttemptResult::Quarantined => return false,
-            // The next endpoint might end under it as others did; its caller may try again once it is known
-            // what they ended under.
-            AttemptResult::Lost | AttemptResult::Silent if self.is_suspect() => return false,
-            AttemptResult::Leaving | AttemptResult::Unreachable => {
-                counts.free_reroutes += 1;
-                return counts.free_reroutes <= MAX_FREE_REROUTES;
-            }
-            AttemptResult::Full => {
-                counts.found_full += 1;
-                let most = if self.is_widely_refused() {
-                    MAX_REROUTES_WHEN_WIDELY_FULL
-                } else {
-                    MAX_REROUTES_WHEN_FULL
-                };
-                return counts.found_full <= most;
-            }
-            _ => {}
+    ) -> AfterFailure {
+        let attempt = FailedAttempt {
+            result,
+            request: self.retried_request(),
+            counts,
+            is_past_latest_send: self.is_past_latest_send(),
+            is_body_kept: outgoing.body.is_whole(),
+            time_left: self.shared.clock.left_until(self.deadline),
+            is_suspect: self.shared.quarantine().is_watched(self.content),
+            service: self.service_state(service),
+        };
+        match after_failure(&attempt) {
+            AfterFailure::Retry(reason) => self.charge_retry(service, result, reason),
+            decided => decided,
         }
-        counts.arrivals += 1;
+    }
+
+    fn retried_request(&self) -> RetriedRequest {
         let route = &self.route.route;
-        let may_run_again = route.is_repeatable || is_proved_not_run(result);
-        // An endpoint that has rejected a request may be sent it again: it is no further endpoint. Worth it
-        // for calls only, whose rejection wastes the work of their whole tree.
-        let most = if result == AttemptResult::Rejected && self.is_likely_nested {
-            route.max_attempts.max(MAX_SENDS_WHEN_REJECTED)
-        } else {
-            route.max_attempts
-        };
-        if !may_run_again || counts.arrivals >= most {
-            return false;
+        RetriedRequest {
+            is_repeatable: route.is_repeatable,
+            max_attempts: route.max_attempts,
+            is_likely_nested: self.is_likely_nested,
+            root_rank: self.root_rank,
         }
-        let Some(reason) = self.retry_reason(service, result) else {
-            return false;
-        };
+    }
+
+    fn service_state(&self, service: &ServiceName) -> ServiceState {
+        let has_no_capacity_downstream = lock(&self.last_report).short_downstream.is_some();
+        let now = self.shared.clock.now();
+        let routing = self.shared.routing();
+        ServiceState {
+            is_widely_refused: routing.early_refusal.is_widespread(now, self.class),
+            has_no_capacity_downstream,
+            failed_share: routing.directory.failed_share(now, service),
+        }
+    }
+
+    /// Charges the bound on retries; gives up if it refuses.
+    fn charge_retry(
+        &self,
+        service: &ServiceName,
+        after: AttemptResult,
+        reason: RetryReason,
+    ) -> AfterFailure {
         let now = self.shared.clock.now();
         let mut routing = self.shared.routing();
         let bound = &mut routing.retry_bound;
         let decision = bound.decide_retry(now, service, self.class, reason);
         drop(routing);
-        self.note_retry(service, result, &decision);
-        decision == RetryDecision::Allowed
-    }
-
-    /// Why the request is to be sent again; none if that would help nobody.
-    fn retry_reason(&self, service: &ServiceName, result: AttemptResult) -> Option<RetryReason> {
-        if result != AttemptResult::Answered {
-            let is_important = is_most_important(self.root_rank);
-            return Some(RetryReason::Unanswered { is_important });
-        }
-        // All its calls would be made again, of which one has just found no room.
-        if lock(&self.last_report).short_downstream.is_some() {
-            return None;
+        self.note_bound_decision(service, after, &decision);
+        match GiveUp::of_bound(&decision) {
+            Some(refused) => AfterFailure::GiveUp(refused),
+            None => AfterFailure::Retry(reason),
         }
-        let now = self.shared.clock.now();
-        let failed = self.shared.routing().directory.failed_share(now, service);
-        // Where many fail the cause lies deeper, and a repeat adds to it.
-        (failed < RARE_FAILURES).then_some(RetryReason::Failed)
     }
 
-    fn note_retry(&self, service: &ServiceName, after: AttemptResult, decision: &RetryDecision) {
+    fn note_bound_decision(
+        &self,
+        service: &ServiceName,
+        after: AttemptResult,
+        decision: &RetryDecision,
+    ) {
         let metrics = &self.shared.metrics;
         match decision {
             RetryDecision::Allowed => metrics.retry(service, after),
--- a/crates/bramblewheel-proxy/src/wire.rs
+++ b/crates/bramblewheel-proxy/src/wire.rs
@@ -1,4 +1,7 @@
-//! Headers between daemons: what one tells the other besides the request and its answer.
+//! Headers between daemons: what is handed over with a request, and reported with its answer.
+//!
+//! The one place that writes and reads them. Some headers bear an older name than the value that they hold; the field says
+//! so. Daemons of earlier versions leave some out: what that means is said at each field. Owns nothing.
 
 use crate::http::fields::set_or_remove;
 use bramblewheel_decisions::directory::LoadReport;
@@ -9,14 +12,16 @@
 use std::time::Duration;
 use thiserror::Error;
 
+pub use bramblewheel_decisions::attempt_result::AttemptResult;
+
 /// Endpoint that a request is for.
 const ENDPOINT: HeaderName = HeaderName::from_static("bw-endpoint");
 /// Rank of the request.
 const RANK: HeaderName = HeaderName::from_static("bw-rank");
 /// Rank of the request at the root of the tree that the request belongs to.
 const ROOT_RANK: HeaderName = HeaderName::from_static("bw-root-rank");
-/// Number that stands for the route of the request.
-const ROUTE: HeaderName = HeaderName::from_static("bw-route");
+/// Number of the request's class: of its route and its tenant's rank.
+const CLASS: HeaderName = HeaderName::from_static("bw-route");
 /// Milliseconds within which an answer is of full use.
 const OBJECTIVE: HeaderName = HeaderName::from_static("bw-objective-ms");
 /// Milliseconds left for the request.
@@ -29,15 +34,15 @@
 const TENANT: HeaderName = HeaderName::from_static("bw-for-tenant");
 /// Digest of the request's content, in hexadecimal digits.
 const CONTENT: HeaderName = HeaderName::from_static("bw-content");
-/// Thousandths of the request that count as repeated: all where an endpoint got it before.
+/// Thousandths of the request that count as a retry.
 const RETRIED_SHARE: HeaderName = HeaderName::from_static("bw-repeated");
 /// How the attempt ended at the other daemon.
 const RESULT: HeaderName = HeaderName::from_static("bw-result");
-/// On an answer: the request's route is called by endpoints only. On a request: it is made by one.
+/// On an answer: the request's class is likely called by endpoints only. On a request: it is likely made by one.
 const NESTED: HeaderName = HeaderName::from_static("bw-nested");
-/// On a failed answer: the service at which a call that the endpoint made for it found no room.
-const SHORT: HeaderName = HeaderName::from_static("bw-short-below");
-/// On an answer: hundredths of the bound on repeats that are used where the endpoint's calls go.
+/// On a failed answer: the service at which a call that the endpoint made for the request found no capacity.
+const SHORT_DOWNSTREAM: HeaderName = HeaderName::from_static("bw-short-below");
+/// On an answer: hundredths of the bound on retries that are used where the endpoint's calls go.
 const BOUND_USED: HeaderName = HeaderName::from_static("bw-bound-used");
 /// Load of the endpoint: busy, limit and failed in a hundred, separated by commas.
 const LOAD: HeaderName = HeaderName::from_static("bw-load");
@@ -45,7 +50,7 @@
 /// Value of the headers that say something by being there.
 const YES: &str = "1";
 
-/// What a daemon tells the one beside the endpoint with a request.
+/// What a daemon hands over to the one beside the endpoint with a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Handover {
     /// Endpoint that the request is for.
@@ -54,7 +59,7 @@
     pub rank: u32,
     /// Rank of the request at the root of its tree, as far as that is known; its own otherwise.
     pub root_rank: u32,
-    /// Number that stands for its route, the same at all daemons.
+    /// Its class, the same at all daemons; header `bw-route`.
     pub class: RequestClass,
     /// Time within which an answer is of full use.
     pub objective: Duration,
@@ -65,13 +70,14 @@
     /// Service that the request comes from.
     pub caller: Option<HeaderValue>,
     /// Whether an endpoint makes the request for one that it runs, as far as the daemon of its caller
-    /// knows.
+    /// knows; header `bw-nested`.
     pub is_likely_nested: bool,
-    /// Tenant that the request comes from, if its caller had a key.
+    /// Tenant that the request comes from, if its caller had a key; header `bw-for-tenant`.
     pub tenant: Option<HeaderValue>,
-    /// What the request has in common with its other tries; none from a daemon of an earlier version.
+    /// What the request has in common with its resends; none from a daemon of an earlier version.
     pub content: Option<ContentDigest>,
-    /// Part of the request that counts as repeated, between 0 and 1: 1 where an endpoint got it before.
+    /// Part of the request, 0 to 1, that counts as a retry: 1 where an endpoint got it before, else the part to which the run
+    /// that makes it was itself retried. Header `bw-repeated`, in thousandths; 0 where it is left out.
     pub retried_share: f64,
 }
 
@@ -88,7 +94,7 @@
         headers.insert(ENDPOINT, endpoint);
         headers.insert(RANK, HeaderValue::from(self.rank));
         headers.insert(ROOT_RANK, HeaderValue::from(self.root_rank));
-        headers.insert(ROUTE, HeaderValue::from(self.class.0));
+        headers.insert(CLASS, HeaderValue::from(self.class.0));
         headers.insert(OBJECTIVE, millis(self.objective));
         headers.insert(REMAINING, millis(self.remaining));
         headers.insert(WAIT, millis(self.wait));
@@ -108,7 +114,7 @@
             ENDPOINT,
             RANK,
             ROOT_RANK,
-            ROUTE,
+            CLASS,
             OBJECTIVE,
             REMAINING,
             WAIT,
@@ -137,7 +143,7 @@
         let endpoint = endpoint.and_then(|text| text.parse::<EndpointId>().ok());
         let rank = number(headers.remove(RANK));
         let root_rank = headers.remove(ROOT_RANK);
-        let class = number(headers.remove(ROUTE));
+        let class = number(headers.remove(CLASS));
         let objective = number(headers.remove(OBJECTIVE));
         let remaining = number(headers.remove(REMAINING));
         let wait = number(headers.remove(WAIT));
@@ -167,33 +173,33 @@
     }
 }
 
-/// Thousandths of a request that is repeated in part; none for one that is not.
+/// Thousandths of a request that count as a retry; none where none do.
 fn retried_share_value(retried_share: f64) -> Option<HeaderValue> {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a part is between 0 and 1"
+        reason = "a share is between 0 and 1"
     )]
     let thousandths = (retried_share.clamp(0.0, 1.0) * 1_000.0).round() as u32;
     (thousandths > 0).then(|| HeaderValue::from(thousandths))
 }
 
-fn read_retried_share(told: Option<HeaderValue>) -> Result<f64, InvalidHandover> {
-    if told.is_none() {
+fn read_retried_share(value: Option<HeaderValue>) -> Result<f64, InvalidHandover> {
+    if value.is_none() {
         return Ok(0.0);
     }
-    let thousandths = number(told).and_then(|told| u16::try_from(told).ok());
-    let thousandths = thousandths.filter(|told| *told <= 1_000);
+    let thousandths = number(value).and_then(|number| u16::try_from(number).ok());
+    let thousandths = thousandths.filter(|thousandths| *thousandths <= 1_000);
     let thousandths = thousandths.ok_or(InvalidHandover("bw-repeated"))?;
     Ok(f64::from(thousandths) / 1_000.0)
 }
 
-/// Rank of the tree; that of the request itself where a daemon of an earlier version does not tell it.
-fn read_root_rank(told: Option<HeaderValue>, own_rank: u32) -> Result<u32, InvalidHandover> {
-    if told.is_none() {
+/// Rank of the request at the root; that of the request itself where a daemon of an earlier version leaves it out.
+fn read_root_rank(value: Option<HeaderValue>, own_rank: u32) -> Result<u32, InvalidHandover> {
+    if value.is_none() {
         return Ok(own_rank);
     }
-    let rank = number(told).and_then(|rank| u32::try_from(rank).ok());
+    let rank = number(value).and_then(|rank| u32::try_from(rank).ok());
     rank.ok_or(InvalidHandover("bw-root-rank"))
 }
 
@@ -201,11 +207,11 @@
     HeaderValue::try_from(content.to_string()).expect("digits are visible ASCII")
 }
 
-fn read_content(told: Option<HeaderValue>) -> Result<Option<ContentDigest>, InvalidHandover> {
-    let Some(told) = told else {
+fn read_content(value: Option<HeaderValue>) -> Result<Option<ContentDigest>, InvalidHandover> {
+    let Some(value) = value else {
         return Ok(None);
     };
-    let digest = told.to_str().ok().and_then(|text| text.parse().ok());
+    let digest = value.to_str().ok().and_then(|text| text.parse().ok());
     digest.map(Some).ok_or(InvalidHandover("bw-content"))
 }
 
@@ -223,8 +229,8 @@
 }
 
 /// One that can't be read counts as none, as from a daemon of an earlier version.
-fn read_percent(told: Option<HeaderValue>) -> u32 {
-    let percent = number(told).and_then(|percent| u32::try_from(percent).ok());
+fn read_percent(value: Option<HeaderValue>) -> u32 {
+    let percent = number(value).and_then(|percent| u32::try_from(percent).ok());
     percent.unwrap_or_default()
 }
 
@@ -237,104 +243,58 @@
     })
 }
 
-/// What the daemon beside the endpoint tells with an answer besides how the attempt ended.
+/// What the daemon beside the endpoint reports with an answer besides how the attempt ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerReport {
-    /// Load of the endpoint; none if it was not told or can't be read.
+    /// Load of the endpoint; none if it was not reported or can't be read.
     pub load: Option<LoadReport>,
-    /// Whether the request's route is called by endpoints only.
+    /// Whether the request's class is likely called by endpoints only; header `bw-nested`.
     pub is_likely_nested: bool,
-    /// Where a call of the endpoint had found no room right before it failed the request.
+    /// Where a call of the endpoint had found no capacity right before it failed the request; header `bw-short-below`.
     pub short_downstream: Option<ServiceName>,
-    /// Hundredths of the bound on repeats that are used where the endpoint's calls go.
+    /// Hundredths of the bound on retries that are used where the endpoint's calls go; header `bw-bound-used`, 0 where
+    /// it is left out or can't be read.
     pub bound_used_percent: u32,
 }
 
-/// How an attempt ended at the daemon beside the endpoint.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptResult {
-    /// The endpoint ran the request; its answer follows.
-    Answered,
-    /// The endpoint got the request and refused it.
-    Rejected,
-    /// Another endpoint has the address; it refused the request.
-    OtherEndpoint,
-    /// The daemon refused: no slot came free in time.
-    Full,
-    /// The daemon refused: endpoints end under the request's content.
-    Quarantined,
-    /// The daemon refused: the endpoint is not there, leaves, or the daemon stops.
-    Leaving,
-    /// The endpoint could not be reached; it got nothing.
-    Unreachable,
-    /// The endpoint may have run the request; its answer is lost.
-    Lost,
-    /// The daemon does not answer any more; the endpoint may have run the request.
-    Silent,
-}
-
-impl AttemptResult {
-    const ALL: [Self; 9] = [
-        Self::Answered,
-        Self::Rejected,
-        Self::OtherEndpoint,
-        Self::Full,
-        Self::Quarantined,
-        Self::Leaving,
-        Self::Unreachable,
-        Self::Lost,
-        Self::Silent,
-    ];
-
-    /// Name in headers and logs.
-    pub const fn as_str(self) -> &'static str {
-        match self {
-            Self::Answered => "answered",
-            Self::Rejected => "rejected",
-            Self::OtherEndpoint => "other-endpoint",
-            Self::Full => "full",
-            Self::Quarantined => "quarantined",
-            Self::Leaving => "leaving",
-            Self::Unreachable => "unreachable",
-            Self::Lost => "lost",
-            Self::Silent => "silent",
-        }
-    }
-
-    /// Sets the headers of an answer.
-    pub fn write(self, told: &AnswerReport, headers: &mut HeaderMap) {
-        headers.insert(RESULT, HeaderValue::from_static(self.as_str()));
-        if let Some(load) = told.load {
+impl AnswerReport {
+    /// Sets the headers of an answer to an attempt that ended so.
+    pub fn write(&self, result: AttemptResult, headers: &mut HeaderMap) {
+        headers.insert(RESULT, HeaderValue::from_static(result.as_str()));
+        if let Some(load) = self.load {
             let load = format!("{},{},{}", load.busy, load.limit, load.failed_percent);
             let load = HeaderValue::try_from(load).expect("numbers consist of visible ASCII");
             headers.insert(LOAD, load);
         }
-        if told.is_likely_nested {
+        if self.is_likely_nested {
             headers.insert(NESTED, HeaderValue::from_static(YES));
         }
-        if let Some(service) = &told.short_downstream {
+        if let Some(service) = &self.short_downstream {
             let service =
                 HeaderValue::try_from(service.as_str()).expect("names consist of visible ASCII");
-            headers.insert(SHORT, service);
+            headers.insert(SHORT_DOWNSTREAM, service);
         }
-        if told.bound_used_percent > 0 {
-            headers.insert(BOUND_USED, HeaderValue::from(told.bound_used_percent));
+        if self.bound_used_percent > 0 {
+            headers.insert(BOUND_USED, HeaderValue::from(self.bound_used_percent));
         }
     }
 
-    /// Takes the headers off an answer; `None` if it is not one of a daemon.
-    pub fn take(headers: &mut HeaderMap) -> Option<(Self, AnswerReport)> {
+    /// Takes the headers off an answer, with how the attempt ended; `None` if it is not one of a daemon.
+    pub fn take(headers: &mut HeaderMap) -> Option<(AttemptResult, Self)> {
         let result = headers.remove(RESULT)?;
-        let is_named = |known: &Self| known.as_str().as_bytes() == result.as_bytes();
-        let known = Self::ALL.into_iter().find(is_named)?;
+        let is_named = |known: &AttemptResult| known.as_str().as_bytes() == result.as_bytes();
+        let known = AttemptResult::ALL.into_iter().find(is_named)?;
         let load = headers.remove(LOAD);
         let load = load.as_ref().and_then(|value| value.to_str().ok());
-        let told = AnswerReport {
+        let report = Self {
             load: load.and_then(read_load),
             is_likely_nested: headers.remove(NESTED).is_some(),
-            short_downstream: headers.remove(SHORT).as_ref().and_then(read_service),
+            short_downstream: headers
+                .remove(SHORT_DOWNSTREAM)
+                .as_ref()
+                .and_then(read_service),
             bound_used_percent: read_percent(headers.remove(BOUND_USED)),
         };
-        Some((known, told))
+        Some((known, report))
     }
 }
--- a/crates/bramblewheel-proxy/tests/pinned_wire.rs
+++ b/crates/bramblewheel-proxy/tests/pinned_wire.rs
@@ -140,10 +140,10 @@
 #[test]
 fn answers_are_written_as_recorded_and_recorded_ones_are_read() {
     let mut written = HeaderMap::new();
-    AttemptResult::Answered.write(&told(), &mut written);
+    told().write(AttemptResult::Answered, &mut written);
     assert_eq!(written, headers(&FULL_ANSWER));
     let mut recorded = headers(&FULL_ANSWER);
-    let taken = AttemptResult::take(&mut recorded);
+    let taken = AnswerReport::take(&mut recorded);
     assert_eq!(taken, Some((AttemptResult::Answered, told())));
 }
 
@@ -151,9 +151,9 @@
 fn results_keep_their_words() {
     for (result, word) in RESULTS {
         let mut written = HeaderMap::new();
-        result.write(&AnswerReport::default(), &mut written);
+        AnswerReport::default().write(result, &mut written);
         assert_eq!(written, headers(&[("bw-result", word)]));
-        let taken = AttemptResult::take(&mut headers(&[("bw-result", word)]));
+        let taken = AnswerReport::take(&mut headers(&[("bw-result", word)]));
         assert_eq!(taken, Some((result, AnswerReport::default())));
     }
 }
--- a/crates/bramblewheel-proxy/tests/wire.rs
+++ b/crates/bramblewheel-proxy/tests/wire.rs
@@ -75,8 +75,8 @@
 fn what_is_told_with_an_answer_is_read_as_it_was_written() {
     for told in [told(), AnswerReport::default()] {
         let mut headers = HeaderMap::new();
-        AttemptResult::Answered.write(&told, &mut headers);
-        let taken = AttemptResult::take(&mut headers);
+        told.write(AttemptResult::Answered, &mut headers);
+        let taken = AnswerReport::take(&mut headers);
         assert_eq!(taken, Some((AttemptResult::Answered, told)));
         assert!(headers.is_empty(), "{headers:?}");
     }
@@ -95,10 +95,10 @@
 #[test]
 fn nonsense_counts_as_not_told() {
     let mut headers = HeaderMap::new();
-    AttemptResult::Full.write(&told(), &mut headers);
+    told().write(AttemptResult::Full, &mut headers);
     headers.insert("bw-short-below", HeaderValue::from_static("no name at all"));
     headers.insert("bw-load", HeaderValue::from_static("many"));
-    let (result, told) = AttemptResult::take(&mut headers).expect("a result");
+    let (result, told) = AnswerReport::take(&mut headers).expect("a result");
     assert_eq!(result, AttemptResult::Full);
     assert_eq!(told.short_downstream, None);
     assert_eq!(told.load, None);
