--- a/crates/bramblewheel-proxy/src/control/content_reports.rs
+++ b/crates/bramblewheel-proxy/src/control/content_reports.rs
@@ -93,7 +93,7 @@
 }
 
 fn log_end(shared: &Shared, end: &EndpointCrash, suspects: usize) {
-    let most_often = shared.local.count_end(end);
+    let most_often = shared.local.count_crash(end);
     let most_often: Vec<String> = most_often
         .iter()
         .map(|(content, ends)| format!("{content}:{ends}"))
--- a/crates/bramblewheel-proxy/src/control/registrar.rs
+++ b/crates/bramblewheel-proxy/src/control/registrar.rs
@@ -77,13 +77,13 @@
     pub fn ready(&self, mut record: EndpointRecord) -> HeartbeatResult {
         let before = self.local.record();
         let heard = self.local.take_heartbeat(self.clock.now(), &mut record);
-        if heard == HeartbeatResult::News {
+        if heard == HeartbeatResult::Changed {
             self.note_succession(before, &record);
         }
         if heard != HeartbeatResult::Known {
             self.log_word(&record, heard);
         }
-        if heard == HeartbeatResult::News {
+        if heard == HeartbeatResult::Changed {
             // The receiver lives as long as the daemon.
             let _ = self.news.send(record);
         }
@@ -100,7 +100,7 @@
         };
         // Connections to a start that has ended may still look open.
         self.endpoint_pools.forget(before.endpoint_address);
-        if let Some(end) = self.local.take_end(&before.endpoint) {
+        if let Some(end) = self.local.take_crash(&before.endpoint) {
             self.reporter.endpoint_ended(end);
         }
     }
@@ -128,7 +128,7 @@
     fn log_word(&self, record: &EndpointRecord, heard: HeartbeatResult) {
         slog::info!(self.log, "endpoint says"; "endpoint" => %record.endpoint,
             "service" => %record.service, "state" => ?record.state, "slots" => record.slots,
-            "sequence" => record.sequence, "taken_as" => ?heard);
+            "sequence" => record.sequence, "taken_as" => heard.as_str());
     }
 
     async fn record(&self, record: &EndpointRecord, longest: Duration) -> Option<EndpointState> {
@@ -158,7 +158,7 @@
         let is_given_up = recorded.endpoint == current.endpoint
             && recorded.state == EndpointState::Silent
             && current.state == EndpointState::Ready;
-        if is_given_up && self.local.is_heard() {
+        if is_given_up && self.local.has_sent_heartbeat() {
             let _ = self.news.send(current);
         }
     }
--- a/crates/bramblewheel-proxy/src/in_progress.rs
+++ b/crates/bramblewheel-proxy/src/in_progress.rs
@@ -1,6 +1,7 @@
 //! The requests that have come and are not answered to their last byte, and how far each of them is.
 //!
-//! A planned stop waits for them, and names those that it can't wait for.
+//! A planned stop waits for them, and names those that it can't wait for. Owns one entry for each request, from its arrival until
+//! the last byte of its answer; an entry leaves when its guard is dropped.
 
 use bramblewheel_process::invariants::lock;
 use bramblewheel_types::Timestamp;
@@ -34,7 +35,7 @@
 pub enum Stage {
     /// Its body is being read.
     Reading,
-    /// An endpoint is being chosen, or it waits for a place at the local one; nobody runs it.
+    /// An endpoint is being chosen, or it waits for a slot at the local one; nobody runs it.
     Waiting,
     /// It was sent, to the daemon beside an endpoint or to the local endpoint; it may run.
     Sent,
@@ -68,7 +69,7 @@
     arrived: Timestamp,
     id: OnceLock<HeaderValue>,
     stage: AtomicU8,
-    is_call: AtomicBool,
+    is_likely_nested: AtomicBool,
 }
 
 impl Progress {
@@ -88,13 +89,13 @@
         Stage::of(self.stage.load(Ordering::Relaxed))
     }
 
-    /// Notes that the request is taken for a call of the local endpoint.
-    pub fn note_call(&self) {
-        self.is_call.store(true, Ordering::Relaxed);
+    /// Notes that the local endpoint likely makes the request for one that it runs.
+    pub fn note_likely_nested(&self) {
+        self.is_likely_nested.store(true, Ordering::Relaxed);
     }
 }
 
-/// One request in progress, for those who look on.
+/// One request in progress, as it is now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenRequest {
     /// Who sent it.
@@ -105,8 +106,8 @@
     pub arrived: Timestamp,
     /// How far it is.
     pub stage: Stage,
-    /// Whether it is taken for a call of the local endpoint.
-    pub is_call: bool,
+    /// Whether the local endpoint likely makes it for a request that it runs.
+    pub is_likely_nested: bool,
 }
 
 #[derive(Debug, Default)]
@@ -127,7 +128,7 @@
             arrived,
             id: OnceLock::new(),
             stage: AtomicU8::new(Stage::Reading as u8),
-            is_call: AtomicBool::new(false),
+            is_likely_nested: AtomicBool::new(false),
         });
         let mut open = lock(&self.0);
         open.next_number += 1;
@@ -154,7 +155,7 @@
             id: progress.id.get().cloned(),
             arrived: progress.arrived,
             stage: progress.stage(),
-            is_call: progress.is_call.load(Ordering::Relaxed),
+            is_likely_nested: progress.is_likely_nested.load(Ordering::Relaxed),
         });
         shown.collect()
     }
--- a/crates/bramblewheel-proxy/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-proxy/src/inbound/dispatch.rs
@@ -261,7 +261,7 @@
     /// The endpoint may have run the request; `what` broke.
     fn lost(&self, what: &'static str) -> AttemptResult {
         let (shared, handover) = (self.shared, self.handover);
-        shared.local.has_failed(shared.clock.now());
+        shared.local.note_failure(shared.clock.now());
         slog::info!(shared.log, "answer lost"; "id" => text(&self.id),
             "endpoint" => %handover.endpoint, "broken" => what,
             "content" => handover.content.map(|content| content.to_string()));
--- a/crates/bramblewheel-proxy/src/inbound/mod.rs
+++ b/crates/bramblewheel-proxy/src/inbound/mod.rs
@@ -10,7 +10,7 @@
 use crate::http::fields;
 use crate::http::server::Handler;
 use crate::in_progress::{Progress, Sender, Stage};
-use crate::outbound::liveness::PING_PATH;
+use crate::outbound::liveness::PROBE_PATH;
 use crate::shared::Shared;
 use crate::wire::{AnswerReport, AttemptResult, Handover};
 use bramblewheel_types::Timestamp;
@@ -94,7 +94,7 @@
 /// Whether another daemon only wants to know whether this one answers.
 fn is_probe(head: &Parts) -> bool {
     let is_handed_over = Handover::is_on(&head.headers);
-    head.uri.path() == PING_PATH && head.method == Method::GET && !is_handed_over
+    head.uri.path() == PROBE_PATH && head.method == Method::GET && !is_handed_over
 }
 
 /// How an attempt ends that the daemon can't wait for.
--- a/crates/bramblewheel-proxy/src/local/crash_probe.rs
+++ b/crates/bramblewheel-proxy/src/local/crash_probe.rs
@@ -1,7 +1,9 @@
-//! Finds out whether the local endpoint ended when connections to it break.
+//! Finds out whether the local endpoint crashed when connections to it break.
 //!
 //! A broken connection alone says little: endpoints reset connections, and so do networks. A process
-//! that has ended refuses new ones.
+//! that has crashed refuses new ones, so that the endpoint counts as crashed where none opens. Owns nothing; what the endpoint was
+//! running goes to the control group. Shown by the log line `endpoint ended` and the metric
+//! `bramblewheel_endpoint_ends_total`.
 
 use crate::shared::Shared;
 use bramblewheel_types::EndpointId;
@@ -10,12 +12,13 @@
 use std::time::Duration;
 
 /// Time in which all broken connections of one process are noticed, also where the daemon has a part
-/// of a core: within 10 ms as logs show.
+/// of a core. Logs show 10 ms; ten times as much is chosen.
 const NOTICED_WITHIN: Duration = Duration::from_millis(100);
-/// Least time between two looks, so that an endpoint that resets many connections is not asked for each.
+/// Least time between two probes, so that an endpoint that resets many connections is not probed for each. Chosen, not
+/// measured.
 const PROBE_PERIOD: Duration = Duration::from_millis(100);
 
-/// A connection to the endpoint broke under a request: finds out whether the endpoint has ended, unless
+/// A connection to the endpoint broke under a request: finds out whether the endpoint has crashed, unless
 /// that is being done already.
 pub fn probe_for_crash(shared: &Arc<Shared>, endpoint: &EndpointId, address: SocketAddr) {
     if !shared.local.begin_probe() {
@@ -31,8 +34,8 @@
                 continue;
             }
             tokio::time::sleep(NOTICED_WITHIN).await;
-            if let Some(end) = shared.local.take_end(&endpoint) {
-                shared.reporter.endpoint_ended(end);
+            if let Some(crash) = shared.local.take_crash(&endpoint) {
+                shared.reporter.endpoint_ended(crash);
             }
         }
     });
--- a/crates/bramblewheel-proxy/src/local/mod.rs
+++ b/crates/bramblewheel-proxy/src/local/mod.rs
@@ -1,8 +1,13 @@
-//! The endpoint beside the daemon: who it is, whether it takes work, and who waits for it.
+//! The endpoint beside the daemon: which incarnation is there, whether it takes work, and who waits for a slot.
 //!
 //! All requests for an endpoint pass through the daemon beside it, so that this is the one place
-//! where its leaving, its identity and its limit are enforced.
+//! where its draining, its identity and its limits are enforced.
+//!
+//! Owns the state of the local endpoint, under one lock: the last heartbeats, the queue, the limits of classes, what runs and
+//! what got no answer. `starts` orders the endpoint's incarnations, `admission` gives slots as [`Permit`]s, [`crash_probe`] finds
+//! out whether the endpoint crashed. Relies on heartbeats of the endpoint and on what the control group confirms.
 
+mod admission;
 pub mod crash_probe;
 mod permit;
 mod starts;
@@ -10,28 +15,20 @@
 
 pub use permit::Permit;
 
-use crate::wire::Handover;
-use bramblewheel_decisions::admission::{Arrival, QueuePosition};
 use bramblewheel_decisions::directory::LoadReport;
 use bramblewheel_decisions::endpoint_crash::EndpointCrash;
-use bramblewheel_decisions::exemption::is_exempt_from_class_limit;
 use bramblewheel_decisions::fading_share::whole_percent;
 use bramblewheel_decisions::request_class::RequestClass;
-use bramblewheel_decisions::running_requests::RunningRequest;
-use bramblewheel_process::clock::Clock;
 use bramblewheel_process::invariants::lock;
 use bramblewheel_protocol::content::ContentDigest;
 use bramblewheel_protocol::routing::{EndpointRecord, EndpointState};
 use bramblewheel_types::{EndpointId, ServiceName, Timestamp};
-use permit::{ClassShare, Waiting};
 use starts::Origin;
-use state::{Current, RefusedCall, State};
-use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard};
+use state::{CallWithoutCapacity, Current, State};
+use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
-use tokio::sync::oneshot;
 
-/// Pause after the endpoint could not be reached, in which it is not tried again.
+/// Pause after the endpoint could not be reached, in which nothing is sent to it. Chosen, not measured.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(300);
 
 /// Why a request may not go to the endpoint; it got nothing.
@@ -39,23 +36,35 @@
 pub enum Refusal {
     /// No slot came free in time.
     Full,
-    /// The endpoint is not there or takes no work.
+    /// The endpoint is not there, is draining, or the daemon stops.
     Leaving,
     /// The endpoint could not be reached a moment ago.
     Unreachable,
 }
 
-/// What comes of an endpoint's word.
+/// What comes of an endpoint's heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatResult {
     /// Nothing that others must know.
     Known,
-    /// The control group is to record it.
-    News,
-    /// It is older than what is known.
+    /// The control group is to record what it says.
+    Changed,
+    /// It is older than what is known, or of an incarnation that another one followed.
     Late,
-    /// It does not say when its sender started, although it did before: it is left out.
-    Untold,
+    /// It does not say when its sender started, although its sender did before: it is left out.
+    WithoutStart,
+}
+
+impl HeartbeatResult {
+    /// Name in logs.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Known => "Known",
+            Self::Changed => "News",
+            Self::Late => "Late",
+            Self::WithoutStart => "Untold",
+        }
+    }
 }
 
 /// Requests at the endpoint that may have made a call.
@@ -78,23 +87,24 @@
         lock(&self.state)
     }
 
-    /// Takes an endpoint's word. What is final closes the endpoint at once; what is new opens it
-    /// only once the control group has [confirmed](Self::confirm) it. The record gets the id by which the start is known.
+    /// Takes an endpoint's heartbeat. What is final closes the endpoint at once; what is new opens it
+    /// only once the control group has [confirmed](Self::confirm) it. The record gets the id by which the incarnation is
+    /// known.
     pub fn take_heartbeat(&self, now: Timestamp, record: &mut EndpointRecord) -> HeartbeatResult {
         let mut state = self.lock();
         match state.origin(now, record) {
             Origin::Newest(id) => record.endpoint = id,
             Origin::Earlier => return HeartbeatResult::Late,
-            Origin::Untold => return HeartbeatResult::Untold,
+            Origin::Unstated => return HeartbeatResult::WithoutStart,
         }
         let record = record.clone();
         let endpoint = record.endpoint.clone();
-        let last_word = state.last_sequences.get(&endpoint).copied();
-        let is_late = last_word.is_some_and(|last| record.sequence <= last);
+        let last_sequence = state.last_sequences.get(&endpoint).copied();
+        let is_late = last_sequence.is_some_and(|last| record.sequence <= last);
         if is_late && !record.state.is_final() {
             return HeartbeatResult::Late;
         }
-        let sequence = record.sequence.max(last_word.unwrap_or_default());
+        let sequence = record.sequence.max(last_sequence.unwrap_or_default());
         state.remember(&endpoint, sequence);
         if record.state.is_final() {
             return state.take_final_heartbeat(record);
@@ -105,7 +115,7 @@
         state.take_ready_heartbeat(now, record)
     }
 
-    /// Takes what the control group says of an endpoint; returns whether it takes work.
+    /// Takes what the control group has recorded of an endpoint; returns whether the endpoint takes work.
     pub fn confirm(&self, endpoint: &EndpointId, recorded: EndpointState) -> bool {
         let mut state = self.lock();
         if recorded.is_final() {
@@ -134,12 +144,12 @@
         state.set_current(Current {
             record: record.clone(),
             is_confirmed: true,
-            last_word: None,
+            last_heartbeat: None,
             unreachable_until: Timestamp::ZERO,
         });
     }
 
-    /// Ends once a later start of this endpoint is heard: what runs at the earlier one is lost.
+    /// Ends with the first heartbeat of a later incarnation of this endpoint: what runs at the earlier one is lost.
     pub async fn until_started_again(&self, endpoint: &EndpointId) {
         let mut newest = self.lock().newest.subscribe();
         let is_later = |newest: &Option<EndpointId>| {
@@ -166,11 +176,12 @@
         }
     }
 
-    /// The endpoint that takes work but has not been heard for `silence`.
+    /// The record of the endpoint as silent, if it takes work but has sent no heartbeat for `silence`; it takes no work from now
+    /// on.
     pub fn silent(&self, now: Timestamp, silence: Duration) -> Option<EndpointRecord> {
         let mut state = self.lock();
         let current = state.current.as_mut()?;
-        let last = *current.last_word.get_or_insert(now);
+        let last = *current.last_heartbeat.get_or_insert(now);
         let is_silent = current.is_confirmed
             && current.record.state == EndpointState::Ready
             && now.since(last) > silence;
@@ -178,7 +189,7 @@
             return None;
         }
         current.is_confirmed = false;
-        current.last_word = None;
+        current.last_heartbeat = None;
         let silent = EndpointRecord {
             state: EndpointState::Silent,
             ..current.record.clone()
@@ -187,11 +198,11 @@
         Some(silent)
     }
 
-    /// Whether the endpoint was heard since this daemon started, and takes work.
-    pub fn is_heard(&self) -> bool {
+    /// Whether the endpoint has sent a heartbeat since this daemon started or the endpoint fell silent.
+    pub fn has_sent_heartbeat(&self) -> bool {
         let state = self.lock();
         let current = state.current.as_ref();
-        current.is_some_and(|current| current.last_word.is_some())
+        current.is_some_and(|current| current.last_heartbeat.is_some())
     }
 
     /// Whether the endpoint takes work, as the control group has confirmed.
@@ -203,7 +214,7 @@
         })
     }
 
-    /// The endpoint that takes work, as it was heard last.
+    /// The endpoint, as its last heartbeat says.
     pub fn record(&self) -> Option<EndpointRecord> {
         let state = self.lock();
         state.current.as_ref().map(|current| current.record.clone())
@@ -226,12 +237,12 @@
         }
     }
 
-    /// The endpoint has failed a request without an answer, or refused one that was let in.
-    pub fn has_failed(&self, now: Timestamp) {
+    /// Counts a request that the endpoint has failed without an answer.
+    pub fn note_failure(&self, now: Timestamp) {
         self.lock().note_outcome(now, true);
     }
 
-    /// Requests of a route that may run at the endpoint now, rounded down; none if it had none yet.
+    /// Requests of a class that may run at the endpoint now, rounded down; none if it had none yet.
     pub fn class_limit(&self, class: RequestClass) -> Option<u32> {
         let state = self.lock();
         let limit = state.class_limits.get(&class)?;
@@ -254,143 +265,39 @@
         }
     }
 
-    /// Part to which a call with this much time left is made by a run that is repeated.
+    /// Part of a call with this much time left, 0 to 1, that counts as a retry because the run that makes it was itself
+    /// retried.
     pub fn retried_share_of_call(&self, now: Timestamp, remaining: Duration) -> f64 {
         self.lock().running.retried_share_of(now + remaining)
     }
 
-    /// A connection broke under a request; returns whether nobody is finding out yet if the endpoint ended.
+    /// A connection broke under a request; returns whether no probe is under way yet.
     pub fn begin_probe(&self) -> bool {
-        let look = &mut self.lock().look;
-        look.is_due = true;
-        !std::mem::replace(&mut look.is_under_way, true)
+        let probe = &mut self.lock().crash_probe;
+        probe.is_due = true;
+        !std::mem::replace(&mut probe.is_under_way, true)
     }
 
-    /// Whether a connection broke since the last look; if not, the looking is over.
+    /// Whether a connection broke since the last probe; if not, probing is over.
     pub fn is_probe_due(&self) -> bool {
-        let look = &mut self.lock().look;
-        let is_due = std::mem::take(&mut look.is_due);
-        look.is_under_way = is_due;
+        let probe = &mut self.lock().crash_probe;
+        let is_due = std::mem::take(&mut probe.is_due);
+        probe.is_under_way = is_due;
         is_due
     }
 
-    /// The endpoint has ended without a word: what it was running, if that was not taken yet.
-    pub fn take_end(&self, endpoint: &EndpointId) -> Option<EndpointCrash> {
+    /// The endpoint has crashed: what it was running, if that was not taken yet.
+    pub fn take_crash(&self, endpoint: &EndpointId) -> Option<EndpointCrash> {
         self.lock().unanswered.take_end(endpoint)
     }
 
-    /// Counts an end here; returns the contents under which most starts ended, with their number.
-    pub fn count_end(&self, end: &EndpointCrash) -> Vec<(ContentDigest, u32)> {
-        self.lock().ends_by_content.record(end)
-    }
-
-    /// Notes that a call of the endpoint found no room, for `short` being short of it.
-    pub fn note_call_without_capacity(&self, now: Timestamp, short: ServiceName) {
-        self.lock().refused_call = Some(RefusedCall { at: now, short });
-    }
-
-    /// Waits for a slot at the endpoint, until `until` at the latest.
-    ///
-    /// # Errors
-    /// [`Refusal`]; the endpoint got nothing.
-    pub async fn admit(
-        self: &Arc<Self>,
-        clock: Clock,
-        handover: &Handover,
-        is_likely_nested: bool,
-        until: Timestamp,
-    ) -> Result<Permit, Refusal> {
-        let share = ClassShare {
-            class: handover.class,
-            objective: handover.objective,
-            is_limited: !is_exempt_from_class_limit(handover.rank, is_likely_nested),
-        };
-        let begun = clock.now();
-        let entered = self.enter(clock.now(), handover, share, until)?;
-        if let Some((position, admission)) = entered.waiting {
-            let mut waiting = Waiting {
-                local: self,
-                clock,
-                class: share,
-                position,
-                is_over: false,
-            };
-            let admitted = clock.timeout_at(until, admission).await;
-            let Ok(admitted) = admitted else {
-                return Err(Refusal::Full);
-            };
-            waiting.is_over = true;
-            if !matches!(admitted, Ok(true)) {
-                self.lock().end_in_class(clock.now(), share, None);
-                return Err(Refusal::Full);
-            }
-        }
-        Ok(self.permit(clock, handover, share, begun, entered.address))
-    }
-
-    /// Takes a request in at the endpoint: it runs or waits.
-    fn enter(
-        &self,
-        now: Timestamp,
-        handover: &Handover,
-        share: ClassShare,
-        until: Timestamp,
-    ) -> Result<Entered, Refusal> {
-        let mut state = self.lock();
-        if let Some(refusal) = state.refusal(&handover.endpoint, now) {
-            return Err(refusal);
-        }
-        if !state.begin_in_class(now, share) {
-            return Err(Refusal::Full);
-        }
-        let current = state.current.as_ref().ok_or(Refusal::Leaving)?;
-        let address = current.record.endpoint_address;
-        let entered = state.enter(Arrival {
-            rank: handover.root_rank,
-            due: now + handover.remaining,
-            until,
-        });
-        if entered.is_err() {
-            state.end_in_class(now, share, None);
-        }
-        let waiting = entered?;
-        Ok(Entered { address, waiting })
+    /// Counts a crash here; returns the contents under which most incarnations crashed, with the number of crashes.
+    pub fn count_crash(&self, crash: &EndpointCrash) -> Vec<(ContentDigest, u32)> {
+        self.lock().crashes_by_content.record(crash)
     }
 
-    /// The slot of a request that runs from now on.
-    fn permit(
-        self: &Arc<Self>,
-        clock: Clock,
-        handover: &Handover,
-        class: ClassShare,
-        begun: Timestamp,
-        address: SocketAddr,
-    ) -> Permit {
-        let request = RunningRequest {
-            root_rank: handover.root_rank,
-            class: handover.class,
-            retried_share: handover.retried_share,
-        };
-        let running = &mut self.lock().running;
-        Permit {
-            local: Arc::clone(self),
-            clock,
-            class,
-            begun,
-            answered: None,
-            running: running.begin(begun + handover.remaining, request),
-            address,
-            endpoint: handover.endpoint.clone(),
-            content: handover.content,
-            is_sent: false,
-        }
+    /// Notes that a call of the endpoint found no capacity at this service.
+    pub fn note_call_without_capacity(&self, now: Timestamp, service: ServiceName) {
+        self.lock().call_without_capacity = Some(CallWithoutCapacity { at: now, service });
     }
 }
-
-/// A request that was taken in at the endpoint.
-struct Entered {
-    /// Where the endpoint listens.
-    address: SocketAddr,
-    /// Its position in the queue and what tells whether it may run; none where it runs at once.
-    waiting: Option<(QueuePosition, oneshot::Receiver<bool>)>,
-}
--- a/crates/bramblewheel-proxy/src/local/permit.rs
+++ b/crates/bramblewheel-proxy/src/local/permit.rs
@@ -1,4 +1,6 @@
-//! Places at the local endpoint, and the wait for one.
+//! Slots at the local endpoint, and the wait for one.
+//!
+//! Both are given back when dropped, so that a request that is cut off anywhere leaves nothing behind.
 
 use super::LocalEndpoint;
 use bramblewheel_decisions::admission::QueuePosition;
@@ -12,10 +14,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time within which an endpoint answers with an error once a call that it needs has failed.
+/// Time within which an endpoint answers with an error once a call that it needs has failed. Chosen, not measured.
 const FAILS_WITHIN: Duration = Duration::from_millis(15);
 
-/// A place at the endpoint; given back when dropped.
+/// A slot at the endpoint; given back when dropped.
 #[derive(Debug)]
 pub struct Permit {
     pub(super) local: Arc<LocalEndpoint>,
@@ -31,11 +33,13 @@
     pub(super) is_sent: bool,
 }
 
-/// A place among the requests of one route.
+/// A part in the limit of one class.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClassShare {
     pub(super) class: RequestClass,
+    /// Time within which an answer is of full use.
     pub(super) objective: Duration,
+    /// Whether the limit may refuse the request.
     pub(super) is_limited: bool,
 }
 
@@ -51,17 +55,17 @@
     }
 
     /// The endpoint's answer has come. If it failed the request right after a call of its own had found
-    /// no room, returns the service that was short.
+    /// no capacity, returns the service that had none.
     pub fn answered(&mut self, has_failed: bool) -> Option<ServiceName> {
         let now = self.clock.now();
         let time = now.since(self.begun);
         let mut state = self.local.lock();
         state.note_outcome(now, has_failed);
-        let refused_call = state.refused_call.clone().filter(|_| has_failed);
+        let call = state.call_without_capacity.clone().filter(|_| has_failed);
         drop(state);
         self.answered = Some(Answered { time, has_failed });
-        let recent = refused_call.filter(|call| now.since(call.at) < FAILS_WITHIN);
-        recent.map(|call| call.short)
+        let recent = call.filter(|call| now.since(call.at) < FAILS_WITHIN);
+        recent.map(|call| call.service)
     }
 }
 
@@ -79,7 +83,7 @@
     }
 }
 
-/// A request that waits for a place; leaves the queue when dropped.
+/// A request that waits for a slot; leaves the queue when dropped.
 pub(super) struct Waiting<'a> {
     pub(super) local: &'a LocalEndpoint,
     pub(super) clock: Clock,
@@ -97,9 +101,9 @@
         let mut state = self.local.lock();
         state.end_in_class(now, self.class, None);
         let has_waited = state.queue.leave(&self.position);
-        let was_told = state.waiting.remove(&self.position.ticket).is_none();
-        // A place that was given at the last moment is given back.
-        if !has_waited && was_told {
+        let was_decided = state.waiting.remove(&self.position.ticket).is_none();
+        // A slot that was given at the last moment is given back.
+        if !has_waited && was_decided {
             let started = state.queue.finish(now);
             state.start(started);
         }
--- a/crates/bramblewheel-proxy/src/local/state.rs
+++ b/crates/bramblewheel-proxy/src/local/state.rs
@@ -1,4 +1,7 @@
-//! What is known of the local endpoint, and who waits for it.
+//! What is known of the local endpoint, and who waits for a slot.
+//!
+//! Owns all of it; [`LocalEndpoint`](super::LocalEndpoint) holds it under its lock. Relies on
+//! [`Starts`] for the order of incarnations.
 
 use super::permit::ClassShare;
 use super::starts::{Origin, Starts};
@@ -17,32 +20,35 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// Starts of endpoints whose last word is remembered.
+/// Incarnations of which the last sequence number and the final state are kept, so that memory is bounded. Chosen, not
+/// measured.
 const MAX_REMEMBERED: usize = 256;
-/// Weight of the newest outcome in the share of failures.
+/// Weight of the newest outcome in the share of failures. Chosen, not measured.
 const FAILURE_SMOOTHING: f64 = 0.05;
-/// Silence of the current start of the endpoint after which a word of an earlier one is taken for what it
-/// says: two and a half heartbeats. A word that was held up on its way comes while the new one is heard.
+/// Silence of the current incarnation after which a heartbeat of an earlier one is taken for what it says: two and a half
+/// periods of heartbeats. One that was delayed on its way comes while the current one sends heartbeats. Chosen, not measured.
 const SUCCESSOR_SILENCE: Duration = Duration::from_secs(4);
-/// Routes whose times are known.
-const MAX_ROUTES: usize = 512;
+/// Classes with a limit, so that memory is bounded. Chosen, not measured.
+const MAX_CLASSES: usize = 512;
 
-/// The endpoint that was heard last.
+/// The endpoint whose heartbeat was taken last.
 #[derive(Debug)]
 pub(super) struct Current {
     pub(super) record: EndpointRecord,
     /// Whether the control group has confirmed that the endpoint takes work.
     pub(super) is_confirmed: bool,
-    pub(super) last_word: Option<Timestamp>,
+    /// When its last heartbeat came; none since the daemon's start, or since it fell silent.
+    pub(super) last_heartbeat: Option<Timestamp>,
+    /// Nothing is sent to it until then.
     pub(super) unreachable_until: Timestamp,
 }
 
-/// A call of the endpoint that found no room.
+/// A call of the endpoint that found no capacity.
 #[derive(Clone, Debug)]
-pub(super) struct RefusedCall {
+pub(super) struct CallWithoutCapacity {
     pub(super) at: Timestamp,
-    /// Service that was short.
-    pub(super) short: ServiceName,
+    /// Service that had none.
+    pub(super) service: ServiceName,
 }
 
 /// What is known of the endpoint.
@@ -53,60 +59,62 @@
     pub(super) class_limits: HashMap<RequestClass, ClassLimit>,
     /// Share of the requests that the endpoint failed lately.
     pub(super) failed: FadingShare,
+    /// What tells the requests in the queue whether they may run.
     pub(super) waiting: HashMap<Ticket, oneshot::Sender<bool>>,
-    /// The newest start of each endpoint.
+    /// The newest incarnation of each endpoint.
     pub(super) starts: Starts,
-    /// The start that was heard last.
+    /// The incarnation whose heartbeat was taken last.
     pub(super) newest: watch::Sender<Option<EndpointId>>,
-    /// Last word of each start, so that a late one does not bring it back.
+    /// Last sequence number of each incarnation, so that a late heartbeat does not bring it back.
     pub(super) last_sequences: HashMap<EndpointId, u64>,
-    /// Starts that were followed by another one here.
+    /// Incarnations that were followed by another one here.
     pub(super) succeeded: HashSet<EndpointId>,
-    /// Starts that take no work any more.
+    /// Incarnations that take no work any more.
     pub(super) final_states: HashMap<EndpointId, EndpointState>,
     pub(super) is_stopping: bool,
     /// Requests that run at the endpoint.
     pub(super) running: RunningRequests,
-    /// The last call of the endpoint that found no room.
-    pub(super) refused_call: Option<RefusedCall>,
+    /// The last call of the endpoint that found no capacity.
+    pub(super) call_without_capacity: Option<CallWithoutCapacity>,
     /// Requests whose answers will not come.
     pub(super) unanswered: UnansweredRequests,
-    /// How many starts ended under which content.
-    pub(super) ends_by_content: CrashesByContent,
-    pub(super) look: Look,
+    /// How many incarnations crashed under which content.
+    pub(super) crashes_by_content: CrashesByContent,
+    pub(super) crash_probe: CrashProbe,
 }
 
-/// The look for the end of the endpoint, after connections broke.
+/// The probe whether the endpoint crashed, after connections broke.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Look {
+pub(super) struct CrashProbe {
     pub(super) is_under_way: bool,
     pub(super) is_due: bool,
 }
 
 impl State {
-    /// Which start of the endpoint a word comes from.
+    /// Which incarnation of the endpoint a heartbeat comes from.
     pub(super) fn origin(&mut self, now: Timestamp, record: &EndpointRecord) -> Origin {
-        let said = &record.endpoint;
+        let stated = &record.endpoint;
         if record.state.is_final() {
-            return self.starts.take_final_heartbeat(now, said);
+            return self.starts.take_final_heartbeat(now, stated);
         }
         let final_states = &self.final_states;
         let has_ended = |start: &EndpointId| final_states.contains_key(start);
         self.starts
-            .take_heartbeat(now, said, record.sequence, has_ended)
+            .take_heartbeat(now, stated, record.sequence, has_ended)
     }
 
+    /// Another incarnation is there from now on.
     pub(super) fn set_current(&mut self, current: Current) {
         self.newest
             .send_replace(Some(current.record.endpoint.clone()));
         self.current = Some(current);
     }
 
-    /// Takes a request in among those of its route.
+    /// Takes a request in among those of its class; returns whether the limit of the class allows it.
     pub(super) fn begin_in_class(&mut self, now: Timestamp, share: ClassShare) -> bool {
         let capacity = self.queue.held();
         let limits = &mut self.class_limits;
-        if limits.len() >= MAX_ROUTES {
+        if limits.len() >= MAX_CLASSES {
             limits.clear();
         }
         let limit = limits.entry(share.class);
@@ -114,6 +122,7 @@
         limit.begin(!share.is_limited)
     }
 
+    /// A request that was taken in among those of its class has ended, with an answer or without.
     pub(super) fn end_in_class(
         &mut self,
         now: Timestamp,
@@ -130,24 +139,28 @@
         self.failed.record(now, has_failed, FAILURE_SMOOTHING);
     }
 
+    /// Lets requests in the queue run.
     pub(super) fn start(&mut self, tickets: Vec<Ticket>) {
-        self.tell(tickets, true);
+        self.decide_waiting(tickets, true);
     }
 
-    pub(super) fn tell(&mut self, tickets: Vec<Ticket>, may_run: bool) {
+    /// Tells requests in the queue whether they may run.
+    fn decide_waiting(&mut self, tickets: Vec<Ticket>, may_run: bool) {
         for ticket in tickets {
             if let Some(waiting) = self.waiting.remove(&ticket) {
-                // One that went away gives its place back by itself.
+                // One that went away gives its slot back by itself.
                 let _ = waiting.send(may_run);
             }
         }
     }
 
+    /// Refuses all requests in the queue.
     pub(super) fn refuse_waiting(&mut self) {
         let waiting = self.queue.refuse_all();
-        self.tell(waiting, false);
+        self.decide_waiting(waiting, false);
     }
 
+    /// Why a request for this incarnation may not go to the endpoint now, whatever its slots.
     pub(super) fn refusal(&self, endpoint: &EndpointId, now: Timestamp) -> Option<Refusal> {
         if self.is_stopping {
             return Some(Refusal::Leaving);
@@ -162,6 +175,7 @@
         (now < current.unreachable_until).then_some(Refusal::Unreachable)
     }
 
+    /// Keeps the last sequence number of an incarnation.
     pub(super) fn remember(&mut self, endpoint: &EndpointId, sequence: u64) {
         if self.last_sequences.len() >= MAX_REMEMBERED {
             self.last_sequences.clear();
@@ -176,21 +190,21 @@
         &mut self,
         arrival: Arrival,
     ) -> Result<Option<(QueuePosition, oneshot::Receiver<bool>)>, Refusal> {
-        let place = match self.queue.arrive(arrival) {
+        let position = match self.queue.arrive(arrival) {
             Admission::Run => return Ok(None),
             Admission::Refuse => return Err(Refusal::Full),
-            Admission::Wait(place) => place,
-            Admission::WaitInsteadOf(place, displaced) => {
-                self.tell(vec![displaced], false);
-                place
+            Admission::Wait(position) => position,
+            Admission::WaitInsteadOf(position, displaced) => {
+                self.decide_waiting(vec![displaced], false);
+                position
             }
         };
-        let (tell, told) = oneshot::channel();
-        self.waiting.insert(place.ticket, tell);
-        Ok(Some((place, told)))
+        let (sender, admission) = oneshot::channel();
+        self.waiting.insert(position.ticket, sender);
+        Ok(Some((position, admission)))
     }
 
-    /// The endpoint says that it leaves or has left.
+    /// Takes a heartbeat that says that the endpoint is draining or gone.
     pub(super) fn take_final_heartbeat(&mut self, record: EndpointRecord) -> HeartbeatResult {
         let wanted = record.state;
         let recorded = self.final_states.get(&record.endpoint);
@@ -203,9 +217,10 @@
             current.record.state = wanted;
             self.refuse_waiting();
         }
-        HeartbeatResult::News
+        HeartbeatResult::Changed
     }
 
+    /// Takes a heartbeat that says that the endpoint takes work.
     pub(super) fn take_ready_heartbeat(
         &mut self,
         now: Timestamp,
@@ -214,7 +229,7 @@
         if let Some(current) = &mut self.current
             && current.record.endpoint == record.endpoint
         {
-            current.last_word = Some(now);
+            current.last_heartbeat = Some(now);
             if current.record.state != EndpointState::Ready {
                 return HeartbeatResult::Late;
             }
@@ -227,7 +242,7 @@
             return if is_known {
                 HeartbeatResult::Known
             } else {
-                HeartbeatResult::News
+                HeartbeatResult::Changed
             };
         }
         if self.is_late_predecessor(now, &record.endpoint) {
@@ -240,23 +255,23 @@
         self.set_current(Current {
             record,
             is_confirmed: false,
-            last_word: Some(now),
+            last_heartbeat: Some(now),
             unreachable_until: Timestamp::ZERO,
         });
-        HeartbeatResult::News
+        HeartbeatResult::Changed
     }
 
-    /// Whether a word comes from a start that another one has followed which is still heard.
+    /// Whether a heartbeat comes from an incarnation that another one has followed which still sends heartbeats.
     fn is_late_predecessor(&self, now: Timestamp, endpoint: &EndpointId) -> bool {
         let Some(current) = &self.current else {
             return false;
         };
-        let last_word = current.last_word;
-        let is_heard = last_word.is_some_and(|last| now.since(last) < SUCCESSOR_SILENCE);
-        is_heard && self.succeeded.contains(endpoint)
+        let last_heartbeat = current.last_heartbeat;
+        let is_alive = last_heartbeat.is_some_and(|last| now.since(last) < SUCCESSOR_SILENCE);
+        is_alive && self.succeeded.contains(endpoint)
     }
 
-    /// Notes that a start follows the current one.
+    /// Notes that an incarnation follows the current one.
     fn note_succession(&mut self, endpoint: &EndpointId) {
         if self.succeeded.len() >= MAX_REMEMBERED {
             self.succeeded.clear();
@@ -267,6 +282,7 @@
         self.succeeded.remove(endpoint);
     }
 
+    /// An incarnation takes no work any more.
     pub(super) fn close(&mut self, endpoint: &EndpointId, recorded: EndpointState) {
         if self.final_states.len() >= MAX_REMEMBERED {
             self.final_states.clear();
--- a/crates/bramblewheel-proxy/src/outbound/bound_watch.rs
+++ b/crates/bramblewheel-proxy/src/outbound/bound_watch.rs
@@ -1,18 +1,20 @@
-//! Shows what is used of the bound on repeated sends: in metrics, and in the log while anything is repeated.
+//! Shows what is used of the bound on retries: in the metrics `bramblewheel_retry_bound_used` and
+//! `bramblewheel_retry_bound_allowed`, and in the log line `retry bound` while anything is retried. Owns nothing.
 
 use crate::shared::Shared;
 use bramblewheel_decisions::retry_budget::BoundUse;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two looks: a tenth of the shortest window in use, so that a breach is seen to build up.
-const PROBE_PERIOD: Duration = Duration::from_secs(1);
+/// Time between two readings: a tenth of the shortest window in use, so that a breach is seen to build up. Chosen, not
+/// measured.
+const READ_PERIOD: Duration = Duration::from_secs(1);
 
-/// Looks at the bound for as long as the daemon runs; never returns.
+/// Reads the bound for as long as the daemon runs; never returns.
 pub async fn run(shared: Arc<Shared>) {
-    let mut looks = tokio::time::interval(PROBE_PERIOD);
+    let mut ticks = tokio::time::interval(READ_PERIOD);
     loop {
-        looks.tick().await;
+        ticks.tick().await;
         let now = shared.clock.now();
         let uses = shared.routing().retry_bound.uses(now);
         for bound in &uses {
--- a/crates/bramblewheel-proxy/src/outbound/caller_request.rs
+++ b/crates/bramblewheel-proxy/src/outbound/caller_request.rs
@@ -104,7 +104,7 @@
         let is_likely_nested =
             is_nested_by_table || shared.routing().reported_nested.contains(&class);
         if is_likely_nested {
-            progress.note_call();
+            progress.note_likely_nested();
         }
         let allowed = remaining.unwrap_or(route.route.timeout);
         let deadline = arrived + allowed.min(route.route.timeout);
--- a/crates/bramblewheel-proxy/src/outbound/hand_over.rs
+++ b/crates/bramblewheel-proxy/src/outbound/hand_over.rs
@@ -50,7 +50,7 @@
         Ok(received) => received,
         Err(result) => return without_answer(result, AnswerReport::default()),
     };
-    shared.liveness.heard(daemon, clock.now());
+    shared.liveness.note_answer(daemon, clock.now());
     read_attempt(received).await
 }
 
--- a/crates/bramblewheel-proxy/src/outbound/liveness.rs
+++ b/crates/bramblewheel-proxy/src/outbound/liveness.rs
@@ -1,9 +1,12 @@
 //! Whether other daemons still answer.
 //!
-//! A machine that is frozen or cut off takes bytes, or seems to, and says nothing. A request that was
-//! sent there is lost for its caller, and one that may run only once can't be sent elsewhere. So a
-//! daemon that has not been heard for a moment is asked first, which costs one round trip, and asked
-//! again while a request waits for it. One question at a time serves all requests for a daemon.
+//! A machine that is frozen or cut off takes bytes, or seems to, and answers nothing. A request that was
+//! sent there is lost for its caller, and one that may run only once can't be rerouted. So a
+//! daemon that has not answered for a moment is probed first, which costs one round trip, and probed
+//! again while a request waits for it. One probe at a time serves all requests for a daemon.
+//!
+//! Owns the times of the last answer and the last failed probe of each other daemon, in memory only. Shown by the log
+//! line `daemon fell silent` and the results `unreachable` and `silent` of the metric `bramblewheel_attempts_total`.
 
 use crate::http::exchange::{self, Outgoing, OutgoingBody};
 use crate::http::pool::Pool;
@@ -17,45 +20,47 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Path of the question whether a daemon answers.
-pub const PING_PATH: &str = "/ping";
-/// Age of the last answer up to which a daemon is trusted with a request that may run only once.
+/// Path of the probe whether a daemon answers.
+pub const PROBE_PATH: &str = "/ping";
+/// Age of the last answer up to which a daemon is trusted with a request that may run only once. Chosen, not
+/// measured.
 const TRUSTED_ONCE: Duration = Duration::from_millis(300);
-/// The same for a request that can be sent elsewhere when the daemon turns out to be silent.
+/// The same for a request that can be attempted elsewhere when the daemon turns out to be silent. Chosen, not measured.
 const TRUSTED_REPEATABLE: Duration = Duration::from_millis(1_500);
-/// Time in which a daemon must answer the question.
+/// Time in which a daemon must answer a probe. Chosen, not measured.
 const ANSWER_TIME: Duration = Duration::from_millis(300);
-/// Least and longest time for which a waiting request takes a daemon's silence for work.
+/// Least and longest time for which a waiting request takes a daemon's silence for work. Chosen, not
+/// measured.
 const PATIENCE_BOUNDS: (Duration, Duration) =
     (Duration::from_millis(300), Duration::from_millis(600));
-/// Part of a request's objective for which it does so.
+/// Part of a request's objective, as a divisor, for which it does so. Chosen, not measured.
 const PATIENCE_PART: u32 = 4;
-/// Daemons whose word is remembered.
+/// Daemons whose answers are remembered, so that memory is bounded. Chosen, not measured.
 const MAX_DAEMONS: usize = 4_096;
 
-/// When other daemons were heard last.
+/// When other daemons answered last.
 #[derive(Debug, Default)]
 pub struct Liveness {
-    daemons: Mutex<HashMap<SocketAddr, Arc<HeartbeatResult>>>,
+    daemons: Mutex<HashMap<SocketAddr, Arc<OtherDaemon>>>,
 }
 
-/// What was heard of one daemon.
+/// One other daemon.
 #[derive(Debug, Default)]
-struct HeartbeatResult {
-    times: Mutex<HeardTimes>,
-    /// Held by the one that asks.
-    asking: tokio::sync::Mutex<()>,
+struct OtherDaemon {
+    times: Mutex<AnswerTimes>,
+    /// Held by the request that probes.
+    probing: tokio::sync::Mutex<()>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct HeardTimes {
+struct AnswerTimes {
     answered: Option<Timestamp>,
-    /// End of the last question without an answer.
+    /// End of the last probe without an answer.
     unanswered: Option<Timestamp>,
 }
 
-impl HeartbeatResult {
-    fn times(&self) -> MutexGuard<'_, HeardTimes> {
+impl OtherDaemon {
+    fn times(&self) -> MutexGuard<'_, AnswerTimes> {
         lock(&self.times)
     }
 
@@ -64,21 +69,21 @@
         answered.is_some_and(|answered| now.since(answered) <= trusted)
     }
 
-    /// Whether a question that was open at `begun` or asked since then got no answer.
+    /// Whether a probe that was open at `begun` or began since then got no answer.
     fn was_silent_since(&self, begun: Timestamp) -> bool {
         let unanswered = self.times().unanswered;
         unanswered.is_some_and(|unanswered| unanswered >= begun)
     }
 }
 
-/// How long a request with this objective waits for a silent daemon before it has it asked.
+/// How long a request with this objective waits for a silent daemon before it probes it.
 pub fn patience(objective: Duration) -> Duration {
     let (least, longest) = PATIENCE_BOUNDS;
     (objective / PATIENCE_PART).clamp(least, longest)
 }
 
 impl Liveness {
-    fn daemon(&self, daemon: SocketAddr) -> Arc<HeartbeatResult> {
+    fn daemon(&self, daemon: SocketAddr) -> Arc<OtherDaemon> {
         let mut daemons = lock(&self.daemons);
         if daemons.len() >= MAX_DAEMONS && !daemons.contains_key(&daemon) {
             daemons.clear();
@@ -87,12 +92,12 @@
     }
 
     /// Notes an answer of a daemon.
-    pub fn heard(&self, daemon: SocketAddr, now: Timestamp) {
+    pub fn note_answer(&self, daemon: SocketAddr, now: Timestamp) {
         self.daemon(daemon).times().answered = Some(now);
     }
 
     /// Whether a daemon may be sent a request: it answered a moment ago, or does so now. A request
-    /// that may be repeated and would open a connection needs no question: opening it is one.
+    /// that may run more than once and would open a connection needs no probe: opening it is one.
     pub async fn answers(
         &self,
         clock: Clock,
@@ -118,21 +123,21 @@
         pool: &Arc<Pool>,
         trusted: Duration,
     ) -> bool {
-        let heard = self.daemon(daemon);
+        let other = self.daemon(daemon);
         let begun = clock.now();
-        if heard.is_trusted(begun, trusted) {
+        if other.is_trusted(begun, trusted) {
             return true;
         }
-        let _asking = heard.asking.lock().await;
-        if heard.is_trusted(clock.now(), trusted) {
+        let _probing = other.probing.lock().await;
+        if other.is_trusted(clock.now(), trusted) {
             return true;
         }
-        if heard.was_silent_since(begun) {
+        if other.was_silent_since(begun) {
             return false;
         }
-        let answers = ask(pool).await;
+        let answers = probe(pool).await;
         let now = clock.now();
-        let mut times = heard.times();
+        let mut times = other.times();
         if answers {
             times.answered = Some(now);
         } else {
@@ -149,11 +154,11 @@
         pool: &Arc<Pool>,
         patience: Duration,
     ) {
-        let heard = self.daemon(daemon);
+        let other = self.daemon(daemon);
         let begun = clock.now();
         loop {
             let now = clock.now();
-            let since = heard.times().answered.unwrap_or(begun).max(begun);
+            let since = other.times().answered.unwrap_or(begun).max(begun);
             let left = patience.saturating_sub(now.since(since));
             if left > Duration::ZERO {
                 tokio::time::sleep(left).await;
@@ -166,18 +171,18 @@
     }
 }
 
-/// Asks a daemon whether it answers.
-async fn ask(pool: &Arc<Pool>) -> bool {
-    let mut question = Outgoing {
+/// Whether a daemon answers now.
+async fn probe(pool: &Arc<Pool>) -> bool {
+    let mut ping = Outgoing {
         method: Method::GET,
-        target: Uri::from_static(PING_PATH),
+        target: Uri::from_static(PROBE_PATH),
         headers: HeaderMap::new(),
         body: OutgoingBody::Whole(Bytes::new()),
     };
-    let asking = async {
-        let received = exchange::send(pool, &mut question, |_| ()).await.ok()?;
+    let answering = async {
+        let received = exchange::send(pool, &mut ping, |_| ()).await.ok()?;
         received.read(None).await.ok()
     };
-    let answer = tokio::time::timeout(ANSWER_TIME, asking).await;
+    let answer = tokio::time::timeout(ANSWER_TIME, answering).await;
     matches!(answer, Ok(Some(_)))
 }
--- a/crates/bramblewheel-proxy/src/outbound/retry.rs
+++ b/crates/bramblewheel-proxy/src/outbound/retry.rs
@@ -23,6 +23,7 @@
         counts: AttemptCounts,
         outgoing: &Outgoing,
     ) -> AfterFailure {
+        let is_suspect = self.shared.quarantine().is_watched(self.content);
         let attempt = FailedAttempt {
             result,
             request: self.retried_request(),
@@ -30,7 +31,7 @@
             is_past_latest_send: self.is_past_latest_send(),
             is_body_kept: outgoing.body.is_whole(),
             time_left: self.shared.clock.left_until(self.deadline),
-            is_suspect: self.shared.quarantine().is_watched(self.content),
+            is_suspect,
             service: self.service_state(service),
         };
         match after_failure(&attempt) {
--- a/crates/bramblewheel-proxy/src/planned_stop.rs
+++ b/crates/bramblewheel-proxy/src/planned_stop.rs
@@ -1,4 +1,4 @@
-//! The course of a planned stop.
+//! The course of a planned stop. Its times stand in [`StopSchedule`].
 //!
 //! 1. From the order on the daemon says that it is not ready, takes nothing more for its endpoint, and asks its
 //!    callers to close their connections with each answer. It serves what still comes: callers notice
@@ -9,6 +9,10 @@
 //! 3. Once nothing is in progress, or a second before the end by force, the listeners are closed.
 //! 4. Half a second before the end by force everything that is left gets an answer: not run where that is true, else one that
 //!    promises nothing. Only answers that are being passed on go on, until the connections are closed.
+//!
+//! Owns whether a stop has begun, and its schedule. Relies on [`crate::in_progress`] for what is left. Shown by the log lines
+//! `callers refused from now on`, `request while stopping` and `cut off by the stop`, and by the metric
+//! `bramblewheel_cut_off_total`.
 
 use crate::in_progress::OpenRequest;
 use crate::inbound::dispatch::text;
@@ -20,11 +24,12 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Time without a request after which nobody is taken to be sending any more.
+/// Time without a request after which nobody is taken to be sending any more. Chosen, not measured.
 const QUIET_TIME: Duration = Duration::from_millis(250);
-/// Requests that are named when the end of the process cuts them off.
+/// Requests that are named at most when the end of the process cuts them off, so that the log is bounded. Chosen, not
+/// measured.
 const MAX_NAMED: usize = 200;
-/// Time between two looks at what is in progress.
+/// Time between two checks of what is in progress. Chosen, not measured.
 const CHECK_PERIOD: Duration = Duration::from_millis(50);
 
 /// A planned stop, as all requests see it: not begun, or under way by its schedule.
@@ -104,11 +109,11 @@
             id,
             arrived,
             stage,
-            is_call,
+            is_likely_nested,
         } = request;
         shared.metrics.cut_off(sender, stage);
         slog::warn!(shared.log, "cut off by the stop"; "id" => id.as_ref().map_or("?", text),
-            "from" => sender.as_str(), "stage" => stage.as_str(), "is_call" => is_call,
+            "from" => sender.as_str(), "stage" => stage.as_str(), "is_call" => is_likely_nested,
             "after_ms" => Millis::of(now.since(arrived)).0);
     }
 }
--- a/crates/bramblewheel-proxy/src/shared.rs
+++ b/crates/bramblewheel-proxy/src/shared.rs
@@ -1,4 +1,7 @@
 //! What all parts of a daemon share.
+//!
+//! Owns the state of the daemon in memory, each part under a lock of its own. What a daemon restarts with is in none of it:
+//! route tables and endpoints come from the control group, the rest is learned anew.
 
 use crate::control::content_reports::ContentReporter;
 use crate::control::group::ControlGroup;
@@ -34,27 +37,27 @@
     pub directory: Directory,
     /// What is refused here since endpoints refuse it.
     pub early_refusal: EarlyRefusal,
-    /// Which routes of the local endpoint are called by endpoints only.
+    /// Which classes of the local endpoint's requests are likely called by endpoints only.
     pub nested_routes: NestedRoutes,
-    /// Routes of which endpoints' daemons say that they are nested calls.
+    /// Classes of which the daemons beside endpoints report that they are likely nested calls.
     pub reported_nested: HashSet<RequestClass>,
-    /// Bound on repeated sends.
+    /// Bound on retries.
     pub retry_bound: RetryBound,
     /// Random part of choices.
     pub random: Pcg64Mcg,
 }
 
 impl Routing {
-    /// Routes of nested calls that are kept in mind.
+    /// Classes of nested calls that are kept, so that memory is bounded. Chosen, not measured.
     const MAX_NESTED: usize = 512;
 
-    /// Notes what an endpoint's daemon told of a route; returns whether that is new.
-    pub fn note_nested(&mut self, class: RequestClass, told: &AnswerReport) -> bool {
-        // A daemon that tells its load tells of the route too; another one did not get that far.
-        if told.load.is_none() {
+    /// Notes what the daemon beside an endpoint reported of a class; returns whether that is new.
+    pub fn note_nested(&mut self, class: RequestClass, report: &AnswerReport) -> bool {
+        // A daemon that reports its load reports on the class too; another one did not get that far.
+        if report.load.is_none() {
             return false;
         }
-        if !told.is_likely_nested {
+        if !report.is_likely_nested {
             return self.reported_nested.remove(&class);
         }
         self.reported_nested.len() < Self::MAX_NESTED && self.reported_nested.insert(class)
@@ -66,14 +69,14 @@
 pub struct TenantAccess {
     /// How long the tenants of the table in force may be gone by.
     pub lease: TableLease,
-    /// What was let in for each tenant.
+    /// What was admitted for each tenant.
     pub quotas: TenantQuotas,
 }
 
 /// What all parts of a daemon share.
 #[derive(Debug)]
 pub struct Shared {
-    /// What the daemon was told.
+    /// Settings of the daemon.
     pub settings: Settings,
     /// Clock of all timestamps.
     pub clock: Clock,
@@ -83,13 +86,13 @@
     pub routing: Mutex<Routing>,
     /// Use of keys.
     pub tenant_access: Mutex<TenantAccess>,
-    /// Contents under which endpoints end.
+    /// Contents under which endpoints crash.
     pub quarantine: Mutex<QuarantineView>,
-    /// Takes what is seen of them here.
+    /// Takes reports on such contents.
     pub reporter: ContentReporter,
     /// The endpoint beside the daemon.
     pub local: Arc<LocalEndpoint>,
-    /// When other daemons were heard last.
+    /// When other daemons answered last.
     pub liveness: Liveness,
     /// Connections to other daemons.
     pub daemon_pools: Pools,
@@ -118,7 +121,7 @@
         lock(&self.tenant_access)
     }
 
-    /// Locks what is known of contents under which endpoints end.
+    /// Locks what is known of contents under which endpoints crash.
     pub fn quarantine(&self) -> MutexGuard<'_, QuarantineView> {
         lock(&self.quarantine)
     }
--- a/crates/bramblewheel-proxy/tests/endpoint_starts.rs
+++ b/crates/bramblewheel-proxy/tests/endpoint_starts.rs
@@ -139,7 +139,7 @@
             continue;
         }
         let heard = local.take_heartbeat(Timestamp::from_millis(word.arrives), &mut record);
-        if heard == HeartbeatResult::News {
+        if heard == HeartbeatResult::Changed {
             local.confirm(&record.endpoint, record.state);
         }
         if heard != HeartbeatResult::Late && record.state == EndpointState::Ready {
--- a/crates/bramblewheel-proxy/tests/local_endpoint.rs
+++ b/crates/bramblewheel-proxy/tests/local_endpoint.rs
@@ -38,12 +38,12 @@
     let local = LocalEndpoint::default();
     assert_eq!(
         local.take_heartbeat(at(0), &mut ready("old", 1)),
-        HeartbeatResult::News
+        HeartbeatResult::Changed
     );
     local.confirm(&id("old"), EndpointState::Ready);
     assert_eq!(
         local.take_heartbeat(at(2_000), &mut ready("new", 1)),
-        HeartbeatResult::News
+        HeartbeatResult::Changed
     );
     local.confirm(&id("new"), EndpointState::Ready);
     for sequence in 2..5 {
@@ -73,7 +73,7 @@
     );
     assert_eq!(
         local.take_heartbeat(at(6_000), &mut ready("new", 5)),
-        HeartbeatResult::News
+        HeartbeatResult::Changed
     );
     assert_eq!(current(&local), id("new"));
 }
@@ -87,7 +87,7 @@
     local.was_replaced(&id("old"));
     assert_eq!(
         local.take_heartbeat(at(1_500), &mut ready("new", 2)),
-        HeartbeatResult::News
+        HeartbeatResult::Changed
     );
     assert_eq!(current(&local), id("new"));
 }
@@ -104,7 +104,7 @@
 /// Hears a word at a time, and confirms what is new as the control group does.
 fn say(local: &LocalEndpoint, millis: u64, mut record: EndpointRecord) -> HeartbeatResult {
     let heard = local.take_heartbeat(at(millis), &mut record);
-    if heard == HeartbeatResult::News {
+    if heard == HeartbeatResult::Changed {
         local.confirm(&record.endpoint, record.state);
     }
     heard
@@ -129,7 +129,7 @@
             assert!(!local.is_open());
         }
         let heard = say(&local, 2_500, word("e", 2_400, 1, EndpointState::Ready));
-        assert_eq!(heard, HeartbeatResult::News);
+        assert_eq!(heard, HeartbeatResult::Changed);
         assert!(local.is_open());
         assert_eq!(current(&local).started(), Some(2_400));
     }
@@ -251,7 +251,10 @@
 fn a_word_without_a_start_is_left_out_after_one_with_it() {
     let local = LocalEndpoint::default();
     say(&local, 0, word("e", 2_000, 1, EndpointState::Ready));
-    assert_eq!(say(&local, 100, ready("e", 50)), HeartbeatResult::Untold);
+    assert_eq!(
+        say(&local, 100, ready("e", 50)),
+        HeartbeatResult::WithoutStart
+    );
     assert!(local.is_open());
     let mut end = EndpointRecord {
         state: EndpointState::Gone,
@@ -259,7 +262,7 @@
     };
     assert_eq!(
         local.take_heartbeat(at(200), &mut end),
-        HeartbeatResult::News
+        HeartbeatResult::Changed
     );
     assert_eq!(end.endpoint.started(), Some(2_000));
     assert!(!local.is_open());
