--- a/crates/bramblewheel-decisions/src/retry.rs
+++ b/crates/bramblewheel-decisions/src/retry.rs
@@ -79,7 +79,7 @@
 /// What is known of the service that the request goes to, at the time of the decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceState {
-    /// Whether requests of the class are widely refused for want of capacity; seen here, fades within 1 s.
+    /// Whether requests of the class are widely refused for want of capacity; seen here, fades within about 1 s.
     pub is_widely_refused: bool,
     /// Whether the endpoint failed the request right after a call of its own had found no capacity; reported with
     /// the answer.
