--- a/crates/bramblewheel-proxy/tests/endpoint_starts.rs
+++ b/crates/bramblewheel-proxy/tests/endpoint_starts.rs
@@ -1,5 +1,6 @@
-//! An endpoint that starts again and again under its name, with words that are held up on their way and clocks that step between
-//! two starts, drawn by seed: the daemon serves the last start, and never one that has left or that was followed.
+//! An endpoint that starts again and again under its name, with heartbeats that are delayed on their way and clocks
+//! that step between two starts, drawn by seed: the daemon serves the last start, and never one that has left or
+//! that was followed.
 //!
 //! Ways that are not safe are played on the same histories, and must be caught.
 
@@ -17,10 +18,10 @@
 const CAUGHT_WITHIN: u64 = 20;
 /// Time between two heartbeats, in milliseconds.
 const HEARTBEAT: u64 = 1_500;
-/// Time from the first word of the last start in which it must be served.
+/// Time from the first heartbeat of the last start in which it must be served.
 const SERVED_WITHIN: u64 = 2_000;
 
-/// What is believed of words.
+/// What is believed of heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Way {
     /// As the daemon does it.
@@ -34,7 +35,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Word {
+struct Heartbeat {
     arrives: u64,
     start: usize,
     started: u64,
@@ -42,23 +43,23 @@
     state: EndpointState,
 }
 
-/// The words of one endpoint's starts, in the order of their arrival, with the start that is the last.
+/// The heartbeats of one endpoint's starts, in the order of their arrival, with the start that is the last.
 struct History {
-    words: Vec<Word>,
+    heartbeats: Vec<Heartbeat>,
     last_start: usize,
-    first_word_of_last: u64,
+    first_heartbeat_of_last: u64,
 }
 
 impl History {
     fn draw(seed: u64) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let starts = random.random_range(2..5);
-        let mut words = Vec::new();
+        let mut heartbeats = Vec::new();
         let mut now = 1_000;
-        let mut first_word_of_last = 0;
+        let mut first_heartbeat_of_last = 0;
         for start in 0..starts {
             let started = now;
-            first_word_of_last = now;
+            first_heartbeat_of_last = now;
             let is_last = start + 1 == starts;
             let beats = if is_last {
                 8
@@ -68,13 +69,14 @@
             let mut sequence = 0;
             for _ in 0..beats {
                 sequence += 1;
-                // Words of the last start arrive at once; those of the others may be held up, some until long after its first.
+                // Heartbeats of the last start arrive at once; those of the others may be delayed, some until long
+                // after its first.
                 let held = if !is_last && random.random_bool(0.3) {
                     random.random_range(100..9_000)
                 } else {
                     1
                 };
-                words.push(Word {
+                heartbeats.push(Heartbeat {
                     arrives: now + held,
                     start,
                     started,
@@ -84,7 +86,7 @@
                 now += HEARTBEAT;
             }
             if !is_last && random.random_bool(0.5) {
-                words.push(Word {
+                heartbeats.push(Heartbeat {
                     arrives: now + random.random_range(1..3_000),
                     start,
                     started,
@@ -94,18 +96,18 @@
             }
             now += random.random_range(50..4_000);
         }
-        words.sort_by_key(|word| word.arrives);
+        heartbeats.sort_by_key(|heartbeat| heartbeat.arrives);
         Self {
-            words,
+            heartbeats,
             last_start: starts - 1,
-            first_word_of_last,
+            first_heartbeat_of_last,
         }
     }
 }
 
-fn record(word: &Word, way: Way) -> EndpointRecord {
+fn record(heartbeat: &Heartbeat, way: Way) -> EndpointRecord {
     let endpoint = EndpointId::new("e").expect("a name");
-    let started = (way != Way::StartIgnored).then_some(word.started);
+    let started = (way != Way::StartIgnored).then_some(heartbeat.started);
     EndpointRecord {
         endpoint: endpoint.started_at(started),
         service: ServiceName::new("kassa").expect("a name"),
@@ -114,13 +116,13 @@
         endpoint_address: ([127, 0, 0, 1], 9001).into(),
         zone: ZoneName::new("north").expect("a name"),
         slots: 8,
-        state: word.state,
-        sequence: word.sequence,
+        state: heartbeat.state,
+        sequence: heartbeat.sequence,
         cold_for: Millis(0),
     }
 }
 
-/// Which start is open after each word, by the number of the start.
+/// Which start is open after each heartbeat, by the number of the start.
 struct Seen {
     open: Vec<(u64, Option<usize>)>,
 }
@@ -130,31 +132,31 @@
     let mut has_left = false;
     let mut last = None;
     let mut open = Vec::new();
-    for word in &history.words {
-        has_left |= word.state.is_final();
-        let mut record = record(word, way);
+    for heartbeat in &history.heartbeats {
+        has_left |= heartbeat.state.is_final();
+        let mut record = record(heartbeat, way);
         if way == Way::LastWordCounts {
-            last = (!word.state.is_final()).then_some(word.start);
-            open.push((word.arrives, last));
+            last = (!heartbeat.state.is_final()).then_some(heartbeat.start);
+            open.push((heartbeat.arrives, last));
             continue;
         }
-        let heard = local.take_heartbeat(Timestamp::from_millis(word.arrives), &mut record);
+        let heard = local.take_heartbeat(Timestamp::from_millis(heartbeat.arrives), &mut record);
         if heard == HeartbeatResult::Changed {
             local.confirm(&record.endpoint, record.state);
         }
         if heard != HeartbeatResult::Late && record.state == EndpointState::Ready {
-            last = Some(word.start);
+            last = Some(heartbeat.start);
         }
         let is_open = local.is_open() && !(way == Way::EndKeptForName && has_left);
-        open.push((word.arrives, last.filter(|_| is_open)));
+        open.push((heartbeat.arrives, last.filter(|_| is_open)));
     }
     Seen { open }
 }
 
-/// What is wrong with what was open: the last start is not served in time, or another one is after its first word.
+/// What is wrong with what was open: the last start is not served in time, or another one is after its first heartbeat.
 fn fault(history: &History, seen: &Seen) -> Option<String> {
-    let since = history.first_word_of_last + 1;
-    // Of words that arrive in the same millisecond the order is open.
+    let since = history.first_heartbeat_of_last + 1;
+    // Of heartbeats that arrive in the same millisecond the order is open.
     let after = seen.open.iter().filter(|(at, _)| *at > since);
     for (at, open) in after {
         if open.is_some_and(|start| start != history.last_start) {
--- a/crates/bramblewheel-proxy/tests/local_endpoint.rs
+++ b/crates/bramblewheel-proxy/tests/local_endpoint.rs
@@ -1,4 +1,4 @@
-//! Words of the endpoint beside a daemon that come late or out of order.
+//! Heartbeats of the endpoint beside a daemon that come late or out of order.
 
 use bramblewheel_protocol::routing::{EndpointRecord, EndpointState};
 use bramblewheel_proxy::local::{HeartbeatResult, LocalEndpoint};
@@ -31,7 +31,7 @@
     local.record().expect("there is one").endpoint
 }
 
-/// A word that was held up by a cut comes after its sender has crashed and another start of the endpoint
+/// A heartbeat that was delayed by a cut comes after its sender has crashed and another start of the endpoint
 /// has registered: the new one keeps its place.
 #[test]
 fn a_late_word_of_an_earlier_start_changes_nothing() {
@@ -58,7 +58,7 @@
     );
 }
 
-/// The first word that is heard of an earlier start comes late, and displaces the new one for a moment
+/// The first heartbeat that is heard of an earlier start comes late, and displaces the new one for a moment
 /// only.
 #[test]
 fn a_start_that_was_displaced_by_mistake_comes_back() {
@@ -66,7 +66,7 @@
     local.take_heartbeat(at(0), &mut ready("new", 1));
     local.take_heartbeat(at(1_000), &mut ready("old", 3));
     assert_eq!(current(&local), id("old"));
-    // The old one says nothing more; another word of the new one is taken once that shows.
+    // The old one says nothing more; another heartbeat of the new one is taken once that shows.
     assert_eq!(
         local.take_heartbeat(at(1_500), &mut ready("new", 2)),
         HeartbeatResult::Late
@@ -78,7 +78,7 @@
     assert_eq!(current(&local), id("new"));
 }
 
-/// Another endpoint answers at the address: the next word of whoever is there counts at once.
+/// Another endpoint answers at the address: the next heartbeat of whoever is there counts at once.
 #[test]
 fn after_a_replacement_was_seen_the_next_word_counts() {
     let local = LocalEndpoint::default();
@@ -92,8 +92,8 @@
     assert_eq!(current(&local), id("new"));
 }
 
-/// A word of the start of `name` at a time.
-fn word(name: &str, started: u64, sequence: u64, state: EndpointState) -> EndpointRecord {
+/// A heartbeat of the start of `name` at a time.
+fn heartbeat(name: &str, started: u64, sequence: u64, state: EndpointState) -> EndpointRecord {
     EndpointRecord {
         endpoint: id(name).started_at(Some(started)),
         state,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Hears a word at a time, and confirms what is new as the control group does.
+/// Takes a heartbeat at a time, and confirms what is new as the control group does.
 fn say(local: &LocalEndpoint, millis: u64, mut record: EndpointRecord) -> HeartbeatResult {
     let heard = local.take_heartbeat(at(millis), &mut record);
     if heard == HeartbeatResult::Changed {
@@ -110,8 +110,8 @@
     heard
 }
 
-/// An endpoint that starts again under its name counts its words anew, and is served at once: after a crash, and after a
-/// planned end.
+/// An endpoint that starts again under its name counts its heartbeats anew, and is served at once: after a crash,
+/// and after a planned end.
 #[test]
 fn a_start_under_the_same_name_is_taken_at_once() {
     for ends_as_planned in [false, true] {
@@ -120,30 +120,39 @@
             say(
                 &local,
                 sequence * 100,
-                word("e", 1_000, sequence, EndpointState::Ready),
+                heartbeat("e", 1_000, sequence, EndpointState::Ready),
             );
         }
         if ends_as_planned {
-            say(&local, 2_000, word("e", 1_000, 20, EndpointState::Draining));
-            say(&local, 2_100, word("e", 1_000, 0, EndpointState::Gone));
+            say(
+                &local,
+                2_000,
+                heartbeat("e", 1_000, 20, EndpointState::Draining),
+            );
+            say(&local, 2_100, heartbeat("e", 1_000, 0, EndpointState::Gone));
             assert!(!local.is_open());
         }
-        let heard = say(&local, 2_500, word("e", 2_400, 1, EndpointState::Ready));
+        let heard = say(
+            &local,
+            2_500,
+            heartbeat("e", 2_400, 1, EndpointState::Ready),
+        );
         assert_eq!(heard, HeartbeatResult::Changed);
         assert!(local.is_open());
         assert_eq!(current(&local).started(), Some(2_400));
     }
 }
 
-/// Two words of a former start and two of the one that followed it, in every order in which they can arrive after the first word
-/// of the later start: nothing of the former start closes the later one or takes its place.
+/// Two heartbeats of a former start and two of the one that followed it, in every order in which they can arrive
+/// after the first heartbeat of the later start: nothing of the former start closes the later one or takes its
+/// place.
 #[test]
 fn words_of_a_former_start_change_nothing_in_any_order() {
-    let words = [
-        word("e", 1_000, 7, EndpointState::Ready),
-        word("e", 1_000, 8, EndpointState::Draining),
-        word("e", 2_000, 2, EndpointState::Ready),
-        word("e", 2_000, 3, EndpointState::Ready),
+    let heartbeats = [
+        heartbeat("e", 1_000, 7, EndpointState::Ready),
+        heartbeat("e", 1_000, 8, EndpointState::Draining),
+        heartbeat("e", 2_000, 2, EndpointState::Ready),
+        heartbeat("e", 2_000, 3, EndpointState::Ready),
     ];
     let mut orders = 0;
     for a in 0..4 {
@@ -151,11 +160,11 @@
             for c in (0..4).filter(|c| ![a, b].contains(c)) {
                 let d = 6 - a - b - c;
                 let local = LocalEndpoint::default();
-                say(&local, 0, word("e", 1_000, 6, EndpointState::Ready));
-                say(&local, 100, word("e", 2_000, 1, EndpointState::Ready));
+                say(&local, 0, heartbeat("e", 1_000, 6, EndpointState::Ready));
+                say(&local, 100, heartbeat("e", 2_000, 1, EndpointState::Ready));
                 for (place, number) in [a, b, c, d].into_iter().enumerate() {
                     let millis = 200 + place as u64 * 100;
-                    let heard = say(&local, millis, words[number].clone());
+                    let heard = say(&local, millis, heartbeats[number].clone());
                     let is_former = number < 2;
                     assert!(
                         !is_former || heard == HeartbeatResult::Late,
@@ -171,13 +180,13 @@
     assert_eq!(orders, 24);
 }
 
-/// The same four words without a first one of the later start: its first word opens it, whatever came before.
+/// The same four heartbeats without a first one of the later start: its first heartbeat opens it, whatever came before.
 #[test]
 fn the_first_word_of_a_later_start_opens_it_in_any_order() {
     let former = [
-        word("e", 1_000, 7, EndpointState::Ready),
-        word("e", 1_000, 8, EndpointState::Draining),
-        word("e", 1_000, 0, EndpointState::Gone),
+        heartbeat("e", 1_000, 7, EndpointState::Ready),
+        heartbeat("e", 1_000, 8, EndpointState::Draining),
+        heartbeat("e", 1_000, 0, EndpointState::Gone),
     ];
     for order in [
         [0, 1, 2],
@@ -189,11 +198,11 @@
     ] {
         for place in 0..=3 {
             let local = LocalEndpoint::default();
-            let mut words: Vec<EndpointRecord> =
+            let mut heartbeats: Vec<EndpointRecord> =
                 order.iter().map(|number| former[*number].clone()).collect();
-            words.insert(place, word("e", 2_000, 1, EndpointState::Ready));
-            for (number, word) in words.into_iter().enumerate() {
-                say(&local, 100 * number as u64, word);
+            heartbeats.insert(place, heartbeat("e", 2_000, 1, EndpointState::Ready));
+            for (number, heartbeat) in heartbeats.into_iter().enumerate() {
+                say(&local, 100 * number as u64, heartbeat);
             }
             assert!(local.is_open(), "{order:?} {place}");
             assert_eq!(current(&local).started(), Some(2_000));
@@ -201,18 +210,19 @@
     }
 }
 
-/// The clock stepped back between two starts: the words of the new one look late, but go on coming while the former is silent.
+/// The clock stepped back between two starts: the heartbeats of the new one look late, but go on coming while the
+/// former is silent.
 #[test]
 fn a_start_whose_clock_stepped_back_is_served_after_some_words() {
     let local = LocalEndpoint::default();
-    say(&local, 0, word("e", 900_000, 9, EndpointState::Ready));
+    say(&local, 0, heartbeat("e", 900_000, 9, EndpointState::Ready));
     let mut opened_at = None;
     for sequence in 1..10 {
         let millis = 500 + sequence * 1_500;
         say(
             &local,
             millis,
-            word("e", 5_000, sequence, EndpointState::Ready),
+            heartbeat("e", 5_000, sequence, EndpointState::Ready),
         );
         if local.is_open() && current(&local).started() == Some(900_001) {
             opened_at.get_or_insert(millis);
@@ -221,22 +231,26 @@
     assert_eq!(opened_at, Some(5_000));
 }
 
-/// Words that were held up on their way come in one burst, after their sender has been followed by another start: also where
-/// that one is silent they open nothing, and nothing opens an endpoint again that has left.
+/// Heartbeats that were delayed on their way come in one burst, after their sender has been followed by another
+/// start: also where that one is silent they open nothing, and nothing opens an endpoint again that has left.
 #[test]
 fn a_burst_of_words_that_were_held_up_opens_nothing() {
     for has_left in [false, true] {
         let local = LocalEndpoint::default();
-        say(&local, 0, word("e", 2_000, 1, EndpointState::Ready));
+        say(&local, 0, heartbeat("e", 2_000, 1, EndpointState::Ready));
         if has_left {
-            say(&local, 100, word("e", 2_000, 2, EndpointState::Draining));
+            say(
+                &local,
+                100,
+                heartbeat("e", 2_000, 2, EndpointState::Draining),
+            );
         }
         for sequence in 5..15 {
             let spread = if has_left { 1_500 } else { 20 };
             let heard = say(
                 &local,
                 10_000 + sequence * spread,
-                word("e", 1_000, sequence, EndpointState::Ready),
+                heartbeat("e", 1_000, sequence, EndpointState::Ready),
             );
             assert_eq!(heard, HeartbeatResult::Late);
         }
@@ -245,12 +259,12 @@
     }
 }
 
-/// A word that does not say when its sender started can't be placed once others did; a planned end without it is that of the
-/// latest start.
+/// A heartbeat that does not say when its sender started can't be placed once others did; a planned end without it
+/// is that of the latest start.
 #[test]
 fn a_word_without_a_start_is_left_out_after_one_with_it() {
     let local = LocalEndpoint::default();
-    say(&local, 0, word("e", 2_000, 1, EndpointState::Ready));
+    say(&local, 0, heartbeat("e", 2_000, 1, EndpointState::Ready));
     assert_eq!(
         say(&local, 100, ready("e", 50)),
         HeartbeatResult::WithoutStart
@@ -272,7 +286,7 @@
 #[tokio::test]
 async fn the_wait_for_a_former_start_ends_with_the_first_word_of_a_later_one() {
     let local = std::sync::Arc::new(LocalEndpoint::default());
-    say(&local, 0, word("e", 1_000, 1, EndpointState::Ready));
+    say(&local, 0, heartbeat("e", 1_000, 1, EndpointState::Ready));
     let waiting = std::sync::Arc::clone(&local);
     let former = id("e").started_at(Some(1_000));
     let wait = tokio::spawn(async move { waiting.until_started_again(&former).await });
@@ -280,6 +294,10 @@
     say(&local, 60_000, ready("another", 1));
     tokio::task::yield_now().await;
     assert!(!wait.is_finished());
-    say(&local, 61_000, word("e", 60_500, 1, EndpointState::Ready));
+    say(
+        &local,
+        61_000,
+        heartbeat("e", 60_500, 1, EndpointState::Ready),
+    );
     wait.await.expect("it ends");
 }
--- a/crates/bramblewheel-proxy/tests/wire.rs
+++ b/crates/bramblewheel-proxy/tests/wire.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other in headers.
+//! What daemons hand over and report to each other in headers.
 
 use bramblewheel_decisions::directory::LoadReport;
 use bramblewheel_decisions::request_class::RequestClass;
@@ -25,7 +25,7 @@
     }
 }
 
-fn told() -> AnswerReport {
+fn report() -> AnswerReport {
     AnswerReport {
         load: Some(LoadReport {
             busy: 3,
@@ -73,11 +73,11 @@
 
 #[test]
 fn what_is_told_with_an_answer_is_read_as_it_was_written() {
-    for told in [told(), AnswerReport::default()] {
+    for report in [report(), AnswerReport::default()] {
         let mut headers = HeaderMap::new();
-        told.write(AttemptResult::Answered, &mut headers);
+        report.write(AttemptResult::Answered, &mut headers);
         let taken = AnswerReport::take(&mut headers);
-        assert_eq!(taken, Some((AttemptResult::Answered, told)));
+        assert_eq!(taken, Some((AttemptResult::Answered, report)));
         assert!(headers.is_empty(), "{headers:?}");
     }
 }
@@ -91,15 +91,15 @@
     assert_eq!(taken.root_rank, taken.rank);
 }
 
-/// What can't be read counts as not told.
+/// What can't be read counts as not reported.
 #[test]
 fn nonsense_counts_as_not_told() {
     let mut headers = HeaderMap::new();
-    told().write(AttemptResult::Full, &mut headers);
+    report().write(AttemptResult::Full, &mut headers);
     headers.insert("bw-short-below", HeaderValue::from_static("no name at all"));
     headers.insert("bw-load", HeaderValue::from_static("many"));
-    let (result, told) = AnswerReport::take(&mut headers).expect("a result");
+    let (result, report) = AnswerReport::take(&mut headers).expect("a result");
     assert_eq!(result, AttemptResult::Full);
-    assert_eq!(told.short_downstream, None);
-    assert_eq!(told.load, None);
+    assert_eq!(report.short_downstream, None);
+    assert_eq!(report.load, None);
 }
