--- a/crates/bramblewheel-process/tests/clock.rs
+++ b/crates/bramblewheel-process/tests/clock.rs
@@ -112,7 +112,7 @@
         "bramblewheel-control/src/node",
         "bramblewheel-control/src/state",
         "bramblewheel-core/src",
-        "bramblewheel-proxy/src/decide",
+        "bramblewheel-decisions/src",
         "bramblewheel-proxy/src/inbound",
         "bramblewheel-proxy/src/local",
         "bramblewheel-proxy/src/outbound",
