--- a/crates/bramblewheel-lab/src/bench/latency/topology.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/topology.rs
@@ -6,7 +6,7 @@
 use crate::fleet::group;
 use crate::fleet::plan::PlannedReplica;
 use crate::fleet::settings::{self, ReplicaAddresses};
-use crate::process::{LogEvent, free_port, parse as parse_log};
+use crate::process::{LogEvent, claim_address, parse as parse_log};
 use crate::runtime::block_on;
 use bramblewheel_bundle::{OperatorKey, canonical, digest, parse};
 use bramblewheel_protocol::control::{BundleSignature, SignedBundle};
@@ -100,8 +100,8 @@
 fn start_control(folder: &RunFolder) -> Result<(Process, SocketAddr), CommandError> {
     const NAME: &str = "control-1";
     let addresses = ReplicaAddresses {
-        peer: free_port()?,
-        service: free_port()?,
+        peer: claim_address()?,
+        service: claim_address()?,
     };
     let replica = PlannedReplica {
         name: NAME.to_owned(),
--- a/crates/bramblewheel-lab/src/bench/scale/group.rs
+++ b/crates/bramblewheel-lab/src/bench/scale/group.rs
@@ -3,7 +3,7 @@
 use super::deployment::{REGIONS, region_name, zone_name};
 use super::usage::Usage;
 use crate::error::CommandError;
-use crate::process::{Child, Spawn, free_port};
+use crate::process::{Child, Spawn, claim_address};
 use bramblewheel_protocol::control::{
     BootstrapRequest, GroupStatus, LogPosition, PublishReply, ReplicaAddress, ReplyBody,
     RequestBody, SignedBundle,
@@ -58,8 +58,8 @@
 
     fn prepare(&self, number: usize) -> Result<Replica, CommandError> {
         let name = format!("control-{number}");
-        let service = free_port()?;
-        let peer = free_port()?;
+        let service = claim_address()?;
+        let peer = claim_address()?;
         let zone = zone_name(number);
         let region = region_name(number % REGIONS);
         let data = self.folder.join(&name);
--- a/crates/bramblewheel-lab/src/bench/scale/real_daemon.rs
+++ b/crates/bramblewheel-lab/src/bench/scale/real_daemon.rs
@@ -4,7 +4,7 @@
 use super::group::{Group, start_process};
 use super::usage::{Usage, Use};
 use crate::error::CommandError;
-use crate::process::{Child, free_port};
+use crate::process::{Child, claim_address};
 use bramblewheel_types::ServiceName;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -134,7 +134,7 @@
     group: &Group,
     data: &Path,
 ) -> Result<String, CommandError> {
-    let outbound = free_port()?;
+    let outbound = claim_address()?;
     let zone = zone_name(0);
     let region = region_name(0);
     let control = quoted(&group.services());
--- a/crates/bramblewheel-lab/src/fleet/running.rs
+++ b/crates/bramblewheel-lab/src/fleet/running.rs
@@ -8,7 +8,7 @@
 use crate::caller::CallerCommand;
 use crate::endpoint::{EndpointChange, EndpointCommand};
 use crate::journal::{Event, FaultKind, Journal};
-use crate::process::{Child, ChildEvent, ProcessError, Spawn, free_port};
+use crate::process::{Child, ChildEvent, ProcessError, Spawn, claim_address};
 use bramblewheel_types::RegionName;
 use rustix::process::Signal;
 use std::collections::BTreeMap;
@@ -63,8 +63,8 @@
         let mut control = BTreeMap::new();
         for replica in &plan.replicas {
             let addresses = ReplicaAddresses {
-                peer: free_port()?,
-                service: free_port()?,
+                peer: claim_address()?,
+                service: claim_address()?,
             };
             control.insert(replica.name.clone(), addresses);
         }
--- a/crates/bramblewheel-lab/src/process/mod.rs
+++ b/crates/bramblewheel-lab/src/process/mod.rs
@@ -2,10 +2,9 @@
 
 mod child;
 mod log_lines;
-mod ports;
 #[cfg(test)]
 mod tests;
 
+pub use bramblewheel_ports::claim_address;
 pub use child::{Child, ChildEvent, ProcessError, Spawn};
 pub use log_lines::{LogEvent, parse};
-pub use ports::free_port;
--- a/crates/bramblewheel-protocol/tests/client.rs
+++ b/crates/bramblewheel-protocol/tests/client.rs
@@ -1,5 +1,6 @@
 //! The client finds the replica that answers, and says when an outcome is not known.
 
+use bramblewheel_ports::claim_address;
 use bramblewheel_protocol::client::{AttemptFailure, ClientError, ControlClient, RequestError};
 use bramblewheel_protocol::codec::MAX_CONTROL_FRAME;
 use bramblewheel_protocol::control::{
@@ -64,9 +65,8 @@
 }
 
 /// An address where nobody listens.
-async fn nobody() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
-    listener.local_addr().expect("bound")
+fn nobody() -> SocketAddr {
+    claim_address().expect("a port is left")
 }
 
 fn unavailable(why: Unavailable) -> Behavior {
@@ -126,7 +126,7 @@
     let losing = replica(vec![Behavior::Close]).await;
     let lists = [
         vec![hinting],
-        vec![nobody().await, no_quorum, hinting],
+        vec![nobody(), no_quorum, hinting],
         vec![losing, leader],
     ];
     for addresses in lists {
@@ -153,7 +153,7 @@
     let silent = replica(vec![Behavior::Silent]).await;
     let undecided = replica(vec![unavailable(Unavailable::Undecided)]).await;
     let no_quorum = replica(vec![unavailable(Unavailable::NoQuorum)]).await;
-    let nobody = nobody().await;
+    let nobody = nobody();
     let cases = [
         (vec![nobody], write_request(), false),
         (vec![no_quorum, nobody], write_request(), false),
@@ -173,7 +173,7 @@
 #[tokio::test]
 async fn an_error_names_each_replica_and_its_reason() {
     let no_quorum = replica(vec![unavailable(Unavailable::NoQuorum)]).await;
-    let nobody = nobody().await;
+    let nobody = nobody();
     let error = request_any(&[no_quorum, nobody], &RequestBody::GroupStatus, SHORT).await;
     let Err(RequestError::NotDone { last }) = error else {
         panic!("{error:?}");
--- a/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
@@ -12,6 +12,7 @@
 use bramblewheel_decisions::table::{Route, RouteTable, ServiceSettings, Target};
 use bramblewheel_decisions::tenant_quota::QuotaSettings;
 use bramblewheel_decisions::tenants::{KeyDigest, Quota, Tenant};
+use bramblewheel_ports::claim_address;
 use bramblewheel_process::logging::silent;
 use bramblewheel_protocol::control::{ReplyBody, RequestBody};
 use bramblewheel_protocol::packed::PackedText;
@@ -57,11 +58,9 @@
     log: Logger,
 }
 
-/// Addresses that were free a moment ago.
-fn free_addresses<const COUNT: usize>() -> [SocketAddr; COUNT] {
-    let open = || std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let listeners: [_; COUNT] = std::array::from_fn(|_| open());
-    listeners.map(|listener| listener.local_addr().expect("bound"))
+/// Addresses that nobody else is given.
+fn claim_addresses<const COUNT: usize>() -> [SocketAddr; COUNT] {
+    std::array::from_fn(|_| claim_address().expect("a port is left"))
 }
 
 impl Mesh {
@@ -79,7 +78,7 @@
     /// Like [`start_with`](Self::start_with), with a log for the daemons.
     pub async fn start_logging(count: usize, tenants: &str, log: Logger) -> Self {
         let folder = TempDir::new().expect("a folder");
-        let [peer, service, admin] = free_addresses();
+        let [peer, service, admin] = claim_addresses();
         let settings = replica_settings(folder.path(), peer, service, admin);
         let replica = bramblewheel_control::start(settings, silent()).await;
         let mut mesh = Self {
@@ -108,7 +107,7 @@
     }
 
     pub async fn start_daemon(&self, number: usize, replica: SocketAddr) -> Daemon {
-        let [outbound, inbound, metrics] = free_addresses();
+        let [outbound, inbound, metrics] = claim_addresses();
         let settings = Settings {
             name: DaemonId::new(&format!("daemon-{number}")).expect("a name"),
             zone: ZoneName::new("north").expect("a name"),
--- a/crates/bramblewheel-soak/tests/relay.rs
+++ b/crates/bramblewheel-soak/tests/relay.rs
@@ -1,5 +1,6 @@
 //! The relay does to connections what a plan says.
 
+use bramblewheel_ports::claim_address;
 use bramblewheel_soak::relay::{Mode, Relay};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -17,9 +18,7 @@
             });
         }
     });
-    let free = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let known = free.local_addr().expect("bound");
-    drop(free);
+    let known = claim_address().expect("a port is left");
     let relay = Relay::start(known, target).await.expect("the port is free");
     let client = TcpStream::connect(known).await.expect("it listens");
     (relay, client)
