--- a/crates/bramblewheel-daemon/src/http/fields.rs
+++ b/crates/bramblewheel-daemon/src/http/fields.rs
@@ -2,8 +2,9 @@
 
 use bramblewheel_core::headers::fields::Fields;
 use bramblewheel_core::headers::{HeaderError, HeaderSink, has_prefix};
+use bramblewheel_http::fields::{HOP_BY_HOP, named_by_connection};
 use bytes::BytesMut;
-use http::header::{self, HeaderMap, HeaderName, HeaderValue};
+use http::header::{HeaderMap, HeaderName, HeaderValue};
 use std::fmt::{Display, Write};
 
 /// Room that most values need, in bytes.
@@ -80,37 +81,15 @@
 /// Copies what an application or endpoint said to its peer: neither fields that concern one
 /// connection only, nor fields of the project, nor the length, which is written anew.
 pub fn end_to_end(map: &HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = map
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|list| list.split(','))
-        .filter_map(|name| name.trim().parse().ok())
-        .collect();
+    let named = named_by_connection(map);
+    let is_kept = |name: &HeaderName| {
+        !HOP_BY_HOP.contains(name) && !named.contains(name) && !has_prefix(name.as_str())
+    };
     let mut kept = HeaderMap::with_capacity(map.len() + USUAL_COUNT);
     for (name, value) in map {
-        if !is_hop_by_hop(name) && !named.contains(name) {
+        if is_kept(name) {
             kept.append(name.clone(), value.clone());
         }
     }
     kept
 }
-
-fn is_hop_by_hop(name: &HeaderName) -> bool {
-    const HOP_BY_HOP: [HeaderName; 9] = [
-        header::CONNECTION,
-        header::CONTENT_LENGTH,
-        header::EXPECT,
-        header::PROXY_AUTHENTICATE,
-        header::PROXY_AUTHORIZATION,
-        header::TE,
-        header::TRAILER,
-        header::TRANSFER_ENCODING,
-        header::UPGRADE,
-    ];
-    let text = name.as_str();
-    HOP_BY_HOP.contains(name)
-        || text == "keep-alive"
-        || text == "proxy-connection"
-        || has_prefix(text)
-}
--- a/crates/bramblewheel-proxy/src/http/fields.rs
+++ b/crates/bramblewheel-proxy/src/http/fields.rs
@@ -1,39 +1,17 @@
 //! Header fields that concern one connection only.
 
-use http::header::{self, HeaderMap, HeaderName, HeaderValue};
-use std::time::Duration;
+pub use bramblewheel_http::fields::KEEP_ALIVE;
+use bramblewheel_http::fields::{HOP_BY_HOP, connection_options, named_by_connection};
 
-/// Fields that end at each hop, besides those that `Connection` names. The length is among them: it
-/// is written anew from the body.
-const HOP_BY_HOP: [HeaderName; 9] = [
-    header::CONNECTION,
-    header::CONTENT_LENGTH,
-    header::EXPECT,
-    header::PROXY_AUTHENTICATE,
-    header::PROXY_AUTHORIZATION,
-    header::TE,
-    header::TRAILER,
-    header::TRANSFER_ENCODING,
-    header::UPGRADE,
-];
-/// How long a side keeps an idle connection; no constant of the library names it.
-pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
+use http::header::{HeaderMap, HeaderName, HeaderValue};
+use std::time::Duration;
 
 /// Removes the fields that concern one connection only.
 pub fn keep_end_to_end(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|list| list.split(','))
-        .filter_map(|name| name.trim().parse().ok())
-        .collect();
+    let named = named_by_connection(headers);
     for name in HOP_BY_HOP.iter().chain(&named) {
         headers.remove(name);
     }
-    headers.remove(KEEP_ALIVE);
-    headers.remove(PROXY_CONNECTION);
 }
 
 /// Sets a field, or removes what somebody else may have set in its place.
@@ -65,9 +43,5 @@
 
 /// Whether the other side closes the connection after this message.
 pub fn is_closing(headers: &HeaderMap) -> bool {
-    let values = headers.get_all(header::CONNECTION).iter();
-    let mut words = values
-        .filter_map(|value| value.to_str().ok())
-        .flat_map(|list| list.split(','));
-    words.any(|word| word.trim().eq_ignore_ascii_case("close"))
+    connection_options(headers).any(|option| option.eq_ignore_ascii_case("close"))
 }
