--- a/crates/bramblewheel-daemon/src/http/exchange.rs
+++ b/crates/bramblewheel-daemon/src/http/exchange.rs
@@ -1,7 +1,7 @@
 //! One request and its answer over a pooled connection, with proof of what was sent.
 
-use crate::http::body::{Collected, collect};
 use crate::http::pool::{Lease, Pool, RequestBody};
+use bramblewheel_http::body::{Collected, collect};
 use bytes::Bytes;
 use http::header::{CONTENT_LENGTH, CONTENT_TYPE};
 use http::response::Parts;
--- a/crates/bramblewheel-daemon/src/shared.rs
+++ b/crates/bramblewheel-daemon/src/shared.rs
@@ -2,13 +2,13 @@
 
 use crate::driver::Driver;
 use crate::http::answer::{self, HttpAnswer};
-use crate::http::body::{Collected, collect};
 use crate::http::pool::Pools;
 use crate::metrics::Metrics;
 use crate::sessions::SessionKeys;
 use crate::settings::LimitSettings;
 use arc_swap::ArcSwapOption;
 use bramblewheel_bundle::Bundle;
+use bramblewheel_http::body::{Collected, collect};
 use bramblewheel_types::{CallId, RequestId, ServiceName, ZoneName};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
--- a/crates/bramblewheel-http/src/lib.rs
+++ b/crates/bramblewheel-http/src/lib.rs
@@ -3,4 +3,5 @@
 //! Owns nothing that lasts: the pools, listeners and limits belong to the data paths, since they
 //! differ for a reason. Relies on hyper for the protocol itself.
 
+pub mod body;
 pub mod fields;
--- a/crates/bramblewheel-proxy/src/http/body.rs
+++ b/crates/bramblewheel-proxy/src/http/body.rs
@@ -4,9 +4,10 @@
 use crate::in_progress::InProgress;
 use crate::local::Permit;
 use bramblewheel_decisions::request_content::COUNTED_BODY_BYTES;
-use bytes::{Bytes, BytesMut};
+use bramblewheel_http::body::{Collected, collect};
+use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
-use http_body_util::{BodyExt, Limited};
+use http_body_util::Limited;
 use hyper::body::Incoming;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -36,28 +37,11 @@
 /// # Errors
 /// [`BrokenBody`] when it ends before it is complete.
 pub async fn read(mut body: Incoming) -> Result<Read, BrokenBody> {
-    let mut first: Option<Bytes> = None;
-    let mut rest = BytesMut::new();
-    while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(|_| BrokenBody)?.into_data() else {
-            continue;
-        };
-        // Most bodies arrive in one piece, which is then passed on without a copy.
-        if first.is_none() && rest.is_empty() {
-            first = Some(data);
-        } else {
-            rest.extend_from_slice(&first.take().unwrap_or_default());
-            rest.extend_from_slice(&data);
-        }
-        if first.as_ref().map_or(rest.len(), Bytes::len) > HELD_BYTES {
-            return Ok(Read::Begun(joined(first, rest), body));
-        }
+    match collect(&mut body, HELD_BYTES).await {
+        Ok(Collected::Whole(bytes)) => Ok(Read::Whole(bytes)),
+        Ok(Collected::OverLimit(begun)) => Ok(Read::Begun(begun, body)),
+        Err(_) => Err(BrokenBody),
     }
-    Ok(Read::Whole(joined(first, rest)))
-}
-
-fn joined(first: Option<Bytes>, rest: BytesMut) -> Bytes {
-    first.unwrap_or_else(|| rest.freeze())
 }
 
 /// Body of a request that this daemon sends.
