--- a/crates/bramblewheel-daemon/src/http/pool.rs
+++ b/crates/bramblewheel-daemon/src/http/pool.rs
@@ -3,10 +3,10 @@
 //! A connection goes back to the pool only after its answer was read to the end. One that is
 //! dropped before that is closed, which also tells the peer that its answer isn't wanted.
 
+use bramblewheel_http::connection::Connection;
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::client::conn::http1::{self, SendRequest};
-use hyper_util::rt::TokioIo;
+use hyper::client::conn::http1::{Builder, SendRequest};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -14,7 +14,6 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
-use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
 /// Time for a connection to open.
@@ -70,7 +69,7 @@
 #[derive(Debug)]
 struct IdleConnection {
     since: Instant,
-    connection: Connection,
+    connection: CountedConnection,
 }
 
 /// Connections open to one address, idle or in use.
@@ -91,30 +90,23 @@
     }
 }
 
-/// An open connection; closed when dropped.
+/// An open connection with its place in the count; closed when dropped.
 #[derive(Debug)]
-struct Connection {
-    sender: SendRequest<RequestBody>,
-    task: AbortHandle,
+struct CountedConnection {
+    connection: Connection<RequestBody>,
     _slot: OpenSlot,
 }
 
-impl Drop for Connection {
-    fn drop(&mut self) {
-        self.task.abort();
-    }
-}
-
 /// A connection in use; closed when dropped, unless it is given back.
 #[derive(Debug)]
 pub struct Lease {
     pool: Arc<Pool>,
-    connection: Connection,
+    connection: CountedConnection,
     reused: bool,
 }
 
 enum Reservation {
-    Idle(Connection),
+    Idle(CountedConnection),
     MayOpen(OpenSlot),
     Full,
 }
@@ -170,7 +162,7 @@
         Reservation::MayOpen(OpenSlot(Arc::clone(&self.open)))
     }
 
-    fn lease(self: &Arc<Self>, connection: Connection, reused: bool) -> Lease {
+    fn lease(self: &Arc<Self>, connection: CountedConnection, reused: bool) -> Lease {
         Lease {
             pool: Arc::clone(self),
             connection,
@@ -178,7 +170,7 @@
         }
     }
 
-    fn give_back(&self, connection: Connection) {
+    fn give_back(&self, connection: CountedConnection) {
         let since = Instant::now();
         self.lock().push_back(IdleConnection { since, connection });
         self.open.freed.notify_one();
@@ -186,7 +178,7 @@
 
     fn is_used(&self) -> bool {
         let mut idle = self.lock();
-        idle.retain(|i| !i.connection.sender.is_closed());
+        idle.retain(|i| !i.connection.connection.sender.is_closed());
         close_stale(&mut idle);
         self.open.count.load(Ordering::Relaxed) > 0
     }
@@ -207,11 +199,11 @@
 }
 
 /// Takes the connection that was used last, unless it is closed or not ready; then an earlier one.
-fn take_ready(idle: &mut VecDeque<IdleConnection>) -> Option<Connection> {
+fn take_ready(idle: &mut VecDeque<IdleConnection>) -> Option<CountedConnection> {
     let mut index = idle.len();
     while index > 0 {
         index -= 1;
-        let sender = &idle[index].connection.sender;
+        let sender = &idle[index].connection.connection.sender;
         if sender.is_ready() {
             return idle.remove(index).map(|idle| idle.connection);
         }
@@ -230,7 +222,7 @@
 
     /// The connection's request sender.
     pub fn sender(&mut self) -> &mut SendRequest<RequestBody> {
-        &mut self.connection.sender
+        &mut self.connection.connection.sender
     }
 
     /// Keeps the connection for reuse; only allowed after the answer was read to its end.
@@ -239,22 +231,17 @@
     }
 }
 
-async fn connect(address: SocketAddr, slot: OpenSlot) -> Result<Connection, ConnectFailed> {
+async fn connect(address: SocketAddr, slot: OpenSlot) -> Result<CountedConnection, ConnectFailed> {
     let opened = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = opened
         .map_err(|_| ConnectFailed)?
         .map_err(|_| ConnectFailed)?;
     stream.set_nodelay(true).map_err(|_| ConnectFailed)?;
-    let (sender, connection) = http1::handshake(TokioIo::new(stream))
+    let connection = Connection::open(stream, &Builder::new())
         .await
         .map_err(|_| ConnectFailed)?;
-    let task = tokio::spawn(async move {
-        // How the connection ended is seen by whoever waits for its answer.
-        let _ = connection.await;
-    });
-    Ok(Connection {
-        sender,
-        task: task.abort_handle(),
+    Ok(CountedConnection {
+        connection,
         _slot: slot,
     })
 }
--- /dev/null
+++ b/crates/bramblewheel-http/src/connection.rs
@@ -0,0 +1,44 @@
+//! A client's connection: its request sender, and the task that drives it.
+
+use bytes::Bytes;
+use http_body::Body;
+use hyper::client::conn::http1::{Builder, SendRequest};
+use hyper_util::rt::TokioIo;
+use std::error::Error;
+use tokio::net::TcpStream;
+use tokio::task::AbortHandle;
+
+/// An open connection. Dropping it closes it, which also tells the other side that its answer isn't
+/// wanted.
+#[derive(Debug)]
+pub struct Connection<B> {
+    /// Sends requests, one at a time.
+    pub sender: SendRequest<B>,
+    task: AbortHandle,
+}
+
+impl<B> Connection<B>
+where
+    B: Body<Data = Bytes> + Send + 'static,
+    B::Error: Into<Box<dyn Error + Send + Sync>>,
+{
+    /// Prepares a stream for requests, with the library's settings in `builder`.
+    ///
+    /// # Errors
+    /// The library's; nothing was sent.
+    pub async fn open(stream: TcpStream, builder: &Builder) -> Result<Self, hyper::Error> {
+        let (sender, connection) = builder.handshake(TokioIo::new(stream)).await?;
+        let task = tokio::spawn(async move {
+            // How the connection ended is seen by whoever waits for its answer.
+            let _ = connection.await;
+        });
+        let task = task.abort_handle();
+        Ok(Self { sender, task })
+    }
+}
+
+impl<B> Drop for Connection<B> {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
--- a/crates/bramblewheel-http/src/lib.rs
+++ b/crates/bramblewheel-http/src/lib.rs
@@ -4,4 +4,5 @@
 //! differ for a reason. Relies on hyper for the protocol itself.
 
 pub mod body;
+pub mod connection;
 pub mod fields;
--- a/crates/bramblewheel-proxy/src/http/pool.rs
+++ b/crates/bramblewheel-proxy/src/http/pool.rs
@@ -1,19 +1,18 @@
 //! Kept connections to one address.
 
 use crate::http::body::RequestBody;
+use bramblewheel_http::connection::Connection;
 use bramblewheel_process::clock::Clock;
 use bramblewheel_process::invariants::lock;
 use bramblewheel_protocol::socket;
 use bramblewheel_types::Timestamp;
-use hyper::client::conn::http1::{self, SendRequest};
-use hyper_util::rt::TokioIo;
+use hyper::client::conn::http1::{Builder, SendRequest};
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use thiserror::Error;
-use tokio::task::AbortHandle;
 
 /// Longest wait for a connection; a machine that is cut off says nothing.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
@@ -104,28 +103,15 @@
 
 #[derive(Debug)]
 struct Idle {
-    connection: Connection,
+    connection: Connection<RequestBody>,
     since: Timestamp,
     until: Timestamp,
 }
 
-/// An open connection; closed when dropped.
-#[derive(Debug)]
-struct Connection {
-    sender: SendRequest<RequestBody>,
-    task: AbortHandle,
-}
-
-impl Drop for Connection {
-    fn drop(&mut self) {
-        self.task.abort();
-    }
-}
-
 /// A connection in use; closed when dropped, unless it is given back.
 #[derive(Debug)]
 pub struct Lease {
-    connection: Connection,
+    connection: Connection<RequestBody>,
     pool: Arc<Pool>,
     /// Whether it carried a request before, so that the other side may just have closed it.
     pub is_reused: bool,
@@ -159,24 +145,20 @@
     pub async fn open(self: &Arc<Self>) -> Result<Lease, ConnectFailed> {
         let stream = socket::connect(self.address, CONNECT_TIMEOUT).await;
         let stream = stream.map_err(|_| ConnectFailed)?;
-        let mut builder = http1::Builder::new();
+        let mut builder = Builder::new();
         builder.max_buf_size(READ_AHEAD);
-        let (sender, connection) = builder
-            .handshake(TokioIo::new(stream))
+        let connection = Connection::open(stream, &builder)
             .await
             .map_err(|_| ConnectFailed)?;
-        let task = tokio::spawn(async move {
-            // How the connection ended is seen by whoever waits for its answer.
-            let _ = connection.await;
-        });
-        let connection = Connection {
-            sender,
-            task: task.abort_handle(),
-        };
         Ok(self.lease(connection, false, Duration::ZERO))
     }
 
-    fn lease(self: &Arc<Self>, connection: Connection, is_reused: bool, rest: Duration) -> Lease {
+    fn lease(
+        self: &Arc<Self>,
+        connection: Connection<RequestBody>,
+        is_reused: bool,
+        rest: Duration,
+    ) -> Lease {
         Lease {
             connection,
             pool: Arc::clone(self),
