--- a/crates/bramblewheel-daemon/src/http/server.rs
+++ b/crates/bramblewheel-daemon/src/http/server.rs
@@ -2,6 +2,7 @@
 
 use crate::http::answer::HttpAnswer;
 use crate::settings::LimitSettings;
+use bramblewheel_http::stop::told_to_stop;
 use http::Request;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -85,11 +86,6 @@
     while connections.join_next().await.is_some() {}
 }
 
-async fn told_to_stop(stop: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the listeners; when it is gone, so is the daemon.
-    let _ = stop.wait_for(|stop| *stop).await;
-}
-
 async fn refuse(mut stream: TcpStream) {
     let refusal = async {
         let _ = stream.write_all(TOO_MANY_CONNECTIONS).await;
--- a/crates/bramblewheel-http/src/lib.rs
+++ b/crates/bramblewheel-http/src/lib.rs
@@ -6,3 +6,4 @@
 pub mod body;
 pub mod connection;
 pub mod fields;
+pub mod stop;
--- a/crates/bramblewheel-proxy/src/http/server.rs
+++ b/crates/bramblewheel-proxy/src/http/server.rs
@@ -1,8 +1,9 @@
 //! Listeners: accept connections up to a cap, serve HTTP/1.1 on them, stop without breaking any.
 
 use crate::http::body::AnswerBody;
-use crate::http::fields::KEEP_ALIVE;
 use crate::http::open_connections::OpenConnections;
+use bramblewheel_http::fields::KEEP_ALIVE;
+use bramblewheel_http::stop::told_to_stop;
 use bramblewheel_process::invariants::lock;
 use http::header::CONNECTION;
 use http::{HeaderValue, Request, Response};
@@ -204,11 +205,6 @@
     }
 }
 
-async fn told_to_stop(stop: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the listeners; when it is gone, so is the daemon.
-    let _ = stop.wait_for(|stop| *stop).await;
-}
-
 async fn serve_connection<H: Handler>(
     stream: TcpStream,
     handler: Arc<H>,
