--- a/crates/bramblewheel-control/src/main.rs
+++ b/crates/bramblewheel-control/src/main.rs
@@ -3,13 +3,14 @@
 use bramblewheel_control::Settings;
 use bramblewheel_control::settings::Overrides;
 use bramblewheel_process::invariants::abort_on_panic;
+use bramblewheel_process::program;
 use gumdrop::Options;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit code for settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// Name of the program in its messages.
+const PROGRAM: &str = "bramblewheel-control";
 
 #[derive(Debug, Options)]
 struct Flags {
@@ -43,16 +44,11 @@
         listen_service: flags.listen_service,
         listen_admin: flags.listen_admin,
     };
-    let settings = match Settings::load(&flags.settings, overrides) {
+    let settings = match program::settings::<Settings>(PROGRAM, &flags.settings, overrides) {
+        Ok(_) if flags.check_settings => return ExitCode::SUCCESS,
         Ok(settings) => settings,
-        Err(error) => {
-            eprintln!("bramblewheel-control: {error}");
-            return ExitCode::from(BAD_SETTINGS);
-        }
+        Err(bad_settings) => return bad_settings,
     };
-    if flags.check_settings {
-        return ExitCode::SUCCESS;
-    }
     abort_on_panic();
     run(settings)
 }
--- a/crates/bramblewheel-control/src/settings/check.rs
+++ b/crates/bramblewheel-control/src/settings/check.rs
@@ -13,7 +13,7 @@
 
 impl Settings {
     /// The first fault that the types can't express: key and reason.
-    pub(super) fn fault(&self) -> Option<(&'static str, String)> {
+    pub(super) fn first_fault(&self) -> Option<(&'static str, String)> {
         self.address_fault()
             .or_else(|| self.timing_fault())
             .or_else(|| self.admin_fault())
--- a/crates/bramblewheel-control/src/settings/mod.rs
+++ b/crates/bramblewheel-control/src/settings/mod.rs
@@ -9,11 +9,11 @@
     TimingSettings,
 };
 
-use bramblewheel_process::settings::{SettingsSource, read};
+use bramblewheel_process::settings::SettingsFile;
 use bramblewheel_types::{RegionName, ZoneName};
 use serde::Deserialize;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 /// What a control replica is told at its start.
 #[derive(Clone, Debug, Deserialize)]
@@ -65,28 +65,8 @@
     pub listen_admin: Option<SocketAddr>,
 }
 
-impl Settings {
-    /// Reads and checks a settings file.
-    ///
-    /// # Errors
-    /// [`SettingsError`] with the file, line and key at fault.
-    pub fn load(file: &Path, overrides: Overrides) -> Result<Self, SettingsError> {
-        Self::parse(file, &read(file)?, overrides)
-    }
-
-    /// Checks the text of a settings file; `file` is only named in errors.
-    ///
-    /// # Errors
-    /// [`SettingsError::Invalid`] with the line and key at fault.
-    pub fn parse(file: &Path, text: &str, overrides: Overrides) -> Result<Self, SettingsError> {
-        let source = SettingsSource::new(file, text);
-        let mut settings: Self = source.deserialize()?;
-        settings.apply(overrides);
-        match settings.fault() {
-            Some((key, reason)) => Err(source.fault(key, &reason)),
-            None => Ok(settings),
-        }
-    }
+impl SettingsFile for Settings {
+    type Overrides = Overrides;
 
     fn apply(&mut self, overrides: Overrides) {
         if let Some(folder) = overrides.data_folder {
@@ -102,4 +82,8 @@
             self.listen.admin = address;
         }
     }
+
+    fn fault(&self) -> Option<(&'static str, String)> {
+        self.first_fault()
+    }
 }
--- a/crates/bramblewheel-control/tests/connections.rs
+++ b/crates/bramblewheel-control/tests/connections.rs
@@ -2,6 +2,7 @@
 //! connection's task either.
 
 use bramblewheel_control::{Settings, logging, settings::Overrides};
+use bramblewheel_process::settings::SettingsFile;
 use bramblewheel_protocol::codec::{MAX_CONTROL_FRAME, encode};
 use bramblewheel_protocol::control::{ControlRequest, RequestBody};
 use std::path::Path;
--- a/crates/bramblewheel-control/tests/disk_faults.rs
+++ b/crates/bramblewheel-control/tests/disk_faults.rs
@@ -6,6 +6,7 @@
 use bramblewheel_control::node::Durable;
 use bramblewheel_control::settings::Overrides;
 use bramblewheel_control::{ControlHandle, RunError, Settings, logging, start_on};
+use bramblewheel_process::settings::SettingsFile;
 use bramblewheel_protocol::control::{
     BootstrapRequest, GroupStatus, OperationAction, OperationReply, PublishReply, ReplyBody,
     RequestBody,
--- a/crates/bramblewheel-control/tests/server.rs
+++ b/crates/bramblewheel-control/tests/server.rs
@@ -4,6 +4,7 @@
 
 use bramblewheel_control::settings::Overrides;
 use bramblewheel_control::{ControlHandle, Settings, StartError, logging};
+use bramblewheel_process::settings::SettingsFile;
 use bramblewheel_protocol::codec::{LENGTH_PREFIX, MAX_CONTROL_FRAME, encode, read_frame};
 use bramblewheel_protocol::control::{
     BootstrapRequest, BundleUpdate, ControlReply, ControlRequest, GroupStatus, OperationReply,
--- a/crates/bramblewheel-control/tests/settings.rs
+++ b/crates/bramblewheel-control/tests/settings.rs
@@ -2,6 +2,7 @@
 
 use bramblewheel_control::Settings;
 use bramblewheel_control::settings::Overrides;
+use bramblewheel_process::settings::SettingsFile;
 use std::path::Path;
 
 const VALID: &str = r#"name = "control-1"
--- a/crates/bramblewheel-daemon/src/main.rs
+++ b/crates/bramblewheel-daemon/src/main.rs
@@ -2,13 +2,14 @@
 
 use bramblewheel_daemon::settings::Overrides;
 use bramblewheel_daemon::{Settings, process};
+use bramblewheel_process::program;
 use gumdrop::Options;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit code for settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// Name of the program in its messages.
+const PROGRAM: &str = "bramblewheel-daemon";
 
 #[derive(Debug, Options)]
 struct Flags {
@@ -42,20 +43,15 @@
         listen_outbound: flags.listen_outbound,
         listen_admin: flags.listen_admin,
     };
-    let settings = match Settings::load(&flags.settings, overrides) {
+    let settings = match program::settings::<Settings>(PROGRAM, &flags.settings, overrides) {
+        Ok(_) if flags.check_settings => return ExitCode::SUCCESS,
         Ok(settings) => settings,
-        Err(error) => {
-            eprintln!("bramblewheel-daemon: {error}");
-            return ExitCode::from(BAD_SETTINGS);
-        }
+        Err(bad_settings) => return bad_settings,
     };
-    if flags.check_settings {
-        return ExitCode::SUCCESS;
-    }
     match process::run(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("bramblewheel-daemon: {error}");
+            eprintln!("{PROGRAM}: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/bramblewheel-daemon/src/settings/check.rs
+++ b/crates/bramblewheel-daemon/src/settings/check.rs
@@ -5,7 +5,7 @@
 
 impl Settings {
     /// The first fault that the types can't express: key and reason.
-    pub(super) fn fault(&self) -> Option<(&'static str, String)> {
+    pub(super) fn first_fault(&self) -> Option<(&'static str, String)> {
         self.missing_fault()
             .or_else(|| self.address_fault())
             .or_else(|| self.limit_fault())
--- a/crates/bramblewheel-daemon/src/settings/load.rs
+++ b/crates/bramblewheel-daemon/src/settings/load.rs
@@ -1,9 +1,9 @@
-//! Reading the settings file, and what the command line puts over it.
+//! What the command line puts over the settings file.
 
 use crate::settings::Settings;
-use bramblewheel_process::settings::{SettingsError, SettingsSource, read};
+use bramblewheel_process::settings::SettingsFile;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 /// Values from the command line that win over the file.
 #[derive(Clone, Debug, Default)]
@@ -18,28 +18,8 @@
     pub listen_admin: Option<SocketAddr>,
 }
 
-impl Settings {
-    /// Reads and checks a settings file.
-    ///
-    /// # Errors
-    /// [`SettingsError`] with the file, line and key at fault.
-    pub fn load(file: &Path, overrides: Overrides) -> Result<Self, SettingsError> {
-        Self::parse(file, &read(file)?, overrides)
-    }
-
-    /// Checks the text of a settings file; `file` is only named in errors.
-    ///
-    /// # Errors
-    /// [`SettingsError::Invalid`] with the line and key at fault.
-    pub fn parse(file: &Path, text: &str, overrides: Overrides) -> Result<Self, SettingsError> {
-        let source = SettingsSource::new(file, text);
-        let mut settings: Self = source.deserialize()?;
-        settings.apply(overrides);
-        match settings.fault() {
-            Some((key, reason)) => Err(source.fault(key, &reason)),
-            None => Ok(settings),
-        }
-    }
+impl SettingsFile for Settings {
+    type Overrides = Overrides;
 
     fn apply(&mut self, overrides: Overrides) {
         if let Some(folder) = overrides.data_folder {
@@ -55,4 +35,8 @@
             self.listen.admin = address;
         }
     }
+
+    fn fault(&self) -> Option<(&'static str, String)> {
+        self.first_fault()
+    }
 }
--- a/crates/bramblewheel-daemon/tests/settings.rs
+++ b/crates/bramblewheel-daemon/tests/settings.rs
@@ -2,6 +2,7 @@
 
 use bramblewheel_daemon::Settings;
 use bramblewheel_daemon::settings::Overrides;
+use bramblewheel_process::settings::SettingsFile;
 use std::path::Path;
 
 const VALID: &str = r#"name = "stock-1"
--- a/crates/bramblewheel-daemon/tests/support/mod.rs
+++ b/crates/bramblewheel-daemon/tests/support/mod.rs
@@ -9,6 +9,7 @@
 use bramblewheel_bundle::{Bundle, OperatorKey, canonical, digest, parse};
 use bramblewheel_daemon::settings::Overrides;
 use bramblewheel_daemon::{DaemonHandle, Settings, StartError, logging};
+use bramblewheel_process::settings::SettingsFile;
 use bramblewheel_protocol::control::{BundleSignature, DirectoryEntry, SignedBundle};
 use bramblewheel_types::{EndpointId, ServiceName, ZoneName};
 use control::FakeControl;
--- a/crates/bramblewheel-lab/src/bench/scale/tests.rs
+++ b/crates/bramblewheel-lab/src/bench/scale/tests.rs
@@ -10,6 +10,7 @@
 use bramblewheel_bundle::{Bundle, verify};
 use bramblewheel_control::settings::Overrides;
 use bramblewheel_control::{ControlHandle, Settings, logging};
+use bramblewheel_process::settings::SettingsFile;
 use bramblewheel_protocol::control::{
     BootstrapRequest, PublishReply, ReplyBody, RequestBody, SignedBundle,
 };
--- a/crates/bramblewheel-lab/src/commands/hidden.rs
+++ b/crates/bramblewheel-lab/src/commands/hidden.rs
@@ -5,6 +5,7 @@
 use crate::error::CommandError;
 use crate::stdin_commands::end_with_parent;
 use bramblewheel_process::invariants::abort_on_panic;
+use bramblewheel_process::settings::SettingsFile;
 use gumdrop::Options;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/bramblewheel-process/src/settings/mod.rs
+++ b/crates/bramblewheel-process/src/settings/mod.rs
@@ -2,10 +2,12 @@
 
 mod addresses;
 mod error;
+mod file;
 mod log;
 mod source;
 
 pub use addresses::address_clash;
 pub use error::SettingsError;
+pub use file::SettingsFile;
 pub use log::{LogLevel, LogSettings};
 pub use source::{SettingsSource, read};
