--- a/crates/bramblewheel-daemon/src/daemon/error.rs
+++ b/crates/bramblewheel-daemon/src/daemon/error.rs
@@ -2,23 +2,15 @@
 
 use crate::control::store::StoreError;
 use crate::sessions::SessionKeyError;
-use std::io;
-use std::net::SocketAddr;
+use bramblewheel_process::listener::BindError;
 use thiserror::Error;
 
 /// A daemon can't start; the text is one line.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// A listener can't be opened.
-    #[error("listener {listener} at {address}: {error}")]
-    Bind {
-        /// Which listener.
-        listener: &'static str,
-        /// Its address.
-        address: SocketAddr,
-        /// What the operating system says.
-        error: io::Error,
-    },
+    #[error(transparent)]
+    Bind(#[from] BindError),
     /// The data folder can't be used.
     #[error(transparent)]
     Store(#[from] StoreError),
--- a/crates/bramblewheel-daemon/src/daemon/listeners.rs
+++ b/crates/bramblewheel-daemon/src/daemon/listeners.rs
@@ -1,8 +1,10 @@
 //! The daemon's listeners: bound together, served together, stopped together.
+//!
+//! Owns the order to stop. Relies on [`crate::http::server`] to serve each.
 
-use crate::daemon::StartError;
 use crate::http::server::{Handler, ServerConfig, serve};
 use crate::settings::Settings;
+use bramblewheel_process::listener::{BindError, bind};
 use slog::Logger;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,8 +35,8 @@
     /// Binds the addresses of the settings.
     ///
     /// # Errors
-    /// [`StartError::Bind`] for the first one that can't be had.
-    pub(super) async fn bind(settings: &Settings) -> Result<Self, StartError> {
+    /// [`BindError`] for the first one that can't be opened.
+    pub(super) async fn bind(settings: &Settings) -> Result<Self, BindError> {
         let inbound = match settings.listen.inbound {
             Some(address) => Some(bind("inbound", address).await?),
             None => None,
@@ -55,20 +57,6 @@
     }
 }
 
-async fn bind(
-    listener: &'static str,
-    address: SocketAddr,
-) -> Result<(TcpListener, SocketAddr), StartError> {
-    let failed = |error| StartError::Bind {
-        listener,
-        address,
-        error,
-    };
-    let socket = TcpListener::bind(address).await.map_err(failed)?;
-    let bound = socket.local_addr().map_err(failed)?;
-    Ok((socket, bound))
-}
-
 /// The listeners of a daemon, which end together.
 pub(super) struct Servers {
     tasks: JoinSet<()>,
--- /dev/null
+++ b/crates/bramblewheel-proxy/src/daemon/parts.rs
@@ -0,0 +1,145 @@
+//! What a daemon is put together from: the state that its parts share, and the tasks beside the
+//! listeners.
+//!
+//! Owns the policies of the kept connections and the order in which the parts are made.
+
+use crate::control::content_reports::{self, ContentReporter, WaitingReports};
+use crate::control::group::ControlGroup;
+use crate::control::registrar::{Recording, Registrar};
+use crate::control::renewal::Renewer;
+use crate::control::watch::{ReadTable, Watcher};
+use crate::http::pool::{IdlePolicy, Pools};
+use crate::local::LocalEndpoint;
+use crate::metrics::Metrics;
+use crate::outbound::bound_watch;
+use crate::settings::Settings;
+use crate::shared::{Routing, Shared, TenantAccess};
+use arc_swap::ArcSwapOption;
+use bramblewheel_decisions::directory::Directory;
+use bramblewheel_decisions::early_refusal::EarlyRefusal;
+use bramblewheel_decisions::retry_bound::RetryBound;
+use bramblewheel_decisions::table_lease::TableLease;
+use bramblewheel_decisions::tenant_quota::TenantQuotas;
+use bramblewheel_process::clock::Clock;
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use slog::Logger;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::task::JoinSet;
+
+/// Idle connections to another daemon. Time and number chosen, not measured.
+pub(super) const IDLE_DAEMON_CONNECTIONS: IdlePolicy = IdlePolicy {
+    longest: Duration::from_secs(4),
+    most: 64,
+};
+/// Idle connections to the endpoint: more than most endpoints have slots, since each new one occupies
+/// a slot for a moment. Time and number chosen, not measured.
+const IDLE_ENDPOINT_CONNECTIONS: IdlePolicy = IdlePolicy {
+    longest: Duration::from_secs(7),
+    most: 256,
+};
+/// Time between two checks for connections that were idle for too long; chosen, not measured.
+const POOL_CHECK_PERIOD: Duration = Duration::from_secs(2);
+
+/// A daemon's shared state, and what its tasks are made from.
+pub(super) struct Parts {
+    /// What all parts share.
+    pub(super) shared: Arc<Shared>,
+    /// Takes the local endpoint's heartbeats.
+    pub(super) registrar: Arc<Registrar>,
+    recording: Recording,
+    reports: WaitingReports,
+    incarnation: u64,
+}
+
+impl Parts {
+    /// Puts a daemon's state together; `incarnation` also seeds its random choices.
+    pub(super) fn new(settings: Settings, incarnation: u64, log: Logger) -> Self {
+        let clock = Clock::start();
+        let local = Arc::new(LocalEndpoint::default());
+        let control = Arc::new(ControlGroup::new(settings.replicas.clone()));
+        let (reporter, reports) = ContentReporter::new(log.clone());
+        let endpoint_pools = Arc::new(Pools::new(IDLE_ENDPOINT_CONNECTIONS, clock));
+        let (registrar, recording) = Registrar::new(
+            Arc::clone(&local),
+            Arc::clone(&control),
+            reporter.clone(),
+            Arc::clone(&endpoint_pools),
+            clock,
+            log.clone(),
+        );
+        let shared = Shared {
+            routing: Mutex::new(routing(&settings, clock, incarnation)),
+            tenant_access: Mutex::new(tenant_access(&settings)),
+            quarantine: Default::default(),
+            reporter,
+            router: ArcSwapOption::empty(),
+            liveness: Default::default(),
+            daemon_pools: Pools::new(IDLE_DAEMON_CONNECTIONS, clock),
+            endpoint_pools,
+            metrics: Metrics::default(),
+            in_progress: Default::default(),
+            stop: Default::default(),
+            settings,
+            clock,
+            local,
+            control,
+            log,
+        };
+        Self {
+            shared: Arc::new(shared),
+            registrar,
+            recording,
+            reports,
+            incarnation,
+        }
+    }
+
+    /// Starts the tasks beside the listeners; they end when the set is dropped.
+    pub(super) fn start_background(self, read_table: ReadTable) -> JoinSet<()> {
+        let shared = &self.shared;
+        let watcher = Watcher::new(
+            Arc::clone(shared),
+            self.registrar,
+            read_table,
+            self.incarnation,
+        );
+        let renewer = Renewer::new(Arc::clone(shared), self.incarnation);
+        let mut background = JoinSet::new();
+        background.spawn(self.recording.run(shared.settings.heartbeat));
+        background.spawn(close_stale(Arc::clone(shared)));
+        background.spawn(watcher.run());
+        background.spawn(renewer.run());
+        background.spawn(content_reports::run(Arc::clone(shared), self.reports));
+        background.spawn(bound_watch::run(Arc::clone(shared)));
+        background
+    }
+}
+
+fn routing(settings: &Settings, clock: Clock, incarnation: u64) -> Routing {
+    Routing {
+        directory: Directory::new(settings.zone.clone(), settings.name.clone()),
+        early_refusal: EarlyRefusal::default(),
+        nested_routes: Default::default(),
+        reported_nested: Default::default(),
+        retry_bound: RetryBound::new(settings.retry, clock.now()),
+        random: Pcg64Mcg::seed_from_u64(incarnation),
+    }
+}
+
+fn tenant_access(settings: &Settings) -> TenantAccess {
+    TenantAccess {
+        lease: TableLease::new(settings.key_revocation),
+        quotas: TenantQuotas::new(settings.quota),
+    }
+}
+
+async fn close_stale(shared: Arc<Shared>) {
+    let mut ticks = tokio::time::interval(POOL_CHECK_PERIOD);
+    loop {
+        ticks.tick().await;
+        shared.daemon_pools.close_stale();
+        shared.endpoint_pools.close_stale();
+    }
+}
