--- a/crates/bramblewheel-proxy/src/http/server.rs
+++ b/crates/bramblewheel-proxy/src/http/server.rs
@@ -29,7 +29,7 @@
 const READ_AHEAD: usize = 64 * 1024;
 /// Connections of one listener; beyond it they wait to be accepted.
 const MAX_CONNECTIONS: usize = 1_800;
-/// Least time between two looks whether a connection rests.
+/// Least time between two checks whether a connection rests.
 const LEAST_LOOK: Duration = Duration::from_millis(500);
 /// Time in which the first request on a connection that was opened shortly before the listener closed is read.
 const FIRST_REQUEST_TIME: Duration = Duration::from_millis(100);
@@ -227,18 +227,7 @@
         let count = Arc::clone(&count);
         // Boxed, since a connection keeps room for the future of a request also while it rests, and
         // most connections do.
-        Box::pin(async move {
-            activity.request_begins();
-            let running = count.begin_request();
-            let mut response = handler.handle(request).await;
-            let has_many_at_rest = count.resting() >= most_at_rest;
-            if has_many_at_rest && !activity.was_used_again() {
-                close_after(&mut response);
-            }
-            drop(running);
-            activity.request_ends();
-            Ok::<_, Infallible>(response)
-        })
+        Box::pin(answer(handler, request, activity, count, most_at_rest))
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -260,6 +249,26 @@
     };
 }
 
+/// Answers a request; the answer is the last one of its connection if too many are at rest.
+async fn answer<H: Handler>(
+    handler: Arc<H>,
+    request: Request<Incoming>,
+    activity: Arc<Activity>,
+    count: Arc<OpenConnections>,
+    most_at_rest: usize,
+) -> Result<Response<AnswerBody>, Infallible> {
+    activity.request_begins();
+    let running = count.begin_request();
+    let mut response = handler.handle(request).await;
+    let has_many_at_rest = count.resting() >= most_at_rest;
+    if has_many_at_rest && !activity.was_used_again() {
+        close_after(&mut response);
+    }
+    drop(running);
+    activity.request_ends();
+    Ok(response)
+}
+
 /// Makes an answer the last one of its connection.
 fn close_after(response: &mut Response<AnswerBody>) {
     let headers = response.headers_mut();
