--- a/crates/bramblewheel-daemon/src/admin/exposition.rs
+++ b/crates/bramblewheel-daemon/src/admin/exposition.rs
@@ -76,8 +76,22 @@
     }
 }
 
+/// A counter's name without prefix, its help text and its value.
+type CounterFigure = (&'static str, &'static str, u64);
+
 fn register_counters(registry: &mut Registry, engine: &EngineMetrics) {
-    let counters = [
+    let counters = attempt_counters(engine)
+        .into_iter()
+        .chain(other_counters(engine));
+    for (name, help, value) in counters {
+        let counter: Counter = Counter::default();
+        counter.inc_by(value);
+        registry.register(format!("bramblewheel_{name}"), help, counter);
+    }
+}
+
+fn attempt_counters(engine: &EngineMetrics) -> [CounterFigure; 6] {
+    [
         ("attempts_sent", "Attempts sent", engine.attempts_sent),
         ("dispatched", "Attempts dispatched", engine.dispatched),
         (
@@ -100,6 +114,11 @@
             "Retries over a ratio budget",
             engine.retries_over_ratio,
         ),
+    ]
+}
+
+fn other_counters(engine: &EngineMetrics) -> [CounterFigure; 6] {
+    [
         ("resends", "Root calls that were resends", engine.resends),
         (
             "application_repeats",
@@ -122,12 +141,7 @@
             "Grants after the attempt was given up",
             engine.late_grants,
         ),
-    ];
-    for (name, help, value) in counters {
-        let counter: Counter = Counter::default();
-        counter.inc_by(value);
-        registry.register(format!("bramblewheel_{name}"), help, counter);
-    }
+    ]
 }
 
 fn register_gauges(registry: &mut Registry, engine: &EngineMetrics, bundle_version: u64) {
--- a/crates/bramblewheel-daemon/src/daemon.rs
+++ b/crates/bramblewheel-daemon/src/daemon.rs
@@ -1,4 +1,7 @@
-//! Puts a daemon together, runs it, and stops it without interrupting anything.
+//! The daemon of the way of signed bundles as a whole: its start and its planned stop.
+//!
+//! Owns the daemon's tasks and the order of their start: files first, then listeners, then the tasks.
+//! Relies on settings that were checked when they were read.
 
 mod drain;
 mod error;
@@ -18,10 +21,11 @@
 use crate::load_report;
 use crate::metrics::Metrics;
 use crate::outbound::Outbound;
-use crate::sessions::SessionKeys;
+use crate::sessions::{SessionKeyError, SessionKeys};
 use crate::settings::{EndpointSettings, Settings};
 use crate::shared::{IdSource, Shared};
 use arc_swap::ArcSwapOption;
+use bramblewheel_bundle::Bundle;
 use bramblewheel_core::engine::{Engine, EngineConfig, LocalEndpoint};
 use bramblewheel_core::event::Event;
 use bramblewheel_protocol::control::{EndpointRegistration, Registration};
@@ -35,7 +39,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Time between two looks for pools that are no longer used.
+/// Time between two checks for pools that are no longer used; chosen, not measured.
 const POOL_CHECK_PERIOD: Duration = Duration::from_secs(30);
 
 /// A running daemon. Dropping it ends the daemon at once, as a crash would.
@@ -74,10 +78,7 @@
 pub async fn run(settings: Settings, log: Logger) -> Result<DaemonHandle, StartError> {
     let store = BundleStore::open(DiskFileSystem, &settings.data_folder)?;
     let persisted = store.load()?.map(Arc::new);
-    let sessions = match &settings.sessions {
-        Some(sessions) => SessionKeys::load(&sessions.key_file)?,
-        None => SessionKeys::default(),
-    };
+    let sessions = session_keys(&settings)?;
     let listeners = Listeners::bind(&settings).await?;
     let addresses = listeners.addresses;
     let incarnation = getrandom::u64()?;
@@ -85,10 +86,7 @@
     let engine = Engine::new(engine_config(&settings, getrandom::u64()?));
     let driver = Arc::new(Driver::new(engine, Clock::start(), ledger.clone()));
     let metrics = Arc::new(Metrics::default());
-    if let Some(bundle) = &persisted {
-        driver.submit(Event::BundleInstalled(Arc::clone(bundle)));
-        slog::info!(log, "bundle in force"; "version" => bundle.version.0, "source" => "disk");
-    }
+    install_persisted(&driver, persisted.as_ref(), &log);
     let shared = Arc::new(Shared {
         driver: Arc::clone(&driver),
         pools: Pools::default(),
@@ -121,6 +119,21 @@
     })
 }
 
+fn session_keys(settings: &Settings) -> Result<SessionKeys, SessionKeyError> {
+    match &settings.sessions {
+        Some(sessions) => SessionKeys::load(&sessions.key_file),
+        None => Ok(SessionKeys::default()),
+    }
+}
+
+/// Tells the engine of the bundle that was in force when the daemon ended.
+fn install_persisted(driver: &Driver, persisted: Option<&Arc<Bundle>>, log: &Logger) {
+    if let Some(bundle) = persisted {
+        driver.submit(Event::BundleInstalled(Arc::clone(bundle)));
+        slog::info!(log, "bundle in force"; "version" => bundle.version.0, "source" => "disk");
+    }
+}
+
 fn engine_config(settings: &Settings, seed: u64) -> EngineConfig {
     EngineConfig {
         daemon: settings.name.clone(),
--- a/crates/bramblewheel-daemon/src/driver.rs
+++ b/crates/bramblewheel-daemon/src/driver.rs
@@ -161,7 +161,7 @@
         let mut actions = std::mem::take(&mut state.actions);
         state.engine.handle(self.clock.now(), event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(state, action);
+            self.carry_out(&mut state.tasks, action);
         }
         state.actions = actions;
         self.arm(state);
@@ -176,7 +176,7 @@
         }
     }
 
-    fn carry_out(&self, state: &mut State, action: Action) {
+    fn carry_out(&self, tasks: &mut Registry, action: Action) {
         match action {
             Action::SendAttempt {
                 call,
@@ -184,29 +184,24 @@
                 context,
                 ..
             } => {
-                state.tasks.add_attempt(call, context.attempt);
+                tasks.add_attempt(call, context.attempt);
                 let context = Box::new(context);
-                let command = CallCommand::Send { address, context };
-                state.tasks.command_call(call, command);
+                tasks.command_call(call, CallCommand::Send { address, context });
             }
             Action::CancelAttempt { attempt } => {
-                if let Some(call) = state.tasks.take_attempt(attempt) {
-                    let command = CallCommand::Cancel(attempt);
-                    state.tasks.command_call(call, command);
+                if let Some(call) = tasks.take_attempt(attempt) {
+                    tasks.command_call(call, CallCommand::Cancel(attempt));
                 }
             }
             Action::AnswerCall { call, answer } => {
-                let command = CallCommand::Answer(Box::new(answer));
-                state.tasks.command_call(call, command);
-                state.tasks.forget_call(call);
+                tasks.command_call(call, CallCommand::Answer(Box::new(answer)));
+                tasks.forget_call(call);
             }
             Action::Dispatch { attempt } => {
-                state
-                    .tasks
-                    .command_inbound(attempt, InboundCommand::Dispatch);
+                tasks.command_inbound(attempt, InboundCommand::Dispatch);
             }
             Action::CancelDispatch { attempt } => {
-                state.tasks.command_inbound(attempt, InboundCommand::Cancel);
+                tasks.command_inbound(attempt, InboundCommand::Cancel);
             }
             Action::AnswerAttempt {
                 attempt,
@@ -214,7 +209,7 @@
                 feedback,
             } => {
                 let command = InboundCommand::Answer(Box::new(answer), feedback);
-                state.tasks.command_inbound(attempt, command);
+                tasks.command_inbound(attempt, command);
             }
             Action::Ledger { attempt, request } => {
                 // The ledger task lives as long as the driver; at a stop nobody waits any more.
