--- a/crates/bramblewheel-daemon/src/control/poll.rs
+++ b/crates/bramblewheel-daemon/src/control/poll.rs
@@ -74,7 +74,7 @@
             let wait = POLL_WAIT + POLL_GRACE;
             let reply = tokio::select! {
                 biased;
-                // The news must not wait for the end of the poll that is being held.
+                // The change must not wait for the end of the poll that is being held.
                 Ok(()) = draining.changed() => {
                     self.link.reconnect();
                     continue;
@@ -110,24 +110,24 @@
 
     /// Takes over an answer, or says why it is refused.
     async fn take(&mut self, reply: PollReply) -> Result<(), String> {
-        let news = self.intake.check(&reply);
-        if let Err(RefusedReply::Stale { .. }) = &news {
+        let update = self.intake.check(&reply);
+        if let Err(RefusedReply::Stale { .. }) = &update {
             self.metrics.control_stale.inc();
         }
         let mut bundle = None;
-        if let Some(new) = news.map_err(|e| e.to_string())? {
+        if let Some(new) = update.map_err(|e| e.to_string())? {
             let new_bundle = Arc::new(new.bundle);
             bundle = Some(Arc::clone(&new_bundle));
             self.put_in_force(new_bundle, new.signed).await?;
         }
         self.intake.take(&reply, bundle);
-        let update = DirectoryUpdate {
+        let directory = DirectoryUpdate {
             is_complete: reply.directory_is_complete,
             live: reply.live.into_iter().map(directory_endpoint).collect(),
             removed: reply.removed,
         };
-        if update.is_complete || !update.live.is_empty() || !update.removed.is_empty() {
-            self.driver.submit(Event::DirectoryUpdated(update));
+        if directory.is_complete || !directory.live.is_empty() || !directory.removed.is_empty() {
+            self.driver.submit(Event::DirectoryUpdated(directory));
         }
         self.metrics.control_polls.inc();
         self.link.succeeded();
--- a/crates/bramblewheel-daemon/src/http/body.rs
+++ b/crates/bramblewheel-daemon/src/http/body.rs
@@ -1,4 +1,7 @@
-//! Bodies: read whole up to a limit, or passed on as they come.
+//! Bodies of answers: known in full, or passed on as they come.
+//!
+//! A streamed body reports its end to its owner, so that the engine knows of each attempt how it
+//! ended; the routed data path has no engine, and its body holds connection and slot instead.
 
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
--- a/crates/bramblewheel-daemon/src/http/exchange.rs
+++ b/crates/bramblewheel-daemon/src/http/exchange.rs
@@ -1,4 +1,6 @@
 //! One request and its answer over a pooled connection, with proof of what was sent.
+//!
+//! Relies on the library's promise to hand a request back that it has not begun to write.
 
 use crate::http::pool::{Lease, Pool, RequestBody};
 use bramblewheel_http::body::{Collected, collect};
--- a/crates/bramblewheel-daemon/src/http/pool.rs
+++ b/crates/bramblewheel-daemon/src/http/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one address, kept for reuse.
+//! Connections to one address, kept for reuse, with a bound on how many are open.
 //!
 //! A connection goes back to the pool only after its answer was read to the end. One that is
 //! dropped before that is closed, which also tells the peer that its answer isn't wanted.
@@ -16,10 +16,10 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time for a connection to open.
+/// Time for a connection to open; chosen, not measured.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Idle connections older than this are closed; below the peers' own limit, so that a request
-/// rarely meets a connection that the peer is just closing.
+/// rarely meets a connection that the peer is just closing. Chosen, not measured.
 const MAX_IDLE: Duration = Duration::from_secs(5);
 
 /// Body of a request to a daemon or endpoint.
@@ -79,7 +79,7 @@
     freed: Notify,
 }
 
-/// One connection's place in the count.
+/// One connection in the count; leaves it when dropped.
 #[derive(Debug)]
 struct OpenSlot(Arc<OpenCount>);
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// An open connection with its place in the count; closed when dropped.
+/// An open connection that is counted; closed when dropped.
 #[derive(Debug)]
 struct CountedConnection {
     connection: Connection<RequestBody>,
@@ -150,7 +150,7 @@
         if let Some(connection) = take_ready(&mut idle) {
             return Reservation::Idle(connection);
         }
-        // Idle connections that aren't ready must not keep a new one out: the oldest makes room.
+        // Idle connections that aren't ready must not keep a new one out: the oldest is closed for it.
         let is_full = self.open.count.load(Ordering::Relaxed) >= limit.max(1);
         if is_full && idle.is_empty() {
             return Reservation::Full;
--- a/crates/bramblewheel-daemon/src/http/server.rs
+++ b/crates/bramblewheel-daemon/src/http/server.rs
@@ -1,4 +1,7 @@
 //! Listeners: accept connections up to a cap, serve HTTP/1.1 on them, stop without breaking any.
+//!
+//! Owns the connections of a listener. Above the cap a connection gets an answer that says so in the
+//! project's own fields, which its callers understand; the routed data path lets it wait instead.
 
 use crate::http::answer::HttpAnswer;
 use crate::settings::LimitSettings;
@@ -18,7 +21,7 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::task::JoinSet;
 
-/// What a connection above the cap is told.
+/// Answer on a connection above the cap.
 const TOO_MANY_CONNECTIONS: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\n\
     connection: close\r\n\
     retry-after: 1\r\n\
@@ -26,9 +29,9 @@
     bw-reason: overloaded\r\n\
     bw-retry-after-ms: 1000\r\n\
     content-length: 0\r\n\r\n";
-/// Time given to a refused connection to take its refusal.
+/// Time given to a refused connection to take its refusal; chosen, not measured.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Wait after a failed accept, such as when no file descriptor is left.
+/// Wait after a failed accept, such as when no file descriptor is left; chosen, not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// A handler of requests.
--- a/crates/bramblewheel-daemon/src/lib.rs
+++ b/crates/bramblewheel-daemon/src/lib.rs
@@ -1,4 +1,5 @@
-//! The data-plane process beside each endpoint, and the gateway.
+//! The daemon of the way of signed bundles: beside each endpoint, or alone as a gateway. The daemon of
+//! the routed data path is `bramblewheel-proxy`.
 //!
 //! All decisions are made by [`bramblewheel_core::engine::Engine`]; this crate is its shell: it
 //! owns the sockets, the clock and the files, turns what happens into events, and carries out the
--- a/crates/bramblewheel-daemon/src/load_report.rs
+++ b/crates/bramblewheel-daemon/src/load_report.rs
@@ -1,4 +1,4 @@
-//! Asks the local endpoint for its own word on its load. A hint: it may lag or mislead.
+//! Asks the local endpoint for its load, as it sees it. A hint: it may lag or mislead.
 
 use crate::driver::Driver;
 use crate::http::exchange::{ExchangeLimits, Exchanged, WholeAnswer, exchange};
--- a/crates/bramblewheel-daemon/src/settings.rs
+++ b/crates/bramblewheel-daemon/src/settings.rs
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What a daemon is told at its start.
+/// Settings of a daemon.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
--- a/crates/bramblewheel-process/src/logging.rs
+++ b/crates/bramblewheel-process/src/logging.rs
@@ -10,11 +10,12 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Lines that wait to be written; a reader that stalls costs the ones beyond.
+/// Lines that wait to be written; a reader that stalls costs the ones beyond. Chosen, not measured.
 const WAITING_LINES: usize = 2_048;
-/// Lines that may come at once before the bound on their rate holds.
+/// Seconds' worth of lines that may come at once before the bound on their rate holds. Chosen, not
+/// measured.
 const BURST_SECONDS: f64 = 3.0;
-/// Time after which left-out lines are told of.
+/// Time between two lines that say how many were left out; chosen, not measured.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
 /// Builds a logger on standard error; lines below `level` are dropped.
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Whether a line may be written, and how many were left out that are to be told of now.
+    /// Whether a line may be written, and how many were left out that are to be reported now.
     fn admit(&self, now: Instant, must_write: bool) -> (bool, u64) {
         let Ok(mut state) = self.state.lock() else {
             return (false, 0);
--- a/crates/bramblewheel-proxy/src/daemon/listeners.rs
+++ b/crates/bramblewheel-proxy/src/daemon/listeners.rs
@@ -17,8 +17,9 @@
 /// ([`super::parts::IDLE_DAEMON_CONNECTIONS`]), so that no request crosses the close. Chosen, not
 /// measured.
 const DAEMON_CONNECTION_REST: Duration = Duration::from_secs(8);
-/// Callers' connections at rest beyond which new ones are closed after their first answer. Chosen,
-/// not measured.
+/// Callers' connections at rest beyond which new ones are closed after their first answer. Guards
+/// against callers that open a connection for each request and leave it open: without it daemons of
+/// a fleet of 300 machines held 2,913 and 3,818 files. The figure is chosen, not measured.
 const CALLER_CONNECTIONS_AT_REST: usize = 128;
 
 /// The listeners, open but not served yet.
--- a/crates/bramblewheel-proxy/src/daemon/parts.rs
+++ b/crates/bramblewheel-proxy/src/daemon/parts.rs
@@ -28,13 +28,16 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Idle connections to another daemon. Time and number chosen, not measured.
+/// Idle connections to another daemon. With at most 8 to any address in place of 64, and less read
+/// ahead, 7,921 connections to endpoints were opened in place of 616, for 1,132 files of a daemon in
+/// place of 1,149 (one run each). Time chosen, not measured.
 pub(super) const IDLE_DAEMON_CONNECTIONS: IdlePolicy = IdlePolicy {
     longest: Duration::from_secs(4),
     most: 64,
 };
-/// Idle connections to the endpoint: more than most endpoints have slots, since each new one occupies
-/// a slot for a moment. Time and number chosen, not measured.
+/// Idle connections to the endpoint: more than the 74 to 217 slots that endpoints have, since each new
+/// one occupies a slot for a moment. With at most 64 some 100,000 connections were opened on a day of
+/// changing load, against 6,464 on a calm one. Time chosen, not measured.
 const IDLE_ENDPOINT_CONNECTIONS: IdlePolicy = IdlePolicy {
     longest: Duration::from_secs(7),
     most: 256,
--- a/crates/bramblewheel-proxy/src/dialect.rs
+++ b/crates/bramblewheel-proxy/src/dialect.rs
@@ -1,4 +1,7 @@
 //! How callers and endpoints name what concerns this layer in their headers.
+//!
+//! Owns the names and the reading of an endpoint's answer by its head. The program that starts the
+//! daemon gives other names where its users have their own.
 
 use crate::http::fields::set_or_remove;
 use bramblewheel_types::{EndpointId, Millis};
--- a/crates/bramblewheel-proxy/src/http/body.rs
+++ b/crates/bramblewheel-proxy/src/http/body.rs
@@ -1,4 +1,7 @@
 //! Bodies: kept whole while they are short, passed on as they come otherwise.
+//!
+//! A short body can be sent again on another connection; a streamed one can't. A streamed answer owns
+//! its connection and its slot until the last byte.
 
 use crate::http::pool::Lease;
 use crate::in_progress::InProgress;
@@ -124,13 +127,13 @@
     }
 }
 
-/// What a streamed answer holds until its last byte: the connection it comes on, and its place at
-/// the local endpoint.
+/// What a streamed answer holds until its last byte: the connection it comes on, and its slot at the
+/// local endpoint.
 #[derive(Debug)]
 pub struct Held {
     /// Connection that the answer comes on.
     pub lease: Lease,
-    /// Place at the local endpoint, if the answer is that endpoint's.
+    /// Slot at the local endpoint, if the answer is that endpoint's.
     pub permit: Option<Permit>,
 }
 
--- a/crates/bramblewheel-proxy/src/http/exchange.rs
+++ b/crates/bramblewheel-proxy/src/http/exchange.rs
@@ -1,4 +1,7 @@
 //! One request and the head of its answer, with proof of what was sent.
+//!
+//! Relies on the library's promise to hand a request back that it has not begun to write. The way of
+//! signed bundles has an exchange of its own, which bounds connections and reads the answer whole.
 
 use crate::http::body::{self, AnswerBody, BrokenBody, Held, Read, RequestBody};
 use crate::http::fields;
@@ -11,7 +14,7 @@
 use hyper::body::Incoming;
 use std::sync::Arc;
 
-/// Reused connections that may turn out to be closed before a new one is opened.
+/// Reused connections that may turn out to be closed before a new one is opened; chosen, not measured.
 const REUSED_TRIES: usize = 2;
 
 /// Why there is no answer.
--- a/crates/bramblewheel-proxy/src/http/fields.rs
+++ b/crates/bramblewheel-proxy/src/http/fields.rs
@@ -1,4 +1,4 @@
-//! Header fields that concern one connection only.
+//! Header fields that concern one connection only, as this data path removes, sets and reads them.
 
 pub use bramblewheel_http::fields::KEEP_ALIVE;
 use bramblewheel_http::fields::{HOP_BY_HOP, connection_options, named_by_connection};
@@ -31,14 +31,13 @@
     seconds.map(Duration::from_secs)
 }
 
-/// What the other side is told of a connection that is closed here after `rest`: less than that, so
-/// that no request crosses the close, in whole seconds as the field wants it; nothing below one.
+/// Value of `Keep-Alive` for a connection that is closed here after `rest`: less than that, so that no request crosses the close, in whole seconds as the field wants it; nothing below one.
 pub fn keep_alive(rest: Duration) -> Option<HeaderValue> {
-    /// Part of the time that the other side is told.
-    const TOLD_PART: f64 = 0.6;
-    let seconds = rest.mul_f64(TOLD_PART).as_secs();
-    let told = || HeaderValue::try_from(format!("timeout={seconds}"));
-    (seconds > 0).then(|| told().expect("numbers consist of visible ASCII"))
+    /// Share of the time that is stated, 0 to 1; chosen, not measured.
+    const STATED_SHARE: f64 = 0.6;
+    let seconds = rest.mul_f64(STATED_SHARE).as_secs();
+    let value = || HeaderValue::try_from(format!("timeout={seconds}"));
+    (seconds > 0).then(|| value().expect("numbers consist of visible ASCII"))
 }
 
 /// Whether the other side closes the connection after this message.
--- a/crates/bramblewheel-proxy/src/http/pool.rs
+++ b/crates/bramblewheel-proxy/src/http/pool.rs
@@ -1,4 +1,9 @@
 //! Kept connections to one address.
+//!
+//! Owns the idle connections and what is known of how long the other side keeps them. Unlike the pool
+//! of the way of signed bundles it does not bound the connections in use: how many requests go to an
+//! address is decided before. It learns instead which rest is too long, since endpoints close idle
+//! connections without notice, and a request that meets the close may have run.
 
 use crate::http::body::RequestBody;
 use bramblewheel_http::connection::Connection;
@@ -14,11 +19,13 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest wait for a connection; a machine that is cut off says nothing.
+/// Longest wait for a connection; a machine that is cut off does not answer. Chosen, not measured.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Bytes read ahead on a connection; a reader that is slow holds the writer up.
+/// Bytes read ahead on a connection; a reader that is slow holds the writer up. Chosen, not measured.
 const READ_AHEAD: usize = 64 * 1024;
-/// Time for which a pool remembers that the other side forgets idle connections.
+/// Time for which a pool remembers that the other side closes idle connections early. Without that, 81
+/// answers were lost in three seconds when all endpoints closed connections idle for 150 ms. The time
+/// is chosen, not measured.
 const MEMORY_OF_LOSSES: Duration = Duration::from_secs(8);
 
 /// No connection could be opened; nothing was sent.
--- a/crates/bramblewheel-proxy/src/http/server.rs
+++ b/crates/bramblewheel-proxy/src/http/server.rs
@@ -1,4 +1,9 @@
 //! Listeners: accept connections up to a cap, serve HTTP/1.1 on them, stop without breaking any.
+//!
+//! Owns the connections of a listener and how long each may rest. Above the cap connections wait to be
+//! accepted; the way of signed bundles refuses them with an answer instead, since its callers
+//! read the fields of it. At a stop, connections that wait are accepted and served, since their callers may
+//! have sent requests.
 
 use crate::http::body::AnswerBody;
 use crate::http::open_connections::OpenConnections;
@@ -23,17 +28,19 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Time for the head of a request to arrive; also the longest rest between two requests.
+/// Time for the head of a request to arrive; also the longest rest between two requests. Chosen, not
+/// measured.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
-/// Bytes read ahead on a connection, which is also the longest head.
+/// Bytes read ahead on a connection, which is also the longest head. Chosen, not measured.
 const READ_AHEAD: usize = 64 * 1024;
-/// Connections of one listener; beyond it they wait to be accepted.
+/// Connections of one listener; beyond it they wait to be accepted. Chosen, not measured.
 const MAX_CONNECTIONS: usize = 1_800;
-/// Least time between two checks whether a connection rests.
+/// Least time between two checks whether a connection rests; chosen, not measured.
 const LEAST_LOOK: Duration = Duration::from_millis(500);
-/// Time in which the first request on a connection that was opened shortly before the listener closed is read.
+/// Time in which the first request on a connection that was opened shortly before the listener closed
+/// is read; chosen, not measured.
 const FIRST_REQUEST_TIME: Duration = Duration::from_millis(100);
-/// Wait after a failed accept, such as when no file descriptor is left.
+/// Wait after a failed accept, such as when no file descriptor is left; chosen, not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// A handler of requests.
--- a/crates/bramblewheel-proxy/src/settings.rs
+++ b/crates/bramblewheel-proxy/src/settings.rs
@@ -1,4 +1,6 @@
-//! What a daemon of the routed data path is told at its start.
+//! Settings of a daemon of the routed data path.
+//!
+//! Owns no file format: the program that starts the daemon reads and checks them.
 
 use crate::dialect::Dialect;
 use bramblewheel_decisions::retry_budget::RetryBoundSettings;
@@ -7,8 +9,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// What a daemon is told at its start. Which program reads it, and from what file, is that
-/// program's matter.
+/// Settings of a daemon, as the program that starts it gives them.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Stable name of the daemon.
@@ -32,14 +33,14 @@
     pub replicas: Vec<SocketAddr>,
     /// Header names of callers and endpoints.
     pub dialect: Dialect,
-    /// Bound on repeated sends, for all daemons together.
+    /// Bound on retries, for all daemons together.
     pub retry: RetryBoundSettings,
-    /// Time after whose end no daemon may accept a key that was taken away; keys are used without a
-    /// lease where none is told.
+    /// Time after which no daemon may accept a key that was revoked; keys are used without a lease
+    /// where there is none.
     pub key_revocation: Option<Duration>,
     /// Bound on the requests of tenants, for all daemons together.
     pub quota: QuotaSettings,
-    /// Time between two words of an endpoint.
+    /// Time between two heartbeats of an endpoint.
     pub heartbeat: Duration,
     /// Time between the order to stop and the end by force.
     pub stop_grace: Duration,
