--- a/crates/bramblewheel-daemon/src/http/mod.rs
+++ b/crates/bramblewheel-daemon/src/http/mod.rs
@@ -8,6 +8,7 @@
 pub mod body;
 pub mod exchange;
 pub mod fields;
+pub(crate) mod forward;
 pub mod pool;
 pub mod root;
 pub mod server;
--- a/crates/bramblewheel-daemon/src/inbound/attempt.rs
+++ b/crates/bramblewheel-daemon/src/inbound/attempt.rs
@@ -5,8 +5,9 @@
 use crate::http::body::{AnswerBody, StreamOwner, StreamedBody};
 use crate::http::exchange::WholeAnswer;
 use crate::http::fields::end_to_end;
+use crate::http::forward::StreamedAnswer;
 use crate::http::pool::Lease;
-use crate::inbound::dispatch::{self, Dispatched, StreamedDispatch};
+use crate::inbound::dispatch::{self, Dispatched};
 use crate::inbound::{InboundRequest, between_daemons, duplicate};
 use crate::shared::Shared;
 use bramblewheel_core::action::{Answer, AnswerBody as Source};
@@ -151,7 +152,7 @@
     }
 
     /// Passes a long answer on as it comes; the attempt holds its slot until the last byte.
-    fn pass_on(mut self, streamed: StreamedDispatch) -> HttpAnswer {
+    fn pass_on(mut self, streamed: StreamedAnswer<DispatchResult>) -> HttpAnswer {
         let attempt = self.registration.attempt;
         // What the subtree spent is known only at the end, when the head is long gone.
         let feedback = Feedback {
--- a/crates/bramblewheel-daemon/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-daemon/src/inbound/dispatch.rs
@@ -1,19 +1,16 @@
 //! Passing an admitted attempt to the local endpoint.
 
 use crate::http::exchange::{ExchangeLimits, Exchanged, LongAnswer, WholeAnswer, exchange};
-use crate::http::fields::{MapSink, end_to_end, fields};
-use crate::http::pool::Lease;
+use crate::http::fields::{MapSink, fields};
+use crate::http::forward::{StreamedAnswer, request_head};
 use crate::inbound::InboundRequest;
 use crate::shared::Shared;
 use bramblewheel_core::event::{DispatchResult, StoredAnswer};
 use bramblewheel_core::headers::answer::parse_refusal;
 use bramblewheel_core::headers::context::write_for_endpoint;
-use bramblewheel_types::{Millis, NotRunReason, Outcome, Timestamp};
-use bytes::Bytes;
-use http::header::HOST;
-use http::{HeaderMap, HeaderValue, Request, StatusCode};
+use bramblewheel_types::{Millis, NotRunReason, Outcome};
+use http::{HeaderMap, StatusCode};
 use http_body_util::BodyExt;
-use hyper::body::Incoming;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -30,22 +27,10 @@
     /// With a result, and the answer if a whole one came.
     Result(DispatchResult, Option<WholeAnswer>),
     /// The answer is long and has begun.
-    Streamed(Box<StreamedDispatch>),
+    Streamed(Box<StreamedAnswer<DispatchResult>>),
 }
 
-/// A long answer that has begun.
-pub(super) struct StreamedDispatch {
-    pub(super) status: StatusCode,
-    pub(super) headers: HeaderMap,
-    pub(super) outcome: Outcome,
-    /// What the engine is told once the last byte is through.
-    pub(super) result: DispatchResult,
-    pub(super) begun: Bytes,
-    pub(super) source: Incoming,
-    pub(super) lease: Lease,
-}
-
-impl StreamedDispatch {
+impl StreamedAnswer<DispatchResult> {
     /// Reads the answer to its end for nobody, and says how it ended.
     pub(super) async fn drain(mut self) -> DispatchResult {
         while let Some(frame) = self.source.frame().await {
@@ -74,7 +59,8 @@
     let clock = shared.driver.clock();
     let head = || {
         let now = clock.now();
-        (now < request.context.deadline).then(|| request_head(&request, endpoint, now))
+        let write = |sink: &mut MapSink<'_>| write_for_endpoint(now, &request.context, sink);
+        (now < request.context.deadline).then(|| request_head(&request.head, endpoint, write))
     };
     let exchanged = exchange(&pool, limits, request.body.clone(), head, |_| Some(())).await;
     let is_operation = request.context.operation.is_some();
@@ -86,26 +72,6 @@
     }
 }
 
-fn request_head(
-    request: &InboundRequest,
-    endpoint: SocketAddr,
-    now: Timestamp,
-) -> http::request::Builder {
-    let head = &request.head;
-    let target = head.uri.path_and_query().map_or("/", |p| p.as_str());
-    let mut builder = Request::builder().method(head.method.clone()).uri(target);
-    if let Some(fields) = builder.headers_mut() {
-        *fields = end_to_end(&head.headers);
-        if !fields.contains_key(HOST) {
-            let host = HeaderValue::try_from(endpoint.to_string())
-                .expect("an address consists of visible ASCII");
-            fields.insert(HOST, host);
-        }
-        write_for_endpoint(now, &request.context, &mut MapSink::new(fields));
-    }
-    builder
-}
-
 fn ended(whole: WholeAnswer, is_operation: bool) -> Dispatched {
     if let Some(refusal) = refusal(whole.status, &whole.headers) {
         return Dispatched::Result(refusal, Some(whole));
@@ -130,7 +96,7 @@
         status: long.status.as_u16(),
         body: None,
     };
-    Dispatched::Streamed(Box::new(StreamedDispatch {
+    Dispatched::Streamed(Box::new(StreamedAnswer {
         status: long.status,
         headers: long.headers,
         outcome: if failed {
--- a/crates/bramblewheel-daemon/src/outbound/attempt.rs
+++ b/crates/bramblewheel-daemon/src/outbound/attempt.rs
@@ -1,19 +1,16 @@
 //! One attempt of a call at another endpoint's daemon.
 
 use crate::http::exchange::{ExchangeLimits, Exchanged, LongAnswer, WholeAnswer, exchange};
-use crate::http::fields::{MapSink, end_to_end, fields};
-use crate::http::pool::Lease;
+use crate::http::fields::{end_to_end, fields};
+use crate::http::forward::{StreamedAnswer, request_head};
 use crate::outbound::AppRequest;
 use crate::shared::Shared;
 use bramblewheel_core::context::CallContext;
 use bramblewheel_core::event::AttemptResult;
 use bramblewheel_core::headers::answer::{self, AnswerHeaders};
 use bramblewheel_core::headers::context::write;
-use bramblewheel_types::{AttemptId, Outcome, Timestamp};
-use bytes::Bytes;
-use http::header::HOST;
-use http::{HeaderMap, HeaderValue, Request, StatusCode};
-use hyper::body::Incoming;
+use bramblewheel_types::AttemptId;
+use http::HeaderMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -22,19 +19,7 @@
     /// With a result, and the answer if a whole one came.
     Result(AttemptResult, Option<WholeAnswer>),
     /// Its answer is long and has begun.
-    Streamed(Box<StreamedAttempt>),
-}
-
-/// A long answer that has begun.
-pub(super) struct StreamedAttempt {
-    pub(super) status: StatusCode,
-    pub(super) headers: HeaderMap,
-    pub(super) outcome: Outcome,
-    /// What the engine is told once the last byte is through.
-    pub(super) result: AttemptResult,
-    pub(super) begun: Bytes,
-    pub(super) source: Incoming,
-    pub(super) lease: Lease,
+    Streamed(Box<StreamedAnswer<AttemptResult>>),
 }
 
 /// Sends an attempt and reads its answer.
@@ -52,7 +37,8 @@
     let clock = shared.driver.clock();
     let head = || {
         let now = clock.now();
-        (now < context.deadline).then(|| request_head(&request, &context, address, now))
+        let head = || request_head(&request.head, address, |sink| write(now, &context, sink));
+        (now < context.deadline).then(head)
     };
     let read = |map: &HeaderMap| answer_to(context.attempt, map);
     match exchange(&pool, limits, request.body.clone(), head, read).await {
@@ -63,27 +49,6 @@
     }
 }
 
-fn request_head(
-    request: &AppRequest,
-    context: &CallContext,
-    address: SocketAddr,
-    now: Timestamp,
-) -> http::request::Builder {
-    let head = &request.head;
-    let target = head.uri.path_and_query().map_or("/", |p| p.as_str());
-    let mut builder = Request::builder().method(head.method.clone()).uri(target);
-    if let Some(fields) = builder.headers_mut() {
-        *fields = end_to_end(&head.headers);
-        if !fields.contains_key(HOST) {
-            let host = HeaderValue::try_from(address.to_string())
-                .expect("an address consists of visible ASCII");
-            fields.insert(HOST, host);
-        }
-        write(now, context, &mut MapSink::new(fields));
-    }
-    builder
-}
-
 /// What an answer states; none when that can't be understood, or when the answer is not to this
 /// very attempt.
 fn answer_to(attempt: AttemptId, map: &HeaderMap) -> Option<AnswerHeaders> {
@@ -99,7 +64,7 @@
 }
 
 fn streamed(long: LongAnswer, stated: AnswerHeaders) -> Ended {
-    Ended::Streamed(Box::new(StreamedAttempt {
+    Ended::Streamed(Box::new(StreamedAnswer {
         status: long.status,
         headers: end_to_end(&long.headers),
         outcome: stated.outcome,
--- a/crates/bramblewheel-daemon/src/outbound/call.rs
+++ b/crates/bramblewheel-daemon/src/outbound/call.rs
@@ -4,9 +4,10 @@
 use crate::http::answer::{self, HttpAnswer};
 use crate::http::body::{AnswerBody, StreamOwner, StreamedBody};
 use crate::http::exchange::WholeAnswer;
+use crate::http::forward::StreamedAnswer;
 use crate::http::pool::Lease;
 use crate::outbound::AppRequest;
-use crate::outbound::attempt::{self, Ended, StreamedAttempt};
+use crate::outbound::attempt::{self, Ended};
 use crate::shared::Shared;
 use bramblewheel_core::action::{Answer, AnswerBody as Source};
 use bramblewheel_core::context::{CallContext, CallRequest};
@@ -106,7 +107,7 @@
     }
 
     /// Passes a long answer on as it comes; the call goes on until its last byte.
-    fn pass_on(self, attempt: AttemptId, streamed: StreamedAttempt) -> HttpAnswer {
+    fn pass_on(self, attempt: AttemptId, streamed: StreamedAnswer<AttemptResult>) -> HttpAnswer {
         let owner = StreamedCall {
             commands: self.commands,
             guard: self.guard,
--- a/crates/bramblewheel-proxy/src/http/server.rs
+++ b/crates/bramblewheel-proxy/src/http/server.rs
@@ -1,9 +1,9 @@
 //! Listeners: accept connections up to a cap, serve HTTP/1.1 on them, stop without breaking any.
 //!
 //! Owns the connections of a listener and how long each may rest. Above the cap connections wait to be
-//! accepted; the way of signed bundles refuses them with an answer instead, since its callers
-//! read the fields of it. At a stop, connections that wait are accepted and served, since their callers may
-//! have sent requests.
+//! accepted; the way of signed bundles refuses them with an answer instead, since its callers read the
+//! fields of it. At a stop, connections that wait are accepted and served, since their callers may have
+//! sent requests.
 
 use crate::http::body::AnswerBody;
 use crate::http::open_connections::OpenConnections;
