--- a/crates/bramblewheel-proxy/src/http/body.rs
+++ b/crates/bramblewheel-proxy/src/http/body.rs
@@ -1,12 +1,16 @@
 //! Bodies: kept whole while they are short, passed on as they come otherwise.
+//!
+//! A short body can be sent again on another connection; a streamed one can't. A streamed answer owns
+//! its connection and its slot until the last byte.
 
 use crate::http::pool::Lease;
 use crate::in_progress::InProgress;
 use crate::local::Permit;
 use bramblewheel_decisions::request_content::COUNTED_BODY_BYTES;
-use bytes::{Bytes, BytesMut};
+use bramblewheel_http::body::{Collected, collect};
+use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
-use http_body_util::{BodyExt, Limited};
+use http_body_util::Limited;
 use hyper::body::Incoming;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -36,28 +40,11 @@
 /// # Errors
 /// [`BrokenBody`] when it ends before it is complete.
 pub async fn read(mut body: Incoming) -> Result<Read, BrokenBody> {
-    let mut first: Option<Bytes> = None;
-    let mut rest = BytesMut::new();
-    while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(|_| BrokenBody)?.into_data() else {
-            continue;
-        };
-        // Most bodies arrive in one piece, which is then passed on without a copy.
-        if first.is_none() && rest.is_empty() {
-            first = Some(data);
-        } else {
-            rest.extend_from_slice(&first.take().unwrap_or_default());
-            rest.extend_from_slice(&data);
-        }
-        if first.as_ref().map_or(rest.len(), Bytes::len) > HELD_BYTES {
-            return Ok(Read::Begun(joined(first, rest), body));
-        }
+    match collect(&mut body, HELD_BYTES).await {
+        Ok(Collected::Whole(bytes)) => Ok(Read::Whole(bytes)),
+        Ok(Collected::OverLimit(begun)) => Ok(Read::Begun(begun, body)),
+        Err(_) => Err(BrokenBody),
     }
-    Ok(Read::Whole(joined(first, rest)))
-}
-
-fn joined(first: Option<Bytes>, rest: BytesMut) -> Bytes {
-    first.unwrap_or_else(|| rest.freeze())
 }
 
 /// Body of a request that this daemon sends.
@@ -140,13 +127,13 @@
     }
 }
 
-/// What a streamed answer holds until its last byte: the connection it comes on, and its place at
-/// the local endpoint.
+/// What a streamed answer holds until its last byte: the connection it comes on, and its slot at the
+/// local endpoint.
 #[derive(Debug)]
 pub struct Held {
     /// Connection that the answer comes on.
     pub lease: Lease,
-    /// Place at the local endpoint, if the answer is that endpoint's.
+    /// Slot at the local endpoint, if the answer is that endpoint's.
     pub permit: Option<Permit>,
 }
 
--- a/crates/bramblewheel-proxy/src/http/server.rs
+++ b/crates/bramblewheel-proxy/src/http/server.rs
@@ -1,8 +1,14 @@
 //! Listeners: accept connections up to a cap, serve HTTP/1.1 on them, stop without breaking any.
+//!
+//! Owns the connections of a listener and how long each may rest. Above the cap connections wait to be
+//! accepted; the way of signed bundles refuses them with an answer instead, since its callers read the
+//! fields of it. At a stop, connections that wait are accepted and served, since their callers may have
+//! sent requests.
 
 use crate::http::body::AnswerBody;
-use crate::http::fields::KEEP_ALIVE;
 use crate::http::open_connections::OpenConnections;
+use bramblewheel_http::fields::KEEP_ALIVE;
+use bramblewheel_http::stop::told_to_stop;
 use bramblewheel_process::invariants::lock;
 use http::header::CONNECTION;
 use http::{HeaderValue, Request, Response};
@@ -22,17 +28,19 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Time for the head of a request to arrive; also the longest rest between two requests.
+/// Time for the head of a request to arrive; also the longest rest between two requests. Chosen, not
+/// measured.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
-/// Bytes read ahead on a connection, which is also the longest head.
+/// Bytes read ahead on a connection, which is also the longest head. Chosen, not measured.
 const READ_AHEAD: usize = 64 * 1024;
-/// Connections of one listener; beyond it they wait to be accepted.
+/// Connections of one listener; beyond it they wait to be accepted. Chosen, not measured.
 const MAX_CONNECTIONS: usize = 1_800;
-/// Least time between two looks whether a connection rests.
+/// Least time between two checks whether a connection rests; chosen, not measured.
 const LEAST_LOOK: Duration = Duration::from_millis(500);
-/// Time in which the first request on a connection that was opened shortly before the listener closed is read.
+/// Time in which the first request on a connection that was opened shortly before the listener closed
+/// is read; chosen, not measured.
 const FIRST_REQUEST_TIME: Duration = Duration::from_millis(100);
-/// Wait after a failed accept, such as when no file descriptor is left.
+/// Wait after a failed accept, such as when no file descriptor is left; chosen, not measured.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// A handler of requests.
@@ -204,11 +212,6 @@
     }
 }
 
-async fn told_to_stop(stop: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the listeners; when it is gone, so is the daemon.
-    let _ = stop.wait_for(|stop| *stop).await;
-}
-
 async fn serve_connection<H: Handler>(
     stream: TcpStream,
     handler: Arc<H>,
@@ -231,18 +234,7 @@
         let count = Arc::clone(&count);
         // Boxed, since a connection keeps room for the future of a request also while it rests, and
         // most connections do.
-        Box::pin(async move {
-            activity.request_begins();
-            let running = count.begin_request();
-            let mut response = handler.handle(request).await;
-            let has_many_at_rest = count.resting() >= most_at_rest;
-            if has_many_at_rest && !activity.was_used_again() {
-                close_after(&mut response);
-            }
-            drop(running);
-            activity.request_ends();
-            Ok::<_, Infallible>(response)
-        })
+        Box::pin(answer(handler, request, activity, count, most_at_rest))
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -264,6 +256,26 @@
     };
 }
 
+/// Answers a request; the answer is the last one of its connection if too many are at rest.
+async fn answer<H: Handler>(
+    handler: Arc<H>,
+    request: Request<Incoming>,
+    activity: Arc<Activity>,
+    count: Arc<OpenConnections>,
+    most_at_rest: usize,
+) -> Result<Response<AnswerBody>, Infallible> {
+    activity.request_begins();
+    let running = count.begin_request();
+    let mut response = handler.handle(request).await;
+    let has_many_at_rest = count.resting() >= most_at_rest;
+    if has_many_at_rest && !activity.was_used_again() {
+        close_after(&mut response);
+    }
+    drop(running);
+    activity.request_ends();
+    Ok(response)
+}
+
 /// Makes an answer the last one of its connection.
 fn close_after(response: &mut Response<AnswerBody>) {
     let headers = response.headers_mut();
