--- a/crates/bramblewheel-control/src/node/applying.rs
+++ b/crates/bramblewheel-control/src/node/applying.rs
@@ -39,15 +39,13 @@
                 self.state.skip(position);
                 continue;
             };
-            let (outcome, changes) = self
+            let applied = self
                 .state
                 .apply(position, &command)
                 .expect("a committed entry holds a command of this version of the program");
-            all.bundle |= changes.bundle;
-            all.routing |= changes.routing;
-            all.services.extend(changes.services);
+            all.add(applied.changes);
             if !self.proposals.is_empty() {
-                self.outcomes.insert(position.index, outcome);
+                self.outcomes.insert(position.index, applied.outcome);
             }
         }
         all
--- a/crates/bramblewheel-control/src/node/mod.rs
+++ b/crates/bramblewheel-control/src/node/mod.rs
@@ -119,8 +119,7 @@
         restored: RestoredState,
         now: Now,
     ) -> Result<Self, MalformedState> {
-        let data = restored.snapshot.as_ref().map(|s| s.data.as_slice());
-        let state = ControlState::decode(data.unwrap_or_default())?;
+        let state = restored_state(&restored)?;
         let introduced = group::addresses_in(&restored.entries);
         let next_id = first_id(config.seed);
         let replica = Replica::new(replica_config(&config), restored, now.monotonic);
@@ -252,6 +251,12 @@
     }
 }
 
+/// State in the snapshot that was synced last; that before the first entry without one.
+fn restored_state(restored: &RestoredState) -> Result<ControlState, MalformedState> {
+    let data = restored.snapshot.as_ref().map(|s| s.data.as_slice());
+    ControlState::decode(data.unwrap_or_default())
+}
+
 /// Where the names of reads and proposals begin: at each start elsewhere, so that a late answer to a
 /// read before a restart is not taken for the answer to one after it.
 fn first_id(seed: u64) -> u64 {
--- a/crates/bramblewheel-control/src/server/listeners.rs
+++ b/crates/bramblewheel-control/src/server/listeners.rs
@@ -1,16 +1,88 @@
-//! The tasks that serve the three listeners.
+//! The three listeners of a replica: bound together, each served by a task.
+//!
+//! Owns the sockets until they are served. Relies on `accept` to bound their connections.
 
+use super::error::StartError;
+use super::handle::BoundAddresses;
 use super::input::{ConnectionId, Inputs};
 use super::listener::accept;
 use super::{admin, peer_in, service};
-use crate::settings::AdminSettings;
+use crate::settings::{AdminSettings, ListenSettings};
 use slog::Logger;
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-pub(super) fn spawn_peer(
+/// A socket that is bound and not yet served.
+struct Bound {
+    socket: TcpListener,
+    address: SocketAddr,
+}
+
+/// The listeners of a replica, bound and not yet served.
+pub(super) struct Listeners {
+    /// Addresses by which others know the listeners.
+    pub(super) addresses: BoundAddresses,
+    peer: TcpListener,
+    service: TcpListener,
+    admin: TcpListener,
+}
+
+impl Listeners {
+    /// Binds the listeners that the settings name.
+    ///
+    /// # Errors
+    /// [`StartError::Bind`] for the first that can't be bound.
+    pub(super) async fn bind(listen: &ListenSettings, log: &Logger) -> Result<Self, StartError> {
+        let peer = bind("peer", listen.bound(listen.peer), log).await?;
+        let service = bind("service", listen.bound(listen.service), log).await?;
+        let admin = bind("admin", listen.bound(listen.admin), log).await?;
+        Ok(Self {
+            addresses: BoundAddresses {
+                peer: listen.known(listen.peer, peer.address),
+                service: listen.known(listen.service, service.address),
+                admin: listen.known(listen.admin, admin.address),
+            },
+            peer: peer.socket,
+            service: service.socket,
+            admin: admin.socket,
+        })
+    }
+
+    /// Starts the tasks that serve the listeners until `stop`.
+    pub(super) fn serve(
+        self,
+        tasks: &mut JoinSet<()>,
+        admin: AdminSettings,
+        inputs: &Inputs,
+        stop: &watch::Sender<bool>,
+        log: &Logger,
+    ) {
+        spawn_peer(tasks, self.peer, inputs, stop, log);
+        spawn_service(tasks, self.service, inputs, stop, log);
+        spawn_admin(tasks, self.admin, admin, inputs, stop, log);
+    }
+}
+
+async fn bind(
+    listener: &'static str,
+    address: SocketAddr,
+    log: &Logger,
+) -> Result<Bound, StartError> {
+    let failed = |error| StartError::Bind {
+        listener,
+        address,
+        error,
+    };
+    let socket = TcpListener::bind(address).await.map_err(failed)?;
+    let address = socket.local_addr().map_err(failed)?;
+    slog::info!(log, "listening"; "address" => address.to_string(), "listener" => listener);
+    Ok(Bound { socket, address })
+}
+
+fn spawn_peer(
     tasks: &mut JoinSet<()>,
     listener: TcpListener,
     inputs: &Inputs,
@@ -37,7 +109,7 @@
     ));
 }
 
-pub(super) fn spawn_service(
+fn spawn_service(
     tasks: &mut JoinSet<()>,
     listener: TcpListener,
     inputs: &Inputs,
@@ -65,7 +137,7 @@
     ));
 }
 
-pub(super) fn spawn_admin(
+fn spawn_admin(
     tasks: &mut JoinSet<()>,
     listener: TcpListener,
     settings: AdminSettings,
--- a/crates/bramblewheel-control/src/server/start.rs
+++ b/crates/bramblewheel-control/src/server/start.rs
@@ -1,10 +1,13 @@
-//! Puts a replica together and starts it.
+//! Assembles a replica from its settings and starts it.
+//!
+//! Owns the order of a start: lock and open the data folder, bind the listeners, start the node's
+//! thread, serve. Relies on the settings having been checked.
 
 use super::error::StartError;
-use super::founding::founding;
+use super::founding::{Founding, founding};
 use super::handle::{BoundAddresses, ControlHandle};
 use super::input::Input;
-use super::listeners::{spawn_admin, spawn_peer, spawn_service};
+use super::listeners::Listeners;
 use super::node_thread::NodeThread;
 use super::peer_out::PeerSenders;
 use super::spare_offers::spawn_spare_offers;
@@ -13,19 +16,17 @@
 use crate::settings::Settings;
 use bramblewheel_protocol::control::ReplicaAddress;
 use bramblewheel_replication::{ReplicaId, RestoredState};
-use bramblewheel_storage::{DiskFileSystem, FileSystem, StorageConfig};
+use bramblewheel_storage::{DiskFileSystem, FileSystem, StorageConfig, StorageError};
 use slog::Logger;
 use std::fs::File;
-use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::mpsc as blocking;
 use std::time::Duration;
-use tokio::net::TcpListener;
 use tokio::runtime::Handle;
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinSet;
 
-/// Election timeouts that a planned stop may take to hand leadership over.
+/// Election timeouts that a planned stop may take to hand leadership over; chosen, not measured.
 const STOP_ELECTIONS: u32 = 4;
 /// File that is locked while a process uses the data folder.
 const LOCK_FILE: &str = "lock";
@@ -54,51 +55,22 @@
 {
     let lock = lock_folder(&settings.data_folder)?;
     let founding = founding(&settings);
-    let fresh = match &founding {
-        Some(founding) => ReplicaId(founding.own),
-        None => ReplicaId(getrandom::u64()?),
-    };
-    let storage = StorageConfig::new(&settings.data_folder);
-    let name = settings.name.as_str();
-    let (durable, restored) = Durable::open(files, storage, name, fresh)?;
-    let listen = &settings.listen;
-    let peer = bind("peer", listen.bound(listen.peer), &log).await?;
-    let service = bind("service", listen.bound(listen.service), &log).await?;
-    let admin = bind("admin", listen.bound(listen.admin), &log).await?;
-    let addresses = BoundAddresses {
-        peer: listen.known(listen.peer, peer.1),
-        service: listen.known(listen.service, service.1),
-        admin: listen.known(listen.admin, admin.1),
-    };
+    let (durable, restored) = open_storage(files, &settings, founding.as_ref())?;
+    let listeners = Listeners::bind(&settings.listen, &log).await?;
+    let addresses = listeners.addresses;
     let (inputs, to_node) = blocking::channel();
     let mut thread = assemble(&settings, addresses, durable, restored, to_node, &log)?;
     if let Some(founding) = founding {
         founding.begin(&mut thread, &log);
     }
     let replica = thread.own.0;
-    let (ended_sender, ended) = oneshot::channel();
-    std::thread::Builder::new()
-        .name("node".to_owned())
-        .spawn(move || {
-            let log = thread.log.clone();
-            let result = thread.run();
-            if let Err(error) = &result {
-                slog::error!(log, "replica stopped"; "reason" => "storage", "error" => %error);
-            }
-            drop(lock);
-            // Nobody waits when the handle was dropped.
-            let _ = ended_sender.send(result);
-        })
-        .map_err(StartError::Thread)?;
+    let ended = spawn_node(thread, lock)?;
     let stop = watch::Sender::new(false);
     let mut tasks = JoinSet::new();
-    spawn_peer(&mut tasks, peer.0, &inputs, &stop, &log);
-    spawn_service(&mut tasks, service.0, &inputs, &stop, &log);
-    let limits = settings.admin;
+    listeners.serve(&mut tasks, settings.admin, &inputs, &stop, &log);
     let interval = Duration::from_millis(settings.spare.offer_interval_ms);
     let offer_to = watch::Sender::new(settings.spare.offer_to);
     spawn_spare_offers(&mut tasks, offer_to.subscribe(), interval, &inputs, &stop);
-    spawn_admin(&mut tasks, admin.0, limits, &inputs, &stop, &log);
     Ok(ControlHandle {
         replica,
         addresses,
@@ -110,6 +82,51 @@
     })
 }
 
+/// Opens the data folder; a fresh one gets a founder's identity, or a random one.
+fn open_storage<F: FileSystem>(
+    files: F,
+    settings: &Settings,
+    founding: Option<&Founding>,
+) -> Result<(Durable<F>, RestoredState), StartError> {
+    let fresh = match founding {
+        Some(founding) => ReplicaId(founding.own),
+        None => ReplicaId(getrandom::u64()?),
+    };
+    let storage = StorageConfig::new(&settings.data_folder);
+    Ok(Durable::open(
+        files,
+        storage,
+        settings.name.as_str(),
+        fresh,
+    )?)
+}
+
+/// Starts the node's thread; the receiver gets its result. The data folder stays locked until the
+/// thread has ended.
+fn spawn_node<F>(
+    thread: NodeThread<F>,
+    lock: File,
+) -> Result<oneshot::Receiver<Result<(), StorageError>>, StartError>
+where
+    F: FileSystem + Send + 'static,
+    F::File: Send,
+{
+    let (ended_sender, ended) = oneshot::channel();
+    let run = move || {
+        let log = thread.log.clone();
+        let result = thread.run();
+        if let Err(error) = &result {
+            slog::error!(log, "replica stopped"; "reason" => "storage", "error" => %error);
+        }
+        drop(lock);
+        // Nobody waits when the handle was dropped.
+        let _ = ended_sender.send(result);
+    };
+    let named = std::thread::Builder::new().name("node".to_owned());
+    named.spawn(run).map_err(StartError::Thread)?;
+    Ok(ended)
+}
+
 fn lock_folder(folder: &Path) -> Result<File, StartError> {
     let path = folder.join(LOCK_FILE);
     let locked = |reason: String| StartError::Locked {
@@ -123,22 +140,7 @@
     Ok(file)
 }
 
-async fn bind(
-    listener: &'static str,
-    address: SocketAddr,
-    log: &Logger,
-) -> Result<(TcpListener, SocketAddr), StartError> {
-    let failed = |error| StartError::Bind {
-        listener,
-        address,
-        error,
-    };
-    let socket = TcpListener::bind(address).await.map_err(failed)?;
-    let bound = socket.local_addr().map_err(failed)?;
-    slog::info!(log, "listening"; "address" => bound.to_string(), "listener" => listener);
-    Ok((socket, bound))
-}
-
+/// The driver of a node over what the data folder held.
 fn assemble<F: FileSystem>(
     settings: &Settings,
     addresses: BoundAddresses,
@@ -154,15 +156,8 @@
         peer: addresses.peer,
         service: addresses.service,
     };
-    let config = NodeConfig {
-        address: address.clone(),
-        heartbeat: settings.timing.heartbeat(),
-        election: settings.timing.election(),
-        daemon_lease: settings.timing.daemon_lease(),
-        snapshot_interval: settings.storage.snapshot_interval,
-        seed: getrandom::u64()?,
-    };
     let clock = Clock::start();
+    let config = node_config(settings, address.clone())?;
     let mut node = ControlNode::new(config, restored, clock.now())?;
     if let Some(policy) = settings.spare.policy() {
         node.replace_silent_voters(policy);
@@ -185,3 +180,14 @@
         log: log.clone(),
     })
 }
+
+fn node_config(settings: &Settings, address: ReplicaAddress) -> Result<NodeConfig, StartError> {
+    Ok(NodeConfig {
+        address,
+        heartbeat: settings.timing.heartbeat(),
+        election: settings.timing.election(),
+        daemon_lease: settings.timing.daemon_lease(),
+        snapshot_interval: settings.storage.snapshot_interval,
+        seed: getrandom::u64()?,
+    })
+}
--- a/crates/bramblewheel-control/src/state/mod.rs
+++ b/crates/bramblewheel-control/src/state/mod.rs
@@ -1,8 +1,15 @@
-//! The replicated state machine: what every replica makes of the committed entries.
+//! The replicated state machine: the state that every replica derives from the committed entries.
 //!
 //! It reads no clock: time is that of the log, which is the latest proposal time of any entry, so
 //! that all replicas decide alike.
+//!
+//! Owns the bundles, the ledger of run-once operations, the directory of daemons, the addresses of
+//! replicas, the replacement in progress, the route table, the registry of endpoints and the
+//! quarantine; each of them is a module that changes only itself. [`apply`] carries a command to
+//! them. Relies on the log for order and durability: the caller passes each committed entry once,
+//! in the order of the log.
 
+mod apply;
 pub mod bundle_history;
 pub mod bundles;
 pub mod command;
@@ -11,6 +18,7 @@
 pub mod replacement;
 pub mod routing;
 
+pub use apply::{Applied, Changes, Outcome};
 pub use bundle_history::BundleHistory;
 pub use bundles::Bundles;
 pub use command::{Command, ExpiredDaemon, LoggedCommand};
@@ -19,13 +27,9 @@
 pub use replacement::Replacement;
 pub use routing::{Quarantine, Registry, Tables};
 
-use bramblewheel_protocol::control::{
-    LogPosition, OperationReply, PublishReply, ReplicaAddress, SignedBundle,
-};
-use bramblewheel_protocol::routing::{EndpointState, ReplaceTableReply};
-use bramblewheel_types::ServiceName;
+use bramblewheel_protocol::control::{LogPosition, PublishReply, ReplicaAddress, SignedBundle};
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use thiserror::Error;
 
 /// Bytes are not a state or command of this program; nothing can be decided from them.
@@ -38,32 +42,6 @@
     pub reason: String,
 }
 
-/// What one command came to.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// Answer to a publish.
-    Publish(PublishReply),
-    /// Answers to operations, in the same order.
-    Operations(Vec<OperationReply>),
-    /// Answer to a replacement of the route table.
-    Table(ReplaceTableReply),
-    /// States recorded of endpoints, in the order of the reports.
-    Endpoints(Vec<EndpointState>),
-    /// The command has no answer.
-    Nothing,
-}
-
-/// What one command changed for the daemons.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Changes {
-    /// Another bundle is in force.
-    pub bundle: bool,
-    /// Services whose endpoints changed.
-    pub services: BTreeSet<ServiceName>,
-    /// Another route table is in force, a registered endpoint changed, or the quarantine did.
-    pub routing: bool,
-}
-
 /// State of the control group at one position of its log.
 ///
 /// Invariants: equal at every replica at the same position; log time, horizon, directory revision
@@ -122,106 +100,6 @@
         }
     }
 
-    /// Carries out the command of the entry at `position`.
-    ///
-    /// # Errors
-    /// [`MalformedState`] when the bytes are no command.
-    pub fn apply(
-        &mut self,
-        position: LogPosition,
-        command: &[u8],
-    ) -> Result<(Outcome, Changes), MalformedState> {
-        let LoggedCommand {
-            proposed_at_unix_millis,
-            command,
-        } = LoggedCommand::decode(command)?;
-        self.position = position;
-        let quarantine_revision = self.quarantine.revision();
-        self.advance_time(proposed_at_unix_millis);
-        let mut changes = Changes::default();
-        let outcome = match command {
-            Command::Publish(signed) => {
-                let version = self.bundles.version();
-                let reply = self.bundles.publish(signed, position);
-                changes.bundle = self.bundles.version() != version;
-                Outcome::Publish(reply)
-            }
-            Command::Operations(requests) => {
-                let now = self.log_time_unix_millis;
-                let requests = requests.into_iter();
-                let replies = requests.map(|request| self.ledger.apply(now, request));
-                Outcome::Operations(replies.collect())
-            }
-            Command::Directory {
-                registered,
-                expired,
-            } => {
-                changes.services = self.directory.apply(registered, &expired);
-                for gone in &expired {
-                    let is_back = self.directory.daemon(&gone.daemon).is_some();
-                    changes.routing |= !is_back && self.registry.silence_daemon(&gone.daemon);
-                }
-                Outcome::Nothing
-            }
-            Command::Address(address) => {
-                self.addresses.insert(address.replica, address);
-                Outcome::Nothing
-            }
-            Command::BeginReplacement(request) => {
-                // Refused when another one was begun before it; its client finds that out.
-                let current = self.replacement.as_ref();
-                if let Ok(next) = Replacement::requested(current, &request) {
-                    self.replacement = Some(next);
-                    self.replacement_begun_unix_millis = self.log_time_unix_millis;
-                }
-                Outcome::Nothing
-            }
-            Command::EndReplacement(new) => {
-                let is_current = |current: &mut Replacement| current.new_replica().replica == new;
-                self.replacement.take_if(is_current);
-                Outcome::Nothing
-            }
-            Command::ReplaceTable(request) => {
-                let version = self.tables.version();
-                let reply = self.tables.replace(request);
-                changes.routing = self.tables.version() != version;
-                Outcome::Table(reply)
-            }
-            Command::Endpoints(reports) => {
-                let revision = self.registry.revision();
-                let reports = reports.into_iter();
-                let states = reports.map(|report| self.registry.register(report));
-                let states = states.collect();
-                changes.routing = self.registry.revision() != revision;
-                Outcome::Endpoints(states)
-            }
-            Command::Contents(reports) => {
-                for report in &reports {
-                    self.quarantine.report(self.log_time_unix_millis, report);
-                }
-                Outcome::Nothing
-            }
-        };
-        changes.routing |= self.quarantine.revision() != quarantine_revision;
-        Ok((outcome, changes))
-    }
-
-    /// Notes an entry without a command.
-    pub fn skip(&mut self, position: LogPosition) {
-        self.position = position;
-    }
-
-    /// Log time never goes back, whatever the clock of a new leader says.
-    fn advance_time(&mut self, proposed_at: u64) {
-        self.log_time_unix_millis = self.log_time_unix_millis.max(proposed_at);
-        if let Some(bundle) = self.bundles.in_force() {
-            let retention = bundle.limits.operation_retention.0;
-            self.ledger
-                .forget_before(self.log_time_unix_millis.saturating_sub(retention));
-        }
-        self.quarantine.advance_time(self.log_time_unix_millis);
-    }
-
     /// Deterministic bytes of the whole state.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
@@ -286,7 +164,7 @@
         &self.registry
     }
 
-    /// Requests under which endpoints ended.
+    /// Contents of requests that ran at endpoints when these crashed.
     pub fn quarantine(&self) -> &Quarantine {
         &self.quarantine
     }
@@ -307,7 +185,7 @@
         self.replacement_begun_unix_millis
     }
 
-    /// Where a replica said it can be reached, if that differs from its admission.
+    /// Addresses that a replica reported, if they differ from those it was admitted with.
     pub fn address(&self, replica: u64) -> Option<&ReplicaAddress> {
         self.addresses.get(&replica)
     }
--- a/crates/bramblewheel-control/tests/quarantine.rs
+++ b/crates/bramblewheel-control/tests/quarantine.rs
@@ -40,7 +40,7 @@
             term: 1,
         };
         let applied = self.state.apply(position, &command.encode());
-        applied.expect("a command").1.routing
+        applied.expect("a command").changes.routing
     }
 
     /// Returns whether daemons are told something new.
--- a/crates/bramblewheel-control/tests/state.rs
+++ b/crates/bramblewheel-control/tests/state.rs
@@ -38,7 +38,7 @@
         };
         let position = self.position();
         let applied = self.state.apply(position, &logged.encode());
-        applied.expect("a command").0
+        applied.expect("a command").outcome
     }
 
     fn position(&self) -> LogPosition {
--- a/crates/bramblewheel-decisions/tests/quarantine_fleet.rs
+++ b/crates/bramblewheel-decisions/tests/quarantine_fleet.rs
@@ -221,8 +221,8 @@
             proposed_at_unix_millis: self.now,
             command: Command::Contents(vec![report]),
         };
-        let (_, changes) = group.apply(position, &command.encode()).expect("a command");
-        if !changes.routing {
+        let applied = group.apply(position, &command.encode()).expect("a command");
+        if !applied.changes.routing {
             return;
         }
         let list = group.quarantine().list();
