--- a/crates/bramblewheel-replication/src/candidate.rs
+++ b/crates/bramblewheel-replication/src/candidate.rs
@@ -4,14 +4,15 @@
 //! depose a healthy leader when it comes back.
 
 use crate::message::Body;
-use crate::replica::{Replica, RoleState};
+use crate::replica::Replica;
+use crate::role::RoleState;
 use crate::types::{HardState, LogIndex, ReplicaId, Term};
 use std::collections::BTreeSet;
 
 impl Replica {
-    /// Whether there is a leader that others must not disturb: ourselves, or one that was heard
+    /// Whether there is a leader that others must not disturb: ourselves, or one that had contact
     /// within the election timeout.
-    pub(crate) fn hears_leader(&self) -> bool {
+    pub(crate) fn has_leader_contact(&self) -> bool {
         if matches!(self.role, RoleState::Leader(_)) {
             return true;
         }
@@ -69,7 +70,7 @@
     ) {
         let granted = self.is_initialised()
             && candidate_term > self.hard_state.term
-            && !self.hears_leader()
+            && !self.has_leader_contact()
             && self.log.is_covered_by(last_index, last_term);
         let body = Body::PreVoteResponse {
             candidate_term,
--- a/crates/bramblewheel-replication/src/commitment.rs
+++ b/crates/bramblewheel-replication/src/commitment.rs
@@ -3,7 +3,8 @@
 use crate::message::{AppendResult, ContactToken};
 use crate::output::{ProposalResult, ReadResult};
 use crate::quorum::reached_by_quorum;
-use crate::replica::{Replica, RoleState};
+use crate::replica::Replica;
+use crate::role::RoleState;
 use crate::types::{LogIndex, ReplicaId};
 use bramblewheel_types::Timestamp;
 
--- a/crates/bramblewheel-replication/src/config.rs
+++ b/crates/bramblewheel-replication/src/config.rs
@@ -11,7 +11,7 @@
     /// How often a leader starts a round of messages to all members.
     pub heartbeat_interval: Duration,
     /// Shortest silence of the leader after which a follower campaigns; the real wait is drawn
-    /// from one to two times this. A leader that has not heard from a quorum for this long steps
+    /// from one to two times this. A leader without contact with a quorum for this long steps
     /// down.
     pub election_timeout: Duration,
     /// How recent the last proven contact with a quorum must be for
--- a/crates/bramblewheel-replication/src/follower.rs
+++ b/crates/bramblewheel-replication/src/follower.rs
@@ -1,7 +1,8 @@
 //! The follower's side of replication.
 
 use crate::message::{AppendResult, Body, ContactToken};
-use crate::replica::{Replica, RoleState};
+use crate::replica::Replica;
+use crate::role::RoleState;
 use crate::types::{Entry, LogIndex, ReplicaId, Snapshot, Term};
 
 impl Replica {
--- a/crates/bramblewheel-replication/src/leader.rs
+++ b/crates/bramblewheel-replication/src/leader.rs
@@ -4,7 +4,8 @@
 use crate::leadership::Leadership;
 use crate::message::Message;
 use crate::quorum::reached_by_quorum;
-use crate::replica::{Replica, RoleState};
+use crate::replica::Replica;
+use crate::role::RoleState;
 use crate::source::Source;
 use crate::types::{Entry, LogIndex, Payload, ProposalId, ReadId};
 use bramblewheel_types::Timestamp;
@@ -105,7 +106,7 @@
     /// Asks for a linearizable read.
     ///
     /// Once a quorum has confirmed the leader in a round that begins after this call, a later
-    /// output says from which entry on the state may be read.
+    /// output names the entry from which on the state may be read.
     ///
     /// # Errors
     /// [`NotLeader`] when this replica does not lead.
@@ -171,6 +172,6 @@
             self.messages
                 .extend(messages.map(|message| (peer, message)));
         }
-        self.tell_transfer_target();
+        self.prompt_transfer_target();
     }
 }
--- a/crates/bramblewheel-replication/src/leadership.rs
+++ b/crates/bramblewheel-replication/src/leadership.rs
@@ -16,18 +16,18 @@
     pub(crate) target: ReplicaId,
     /// When the leader goes on leading.
     pub(crate) deadline: Timestamp,
-    /// Whether the target was told.
-    pub(crate) told: bool,
+    /// Whether the target was sent the prompt to campaign.
+    pub(crate) is_prompted: bool,
 }
 
-/// A replica removed from the membership that may not have heard of it.
+/// A replica removed from the membership that may not be informed of it.
 #[derive(Debug)]
 pub(crate) struct Departing {
     /// The replica.
     pub(crate) replica: ReplicaId,
     /// Index of the membership without it.
     pub(crate) index: LogIndex,
-    /// When it is forgotten whether it has heard or not.
+    /// When it is forgotten, informed or not.
     pub(crate) deadline: Timestamp,
 }
 
--- a/crates/bramblewheel-replication/src/lib.rs
+++ b/crates/bramblewheel-replication/src/lib.rs
@@ -7,6 +7,7 @@
 
 mod candidate;
 mod commitment;
+mod compaction;
 pub mod config;
 pub mod error;
 mod follower;
@@ -22,7 +23,10 @@
 mod read;
 mod reconfiguration;
 mod replica;
+mod role;
 mod source;
+mod status;
+mod step;
 mod transfer;
 pub mod types;
 
@@ -31,5 +35,6 @@
 pub use membership::MembershipChange;
 pub use message::{AppendResult, Body, ContactToken, Message};
 pub use output::{Output, ProposalResult, ReadResult};
-pub use replica::{Replica, Role};
+pub use replica::Replica;
+pub use role::Role;
 pub use types::*;
--- a/crates/bramblewheel-replication/src/message.rs
+++ b/crates/bramblewheel-replication/src/message.rs
@@ -92,7 +92,7 @@
         /// For the leader to send back.
         token: ContactToken,
     },
-    /// Tells the receiver to campaign at once.
+    /// Asks the receiver to campaign at once.
     TransferLeadership,
 }
 
--- a/crates/bramblewheel-replication/src/reconfiguration.rs
+++ b/crates/bramblewheel-replication/src/reconfiguration.rs
@@ -12,7 +12,7 @@
     /// Proposes to change the membership by one replica.
     ///
     /// A promoted learner holds the whole log up to the start of the latest round; whether it
-    /// holds the promotion itself tells [`match_index`](Self::match_index).
+    /// holds the promotion itself is shown by [`match_index`](Self::match_index).
     ///
     /// # Errors
     /// [`MembershipError`] when the change is not possible now; nothing was appended.
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Forgets a removed replica that has heard of it, or does not answer.
+    /// Forgets a removed replica that is informed of it, or does not answer.
     pub(crate) fn release_departed(&mut self) {
         let now = self.now;
         let Some(leadership) = self.leadership_mut() else {
@@ -105,8 +105,8 @@
             return;
         };
         let progress = leadership.peers.get(&departing.replica);
-        let has_heard = progress.is_none_or(|p| p.match_index >= departing.index);
-        if has_heard || departing.deadline <= now {
+        let is_informed = progress.is_none_or(|p| p.match_index >= departing.index);
+        if is_informed || departing.deadline <= now {
             leadership.departing = None;
             self.sync_peers();
         }
--- a/crates/bramblewheel-replication/src/source.rs
+++ b/crates/bramblewheel-replication/src/source.rs
@@ -24,8 +24,8 @@
             bodies.push(body);
         }
         let replicates = matches!(progress.flow, Flow::Replicate { .. });
-        let has_news = replicates && progress.sent_commit < self.commit;
-        if bodies.is_empty() && (progress.sent_round < self.round || has_news) {
+        let has_newer_commit = replicates && progress.sent_commit < self.commit;
+        if bodies.is_empty() && (progress.sent_round < self.round || has_newer_commit) {
             bodies.push(self.append_after(progress, Vec::new()));
         }
         if !bodies.is_empty() {
--- /dev/null
+++ b/crates/bramblewheel-replication/src/status.rs
@@ -0,0 +1,82 @@
+//! What a replica shows of itself to its driver, status pages and tests; changes nothing.
+
+use crate::replica::Replica;
+use crate::role::{Role, RoleState};
+use crate::types::{LogIndex, Membership, ReplicaId, Term};
+use bramblewheel_types::Timestamp;
+
+impl Replica {
+    /// Identity of this replica.
+    pub fn id(&self) -> ReplicaId {
+        self.config.id
+    }
+
+    /// What the replica does in its term.
+    pub fn role(&self) -> Role {
+        match self.role {
+            RoleState::Follower => Role::Follower,
+            RoleState::PreCandidate { .. } => Role::PreCandidate,
+            RoleState::Candidate { .. } => Role::Candidate,
+            RoleState::Leader(_) => Role::Leader,
+        }
+    }
+
+    /// Current term.
+    pub fn term(&self) -> Term {
+        self.hard_state.term
+    }
+
+    /// Leader of the current term, if known.
+    pub fn leader(&self) -> Option<ReplicaId> {
+        self.leader
+    }
+
+    /// Last entry known to be committed.
+    pub fn commit_index(&self) -> LogIndex {
+        self.commit
+    }
+
+    /// Last entry handed out as committed.
+    pub fn delivered_index(&self) -> LogIndex {
+        self.delivered
+    }
+
+    /// Last entry of the log, committed or not.
+    pub fn last_index(&self) -> LogIndex {
+        self.log.last_index()
+    }
+
+    /// Index of the latest snapshot; 0 if there is none.
+    pub fn snapshot_index(&self) -> LogIndex {
+        self.log.snapshot_index()
+    }
+
+    /// Membership in force, which may not be committed yet.
+    pub fn membership(&self) -> &Membership {
+        self.log.membership().1
+    }
+
+    /// Whether the membership in force is committed.
+    pub fn membership_is_committed(&self) -> bool {
+        self.log.membership().0 <= self.commit
+    }
+
+    /// Whether the replica knows a membership that contains it.
+    pub fn is_initialised(&self) -> bool {
+        self.membership().contains(self.config.id)
+    }
+
+    /// Whether contact with a quorum is proven within the lease before `now`.
+    ///
+    /// A leader goes by the start of the rounds that a quorum answered, a follower by the tokens
+    /// that the leader sent back after a quorum answered it. Messages that waited while this process was frozen
+    /// prove nothing newer than the freeze.
+    pub fn has_quorum(&self, now: Timestamp) -> bool {
+        let now = now.max(self.now);
+        let contact = match &self.role {
+            RoleState::Leader(_) => self.leader_quorum_contact(),
+            _ => self.quorum_contact,
+        };
+        contact.is_some_and(|contact| contact + self.config.lease >= now)
+    }
+}
--- /dev/null
+++ b/crates/bramblewheel-replication/src/step.rs
@@ -0,0 +1,120 @@
+//! Steps of a replica: what it does with a message and as time passes.
+//!
+//! Owns the rules on terms that hold for every message, before its kind matters. Relies on the
+//! modules of the roles for the reaction to each kind.
+
+use crate::message::{Body, Message};
+use crate::replica::Replica;
+use crate::role::RoleState;
+use crate::types::ReplicaId;
+use bramblewheel_types::Timestamp;
+
+impl Replica {
+    /// Lets time pass; call at [`next_wakeup`](Self::next_wakeup) or more often.
+    pub fn tick(&mut self, now: Timestamp) {
+        self.advance_clock(now);
+        if matches!(self.role, RoleState::Leader(_)) {
+            self.tick_leader();
+        } else if self.now >= self.election_due && self.can_campaign() {
+            self.start_pre_vote();
+        }
+    }
+
+    /// Takes in a message of another replica.
+    pub fn receive(&mut self, now: Timestamp, from: ReplicaId, message: Message) {
+        self.advance_clock(now);
+        if from == self.config.id {
+            return;
+        }
+        if message.term > self.hard_state.term && !self.accept_term(&message) {
+            return;
+        }
+        // A replica behind our term may still grant a pre-vote for the next one.
+        let is_pre_vote = matches!(message.body, Body::PreVoteResponse { .. });
+        if message.term < self.hard_state.term && !is_pre_vote {
+            self.refuse_old_term(from, message);
+            return;
+        }
+        self.dispatch(from, message);
+    }
+
+    fn dispatch(&mut self, from: ReplicaId, message: Message) {
+        match message.body {
+            Body::PreVoteRequest {
+                candidate_term,
+                last_index,
+                last_term,
+            } => self.on_pre_vote_request(from, candidate_term, last_index, last_term),
+            Body::PreVoteResponse {
+                candidate_term,
+                granted,
+            } => self.on_pre_vote_response(from, candidate_term, granted),
+            Body::VoteRequest {
+                last_index,
+                last_term,
+                transfer: _,
+            } => self.on_vote_request(from, last_index, last_term),
+            Body::VoteResponse { granted } => self.on_vote_response(from, granted),
+            Body::Append { .. } => self.on_append(from, message.body),
+            Body::InstallSnapshot { snapshot, round } => {
+                self.on_install_snapshot(from, snapshot, round);
+            }
+            Body::AppendResponse {
+                round,
+                result,
+                token,
+            } => self.on_append_response(from, round, result, token),
+            Body::TransferLeadership => self.on_transfer_leadership(from),
+        }
+    }
+
+    /// Moves the clock; a leader that lost its quorum meanwhile steps down before anything else,
+    /// also when the process was frozen.
+    pub(crate) fn advance_clock(&mut self, now: Timestamp) {
+        self.now = self.now.max(now);
+        if self.leader_lost_quorum() {
+            self.become_follower(self.hard_state.term, None);
+        }
+    }
+
+    /// Takes over a higher term; `false` if the message must be ignored.
+    fn accept_term(&mut self, message: &Message) -> bool {
+        match &message.body {
+            // Asks only; whoever loses a pre-vote must not raise our term.
+            Body::PreVoteRequest { .. } => true,
+            Body::VoteRequest { .. } if !self.is_initialised() => false,
+            Body::VoteRequest { transfer, .. } if !transfer && self.has_leader_contact() => false,
+            _ => {
+                self.become_follower(message.term, None);
+                true
+            }
+        }
+    }
+
+    /// Lets the sender of an older term know the current one.
+    fn refuse_old_term(&mut self, from: ReplicaId, message: Message) {
+        match message.body {
+            Body::PreVoteRequest { candidate_term, .. } => {
+                let granted = false;
+                let body = Body::PreVoteResponse {
+                    candidate_term,
+                    granted,
+                };
+                self.send(from, body);
+            }
+            Body::VoteRequest { .. } => self.send(from, Body::VoteResponse { granted: false }),
+            Body::Append { previous_index, .. } => self.refuse_append(from, 0, previous_index),
+            Body::InstallSnapshot { snapshot, .. } => self.refuse_append(from, 0, snapshot.index),
+            _ => {}
+        }
+    }
+
+    /// When [`tick`](Self::tick) is due at the latest.
+    pub fn next_wakeup(&self) -> Timestamp {
+        match &self.role {
+            RoleState::Leader(leadership) => leadership.heartbeat_due,
+            _ if self.can_campaign() => self.election_due,
+            _ => Timestamp::NEVER,
+        }
+    }
+}
--- a/crates/bramblewheel-replication/src/transfer.rs
+++ b/crates/bramblewheel-replication/src/transfer.rs
@@ -24,7 +24,7 @@
         leadership.transfer = Some(Transfer {
             target,
             deadline,
-            told: false,
+            is_prompted: false,
         });
         Ok(target)
     }
@@ -46,8 +46,8 @@
             .map(|(_, id)| id)
     }
 
-    /// Tells the replica that takes over to campaign, once it has the whole log.
-    pub(crate) fn tell_transfer_target(&mut self) {
+    /// Asks the replica that takes over to campaign, once it has the whole log.
+    pub(crate) fn prompt_transfer_target(&mut self) {
         let last_index = self.log.last_index();
         let Some(leadership) = self.leadership_mut() else {
             return;
@@ -57,10 +57,10 @@
         };
         let target = transfer.target;
         let synced = leadership.peers.get(&target).map(|p| p.match_index);
-        if transfer.told || synced != Some(last_index) {
+        if transfer.is_prompted || synced != Some(last_index) {
             return;
         }
-        transfer.told = true;
+        transfer.is_prompted = true;
         self.send(target, Body::TransferLeadership);
     }
 }
--- a/crates/bramblewheel-replication/src/types.rs
+++ b/crates/bramblewheel-replication/src/types.rs
@@ -121,3 +121,25 @@
         *self == Self::default()
     }
 }
+
+impl RestoredState {
+    /// State of a first voter of a new group: the membership as a snapshot at index 1.
+    pub fn bootstrap(membership: Membership) -> Self {
+        let term = Term(1);
+        let snapshot = Snapshot {
+            index: LogIndex(1),
+            term,
+            membership,
+            data: Vec::new(),
+        };
+        let hard_state = HardState {
+            term,
+            voted_for: None,
+        };
+        Self {
+            hard_state,
+            snapshot: Some(snapshot),
+            entries: Vec::new(),
+        }
+    }
+}
