--- a/crates/bramblewheel-control/src/state/routing/quarantine.rs
+++ b/crates/bramblewheel-control/src/state/routing/quarantine.rs
@@ -1,11 +1,14 @@
-//! Requests under which endpoints end, told apart from those that only ran beside them.
+//! Requests that crash endpoints, as distinct from those that only ran beside them.
 //!
-//! A request can end every endpoint that runs it, and comes again under other ids at other daemons. No daemon
-//! sees enough of that: the ends are counted here, over all of them. One such request ended 32 starts of
-//! endpoints before it was counted; with the count, it is kept from endpoints after the third.
+//! A request can crash every endpoint that runs it, and comes again under other ids at other daemons. No daemon
+//! sees enough of that: the crashes are counted here, over all of them. One such request crashed 32 starts of
+//! endpoints before crashes were counted; with the count, it is kept from endpoints after the third.
 //!
-//! All that ran at an endpoint when it ended is suspect. What ended well anywhere is not; and an end that a
-//! content in quarantine explains is blamed on nothing else.
+//! All that ran at an endpoint when it crashed is suspect. What succeeded anywhere is not; and a crash that a
+//! content in quarantine explains counts against nothing else.
+//!
+//! Owns the suspects, as part of the replicated state. Relies on daemons to report every crash once with what
+//! ran, and every success of a watched content; time is the log's.
 
 use bramblewheel_protocol::content::ContentDigest;
 use bramblewheel_protocol::routing::{
@@ -15,48 +18,50 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Ends after which a content is kept from endpoints. Endpoints also end by themselves and in groups, and a
-/// request that is sent on is beside two such ends now and then (43 of 266 lost requests in one record), but
-/// hardly ever beside three.
-const ENDS_TO_QUARANTINE: usize = 3;
-/// Ends from which on daemons are told of a content: they know whether it ended well lately.
-const ENDS_TO_WATCH: usize = 2;
-/// Ends of one content that are kept: more than in quarantine, so that of two contents which reached it
-/// together the one that more ends follow can be told.
-const MAX_KEPT_ENDS: usize = 8;
-/// Contents that are kept, of 60 bytes and their ends each. An end brings as many as an endpoint has slots;
-/// the bound holds those of 40 endpoints of 200 slots that end together.
+/// Crashes after which a content is kept from endpoints. Endpoints also crash by themselves and in groups, and
+/// a request that is retried is beside two such crashes now and then (43 of 266 lost requests in one record),
+/// but hardly ever beside three.
+const CRASHES_TO_QUARANTINE: usize = 3;
+/// Crashes from which on daemons watch a content, to report whether it succeeds: one less than for a
+/// quarantine, so that a success is known before it. Chosen, not measured.
+const CRASHES_TO_WATCH: usize = 2;
+/// Crashes kept of one content: more than lead to a quarantine, so that of two contents which reached it
+/// together the one with more crashes is recognised. Chosen, not measured.
+const MAX_KEPT_CRASHES: usize = 8;
+/// Contents kept, of 60 bytes and their crashes each. A crash brings as many as an endpoint has slots;
+/// the bound holds those of 40 endpoints of 200 slots that crash together.
 const MAX_CONTENTS: usize = 8_192;
-/// Contents that daemons are told of: 5 KB.
+/// Contents that daemons watch at most: 5 KB of the reply to a watch. Chosen, not measured.
 const MAX_WATCHED: usize = 256;
 
 /// What is known against one content.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Suspect {
-    /// Starts of endpoints that ended while they ran it.
-    ends: BTreeSet<EndpointId>,
+    /// Starts of endpoints that crashed while they ran it.
+    #[serde(rename = "ends")]
+    crashes: BTreeSet<EndpointId>,
     /// Log time at which it is forgotten, or leaves the quarantine; in milliseconds since the Unix epoch.
     until_unix_millis: u64,
     is_quarantined: bool,
 }
 
 impl Suspect {
-    fn note_end(&mut self, endpoint: &EndpointId, until_unix_millis: u64) {
+    fn note_crash(&mut self, endpoint: &EndpointId, until_unix_millis: u64) {
         self.until_unix_millis = until_unix_millis;
-        if self.ends.len() < MAX_KEPT_ENDS {
-            self.ends.insert(endpoint.clone());
+        if self.crashes.len() < MAX_KEPT_CRASHES {
+            self.crashes.insert(endpoint.clone());
         }
     }
 
     fn is_watched(&self) -> bool {
-        self.is_quarantined || self.ends.len() >= ENDS_TO_WATCH
+        self.is_quarantined || self.crashes.len() >= CRASHES_TO_WATCH
     }
 }
 
-/// Contents that ran at endpoints which ended.
+/// Contents that ran at endpoints which crashed.
 ///
-/// Invariants: a report that is applied twice counts once; a content in quarantine was at three ends of
-/// different starts, and no daemon has reported since then that it ended well.
+/// Invariants: a report that is applied twice counts once; a content in quarantine ran at crashes of
+/// three starts, and no daemon has reported since then that it succeeded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantine {
     revision: u64,
@@ -66,7 +71,7 @@
 }
 
 impl Quarantine {
-    /// Rises with each change of what daemons are told.
+    /// Rises with each change of the list that daemons hold.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -77,13 +82,13 @@
         (!self.suspects.is_empty()).then_some(self.due_unix_millis)
     }
 
-    /// What daemons are told: contents in quarantine first.
+    /// The list that daemons hold: contents in quarantine first.
     pub fn list(&self) -> QuarantineList {
         let watched = self.suspects.iter().filter(|(_, known)| known.is_watched());
         let mut contents: Vec<WatchedContent> = watched
             .map(|(content, known)| WatchedContent {
                 content: *content,
-                ends: u32::try_from(known.ends.len()).unwrap_or(u32::MAX),
+                crashes: u32::try_from(known.crashes.len()).unwrap_or(u32::MAX),
                 is_quarantined: known.is_quarantined,
             })
             .collect();
@@ -95,14 +100,14 @@
         }
     }
 
-    /// Takes what a daemon reports.
+    /// Takes a daemon's report.
     pub(in crate::state) fn report(&mut self, now_unix_millis: u64, report: &ContentReport) {
         let before = self.list();
         match report {
             ContentReport::EndpointCrashed { endpoint, contents } => {
-                self.endpoint_ended(now_unix_millis, endpoint, contents);
+                self.endpoint_crashed(now_unix_millis, endpoint, contents);
             }
-            ContentReport::EndedWell { contents } => {
+            ContentReport::Succeeded { contents } => {
                 for content in contents {
                     self.suspects.remove(content);
                 }
@@ -111,7 +116,7 @@
         self.note_change(&before);
     }
 
-    fn endpoint_ended(
+    fn endpoint_crashed(
         &mut self,
         now_unix_millis: u64,
         endpoint: &EndpointId,
@@ -126,29 +131,29 @@
         let blamed = if causes.is_empty() { contents } else { &causes };
         for content in blamed {
             let suspect = self.suspects.entry(*content).or_default();
-            suspect.note_end(endpoint, until);
+            suspect.note_crash(endpoint, until);
         }
         if causes.is_empty() {
-            self.quarantine_most_ends(contents);
+            self.quarantine_most_crashes(contents);
         }
         self.release_explained();
         self.forget_beyond_bound();
     }
 
-    /// Puts the contents of a report into quarantine that have enough ends, and no fewer than the others.
-    fn quarantine_most_ends(&mut self, contents: &[ContentDigest]) {
-        let ends = |content: &ContentDigest| {
+    /// Quarantines the contents of a report that have enough crashes, and no fewer than the others.
+    fn quarantine_most_crashes(&mut self, contents: &[ContentDigest]) {
+        let crashes = |content: &ContentDigest| {
             self.suspects
                 .get(content)
-                .map_or(0, |known| known.ends.len())
+                .map_or(0, |known| known.crashes.len())
         };
-        let most = contents.iter().map(ends).max().unwrap_or(0);
-        if most < ENDS_TO_QUARANTINE {
+        let most = contents.iter().map(crashes).max().unwrap_or(0);
+        if most < CRASHES_TO_QUARANTINE {
             return;
         }
         let causes: Vec<ContentDigest> = contents
             .iter()
-            .filter(|c| ends(c) == most)
+            .filter(|c| crashes(c) == most)
             .copied()
             .collect();
         for content in causes {
@@ -158,7 +163,7 @@
         }
     }
 
-    /// Takes back from others the ends that a content in quarantine explains. One whose ends are all
+    /// Removes from others the crashes that a content in quarantine explains. One whose crashes are all
     /// explained by a content that has more of them is not suspect any more.
     fn release_explained(&mut self) {
         let causes = self
@@ -166,7 +171,7 @@
             .iter()
             .filter(|(_, known)| known.is_quarantined);
         let causes: Vec<(ContentDigest, BTreeSet<EndpointId>)> = causes
-            .map(|(content, known)| (*content, known.ends.clone()))
+            .map(|(content, known)| (*content, known.crashes.clone()))
             .collect();
         for (cause, explained) in causes {
             self.suspects.retain(|content, known| {
@@ -174,17 +179,17 @@
                     return true;
                 }
                 if known.is_quarantined {
-                    let is_explained = known.ends.is_subset(&explained);
-                    return !(is_explained && known.ends.len() < explained.len());
+                    let is_explained = known.crashes.is_subset(&explained);
+                    return !(is_explained && known.crashes.len() < explained.len());
                 }
-                known.ends.retain(|end| !explained.contains(end));
-                !known.ends.is_empty()
+                known.crashes.retain(|start| !explained.contains(start));
+                !known.crashes.is_empty()
             });
         }
     }
 
     /// Forgets what has been kept for long enough at a log time. A content that leaves the quarantine is back
-    /// in it after one more end.
+    /// in it after one more crash.
     pub(in crate::state) fn advance_time(&mut self, now_unix_millis: u64) {
         if self.suspects.is_empty() || now_unix_millis < self.due_unix_millis {
             return;
@@ -199,8 +204,8 @@
             }
             known.is_quarantined = false;
             known.until_unix_millis = now_unix_millis.saturating_add(quarantine_millis());
-            while known.ends.len() >= ENDS_TO_QUARANTINE {
-                known.ends.pop_first();
+            while known.crashes.len() >= CRASHES_TO_QUARANTINE {
+                known.crashes.pop_first();
             }
             true
         });
@@ -217,10 +222,10 @@
             .suspects
             .iter()
             .map(|(content, known)| {
-                let ends = known.ends.len();
+                let crashes = known.crashes.len();
                 (
                     known.is_quarantined,
-                    ends,
+                    crashes,
                     known.until_unix_millis,
                     *content,
                 )
--- a/crates/bramblewheel-control/tests/pinned_forms/routing.rs
+++ b/crates/bramblewheel-control/tests/pinned_forms/routing.rs
@@ -60,7 +60,7 @@
                 .started_at(Some(7)),
             contents: vec![ContentDigest(0x0123_4567_89ab_cdef), ContentDigest(2)],
         },
-        ContentReport::EndedWell {
+        ContentReport::Succeeded {
             contents: vec![ContentDigest(2)],
         },
     ]
@@ -133,7 +133,7 @@
         revision: 3,
         contents: vec![WatchedContent {
             content: ContentDigest(2),
-            ends: 3,
+            crashes: 3,
             is_quarantined: true,
         }],
     };
--- a/crates/bramblewheel-control/tests/quarantine.rs
+++ b/crates/bramblewheel-control/tests/quarantine.rs
@@ -50,7 +50,7 @@
 
     fn ended_well(&mut self, content: ContentDigest) -> bool {
         let contents = vec![content];
-        self.apply(vec![ContentReport::EndedWell { contents }])
+        self.apply(vec![ContentReport::Succeeded { contents }])
     }
 
     fn quarantined(&self) -> Vec<ContentDigest> {
--- a/crates/bramblewheel-decisions/tests/quarantine_fleet.rs
+++ b/crates/bramblewheel-decisions/tests/quarantine_fleet.rs
@@ -204,7 +204,7 @@
     fn report(&mut self, daemon: usize, report: ContentReport) {
         let is_dropped = match self.variant {
             Variant::NoMemory => true,
-            Variant::BlameAll => matches!(report, ContentReport::EndedWell { .. }),
+            Variant::BlameAll => matches!(report, ContentReport::Succeeded { .. }),
             Variant::Product | Variant::LocalOnly | Variant::NeverSentOn => false,
         };
         if is_dropped {
@@ -241,7 +241,7 @@
         }
         let contents = view.install(now, list);
         if !contents.is_empty() {
-            let report = ContentReport::EndedWell { contents };
+            let report = ContentReport::Succeeded { contents };
             self.later(5..60, Message::Report(daemon, report));
         }
     }
@@ -322,7 +322,7 @@
         let now = self.at();
         if self.daemons[daemon].view.ended_well(now, content) {
             let contents = vec![content];
-            let report = ContentReport::EndedWell { contents };
+            let report = ContentReport::Succeeded { contents };
             self.later(5..60, Message::Report(daemon, report));
         }
     }
--- a/crates/bramblewheel-protocol/src/client.rs
+++ b/crates/bramblewheel-protocol/src/client.rs
@@ -83,7 +83,7 @@
     /// Sends a request and waits for its answer. After an error the connection is not usable.
     ///
     /// # Errors
-    /// [`ClientError`]; [`ClientError::may_have_run`] tells whether the replica may have acted.
+    /// [`ClientError`]; [`ClientError::may_have_run`] is whether the replica may have acted.
     pub async fn request(
         &mut self,
         body: RequestBody,
--- a/crates/bramblewheel-protocol/src/socket.rs
+++ b/crates/bramblewheel-protocol/src/socket.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpStream;
 
 /// How long sent bytes may stay unacknowledged before the connection is given up. A machine that
-/// lost power or is cut off says nothing; without this, its connections hang for minutes.
+/// lost power or is cut off sends nothing; without this, its connections hang for minutes.
 pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(900);
 /// Silence after which an idle connection is probed, and the time between probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
@@ -18,7 +18,7 @@
 /// end when the other side is gone.
 ///
 /// # Errors
-/// What the operating system says.
+/// Error of the operating system.
 pub fn tune(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -33,7 +33,7 @@
 /// Connects and sets the options of [`tune`].
 ///
 /// # Errors
-/// What the operating system says, or [`io::ErrorKind::TimedOut`] after `longest`.
+/// Error of the operating system, or [`io::ErrorKind::TimedOut`] after `longest`.
 pub async fn connect(address: SocketAddr, longest: Duration) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(longest, TcpStream::connect(address))
         .await
--- a/crates/bramblewheel-proxy/src/control/content_reports.rs
+++ b/crates/bramblewheel-proxy/src/control/content_reports.rs
@@ -1,4 +1,7 @@
-//! Brings to the control group what is seen of requests under which endpoints end.
+//! Reports to the control group which contents ran when the local endpoint crashed, and which succeeded.
+//!
+//! Owns the queue of reports that the group has not taken yet. Relies on the group to count a report
+//! once that is sent twice.
 
 use crate::shared::Shared;
 use bramblewheel_decisions::endpoint_crash::EndpointCrash;
@@ -10,18 +13,18 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Reports that wait while the control group can't take them.
+/// Reports that wait while the control group can't take them; chosen, not measured.
 const MAX_WAITING: usize = 256;
-/// Longest time for one try to bring a report to the group.
+/// Longest time for one attempt to send a report to the group; chosen, not measured.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before the next try.
+/// Pause before the next attempt; chosen, not measured.
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// What a daemon saw.
 #[derive(Debug)]
 enum Seen {
-    End(EndpointCrash),
-    EndedWell(Vec<ContentDigest>),
+    Crash(EndpointCrash),
+    Succeeded(Vec<ContentDigest>),
 }
 
 /// Takes what is seen; never waits.
@@ -31,7 +34,7 @@
     log: Logger,
 }
 
-/// What is to be brought to the group.
+/// Reports that are to be sent to the group.
 #[derive(Debug)]
 pub struct WaitingReports {
     seen: mpsc::Receiver<Seen>,
@@ -44,19 +47,19 @@
         (Self { seen: sender, log }, WaitingReports { seen })
     }
 
-    /// The local endpoint ended without a word.
-    pub fn endpoint_ended(&self, end: EndpointCrash) {
-        self.send(Seen::End(end));
+    /// The local endpoint crashed.
+    pub fn endpoint_crashed(&self, crash: EndpointCrash) {
+        self.send(Seen::Crash(crash));
     }
 
-    /// Contents that the group tells of ended well.
-    pub fn ended_well(&self, contents: Vec<ContentDigest>) {
+    /// Contents that the group lets daemons watch succeeded.
+    pub fn succeeded(&self, contents: Vec<ContentDigest>) {
         if !contents.is_empty() {
-            self.send(Seen::EndedWell(contents));
+            self.send(Seen::Succeeded(contents));
         }
     }
 
-    /// Beyond the bound a report is left out: more ends of the same endpoint follow if there is a cause.
+    /// Beyond the bound a report is left out: more crashes of the same endpoint follow if there is a cause.
     fn send(&self, seen: Seen) {
         if let Err(error) = self.seen.try_send(seen) {
             slog::warn!(self.log, "report on contents left out"; "reason" => %error);
@@ -64,48 +67,48 @@
     }
 }
 
-/// Brings reports to the control group, in order; never returns.
+/// Sends reports to the control group, in order; never returns.
 pub async fn run(shared: Arc<Shared>, mut waiting: WaitingReports) {
     while let Some(seen) = waiting.seen.recv().await {
         if let Some(report) = report_of(&shared, seen) {
-            bring(&shared, report).await;
+            deliver(&shared, report).await;
         }
     }
 }
 
-/// What the group is told; nothing of an end that left no suspect.
+/// Report for the group; none of a crash that left no suspect.
 fn report_of(shared: &Shared, seen: Seen) -> Option<ContentReport> {
     match seen {
-        Seen::EndedWell(contents) => {
+        Seen::Succeeded(contents) => {
             slog::info!(shared.log, "content ended well"; "contents" => named(&contents));
-            Some(ContentReport::EndedWell { contents })
+            Some(ContentReport::Succeeded { contents })
         }
-        Seen::End(end) => {
+        Seen::Crash(crash) => {
             let now = shared.clock.now();
-            let suspects = shared.quarantine().suspects(now, &end.contents);
-            log_end(shared, &end, suspects.len());
+            let suspects = shared.quarantine().suspects(now, &crash.contents);
+            log_crash(shared, &crash, suspects.len());
             (!suspects.is_empty()).then_some(ContentReport::EndpointCrashed {
-                endpoint: end.endpoint,
+                endpoint: crash.endpoint,
                 contents: suspects,
             })
         }
     }
 }
 
-fn log_end(shared: &Shared, end: &EndpointCrash, suspects: usize) {
-    let most_often = shared.local.count_end(end);
+fn log_crash(shared: &Shared, crash: &EndpointCrash, suspects: usize) {
+    let most_often = shared.local.count_end(crash);
     let most_often: Vec<String> = most_often
         .iter()
-        .map(|(content, ends)| format!("{content}:{ends}"))
+        .map(|(content, crashes)| format!("{content}:{crashes}"))
         .collect();
     shared.metrics.endpoint_ends.inc();
-    let running = u64::try_from(end.contents.len()).unwrap_or(u64::MAX);
+    let running = u64::try_from(crash.contents.len()).unwrap_or(u64::MAX);
     shared.metrics.lost_with_endpoints.inc_by(running);
-    slog::warn!(shared.log, "endpoint ended"; "endpoint" => %end.endpoint,
+    slog::warn!(shared.log, "endpoint ended"; "endpoint" => %crash.endpoint,
         "running" => running, "suspects" => suspects, "most_ends_here" => most_often.join(","));
 }
 
-async fn bring(shared: &Shared, report: ContentReport) {
+async fn deliver(shared: &Shared, report: ContentReport) {
     let body = RequestBody::ReportContents(report);
     loop {
         let reply = shared.control.request(&body, REPORT_TIMEOUT).await;
--- a/crates/bramblewheel-proxy/src/control/registrar.rs
+++ b/crates/bramblewheel-proxy/src/control/registrar.rs
@@ -101,7 +101,7 @@
         // Connections to a start that has ended may still look open.
         self.endpoint_pools.forget(before.endpoint_address);
         if let Some(end) = self.local.take_end(&before.endpoint) {
-            self.reporter.endpoint_ended(end);
+            self.reporter.endpoint_crashed(end);
         }
     }
 
--- a/crates/bramblewheel-proxy/src/control/watch.rs
+++ b/crates/bramblewheel-proxy/src/control/watch.rs
@@ -152,7 +152,7 @@
         slog::info!(self.shared.log, "quarantine in force"; "revision" => list.revision,
             "watched" => list.contents.len(), "quarantined" => quarantined,
             "ended_well_here" => ended_well.len(), "position" => self.position.index);
-        self.shared.reporter.ended_well(ended_well);
+        self.shared.reporter.succeeded(ended_well);
     }
 
     /// Puts a table in force. Versions only rise within one life of the daemon.
--- a/crates/bramblewheel-proxy/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-proxy/src/inbound/dispatch.rs
@@ -216,7 +216,7 @@
     let now = shared.clock.now();
     let is_to_be_told = shared.quarantine().ended_well(now, content);
     if is_to_be_told {
-        shared.reporter.ended_well(vec![content]);
+        shared.reporter.succeeded(vec![content]);
     }
 }
 
@@ -231,7 +231,7 @@
     };
     shared.metrics.quarantined.inc();
     slog::info!(shared.log, "quarantined"; "id" => text(id), "content" => %known.content,
-        "ends" => known.ends, "revision" => revision);
+        "ends" => known.crashes, "revision" => revision);
     true
 }
 
--- a/crates/bramblewheel-proxy/src/local/crash_probe.rs
+++ b/crates/bramblewheel-proxy/src/local/crash_probe.rs
@@ -32,7 +32,7 @@
             }
             tokio::time::sleep(NOTICED_WITHIN).await;
             if let Some(end) = shared.local.take_end(&endpoint) {
-                shared.reporter.endpoint_ended(end);
+                shared.reporter.endpoint_crashed(end);
             }
         }
     });
