--- /dev/null
+++ b/crates/bramblewheel-control/tests/members.rs
@@ -0,0 +1,114 @@
+//! Planned stops, lost disks and replacements of the members of a group.
+
+mod support;
+
+use bramblewheel_protocol::control::{
+    PublishReply, ReplaceRequest, ReplyBody, RequestBody, Unavailable,
+};
+use std::time::Duration;
+use support::cluster::Cluster;
+use support::polls::{MANY, caught_up, others, poll_body, publish};
+use support::signed;
+
+#[test]
+fn a_planned_stop_hands_over_and_sends_polls_elsewhere() {
+    let mut cluster = Cluster::bootstrapped(14, MANY);
+    let leader = cluster.settle();
+    cluster.run(Duration::from_secs(1));
+    let request = caught_up(&cluster, leader, "k-1", "kassa");
+    let held = cluster.send(leader, poll_body(request.clone()));
+    cluster.stop(leader);
+    let stopping = ReplyBody::Unavailable(Unavailable::Stopping);
+    assert_eq!(cluster.reply(held), Some(stopping.clone()));
+    assert_eq!(cluster.ask(leader, poll_body(request)), stopping);
+    cluster.run(Duration::from_millis(200));
+    assert!(cluster.node(leader).has_handed_over());
+    assert!(cluster.leader().is_some_and(|other| other != leader));
+}
+
+#[test]
+fn a_lost_disk_comes_back_as_a_new_replica_and_is_admitted_by_a_replacement() {
+    for snapshot_interval in [MANY, 5] {
+        let mut cluster = Cluster::bootstrapped(15, snapshot_interval);
+        for version in 2..20 {
+            publish(&mut cluster, version, 1);
+        }
+        let leader = cluster.settle();
+        let lost_machine = others(leader)[0];
+        let lost = cluster.address(lost_machine).replica;
+        cluster.restart_wiped(lost_machine);
+        assert_ne!(cluster.address(lost_machine).replica, lost);
+        cluster.run(Duration::from_secs(2));
+        assert_eq!(
+            cluster.node(lost_machine).state().group(),
+            None,
+            "it is not its old self"
+        );
+        let request = ReplaceRequest {
+            lost,
+            replacement: cluster.address(lost_machine),
+        };
+        let mut other = request.clone();
+        other.lost = 12345;
+        let reply = cluster.ask(leader, RequestBody::Replace(other));
+        assert!(matches!(reply, ReplyBody::Rejected(_)), "{reply:?}");
+        let body = RequestBody::Replace(request.clone());
+        let first = cluster.send(leader, body.clone());
+        let again = cluster.send(leader, body.clone());
+        assert_eq!(cluster.reply(first), None, "not before it is finished");
+        assert_eq!(cluster.wait_for(first), ReplyBody::Done);
+        assert_eq!(cluster.wait_for(again), ReplyBody::Done);
+        let status = cluster.node(leader).replica().membership().clone();
+        assert_eq!((status.voters.len(), status.learners.len()), (3, 0));
+        // A second loss right after: nothing that was accepted is missing.
+        let survivor_lost = others(leader)[1];
+        cluster.crash(survivor_lost);
+        let third = cluster.address(lost_machine).replica;
+        assert!(status.voters.iter().any(|voter| voter.0 == third));
+        assert_eq!(
+            cluster.ask_leader(&body),
+            ReplyBody::Done,
+            "a repeated replacement"
+        );
+        let winner = signed(7, 1).digest;
+        assert_eq!(
+            publish(&mut cluster, 7, 2),
+            PublishReply::Conflict { winner }
+        );
+        assert!(matches!(
+            publish(&mut cluster, 20, 1),
+            PublishReply::Accepted { .. }
+        ));
+    }
+}
+
+/// The new replica fails half-way: the group goes on, and another one can take its place.
+#[test]
+fn a_replacement_that_fails_does_not_stop_the_group() {
+    let mut cluster = Cluster::bootstrapped(16, MANY);
+    let leader = cluster.settle();
+    let machine = others(leader)[0];
+    let lost = cluster.address(machine).replica;
+    cluster.restart_wiped(machine);
+    let failed = ReplaceRequest {
+        lost,
+        replacement: cluster.address(machine),
+    };
+    cluster.cut_off(machine);
+    let waiting = cluster.send(leader, RequestBody::Replace(failed.clone()));
+    cluster.run(Duration::from_secs(3));
+    assert_eq!(cluster.reply(waiting), None);
+    assert!(matches!(
+        publish(&mut cluster, 2, 1),
+        PublishReply::Accepted { .. }
+    ));
+    let mut other = failed.clone();
+    other.replacement.replica = 999;
+    let reply = cluster.ask(leader, RequestBody::Replace(other));
+    assert!(
+        matches!(reply, ReplyBody::Rejected(_)),
+        "one at a time: {reply:?}"
+    );
+    cluster.heal();
+    assert_eq!(cluster.wait_for(waiting), ReplyBody::Done);
+}
--- a/crates/bramblewheel-control/tests/support/mod.rs
+++ b/crates/bramblewheel-control/tests/support/mod.rs
@@ -3,6 +3,10 @@
 #![allow(dead_code, reason = "each test program uses its own part")]
 
 pub mod cluster;
+pub mod founded;
+pub mod log;
+pub mod polls;
+pub mod processes;
 
 use bramblewheel_bundle::{Bundle, Delta, OperatorKey, OperatorPolicy, canonical, digest, parse};
 use bramblewheel_protocol::control::{
