--- a/crates/bramblewheel-control/src/node/renewals.rs
+++ b/crates/bramblewheel-control/src/node/renewals.rs
@@ -1,8 +1,8 @@
 //! Leases of daemons on the route table: a quorum confirms which version is the newest. With them
-//! daemons tell what they let in for tenants, and are told the sums.
+//! daemons report what they admitted for tenants, and receive the sums.
 //!
 //! Every daemon asks several times a second, one replica each. The requests of one interval share one
-//! quorum-checked read, and replicas tell each other sums only, so that what they exchange does not grow
+//! quorum-checked read, and replicas send each other sums only, so that what they exchange does not grow
 //! with the daemons.
 
 use super::ControlNode;
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Tells the other replicas what the daemons that report here let in.
-    pub(super) fn tell_tenant_usage(&mut self) {
-        let Some(sums) = self.usage.sums_to_tell(self.now.monotonic) else {
+    /// Sends the other replicas the sums of what the daemons that report here admitted.
+    pub(super) fn report_tenant_usage(&mut self) {
+        let Some(sums) = self.usage.sums_to_report(self.now.monotonic) else {
             return;
         };
         let own = self.replica.id();
--- a/crates/bramblewheel-control/tests/quarantine.rs
+++ b/crates/bramblewheel-control/tests/quarantine.rs
@@ -40,7 +40,7 @@
             term: 1,
         };
         let applied = self.state.apply(position, &command.encode());
-        applied.expect("a command").1.routing
+        applied.expect("a command").changes.routing
     }
 
     /// Returns whether daemons are told something new.
@@ -50,7 +50,7 @@
 
     fn ended_well(&mut self, content: ContentDigest) -> bool {
         let contents = vec![content];
-        self.apply(vec![ContentReport::EndedWell { contents }])
+        self.apply(vec![ContentReport::Succeeded { contents }])
     }
 
     fn quarantined(&self) -> Vec<ContentDigest> {
--- a/crates/bramblewheel-decisions/tests/quarantine_fleet/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/quarantine_fleet/fleet.rs
@@ -200,7 +200,7 @@
     fn report(&mut self, daemon: usize, report: ContentReport) {
         let is_dropped = match self.variant {
             Variant::NoMemory => true,
-            Variant::BlameAll => matches!(report, ContentReport::EndedWell { .. }),
+            Variant::BlameAll => matches!(report, ContentReport::Succeeded { .. }),
             Variant::Product | Variant::LocalOnly | Variant::NeverSentOn => false,
         };
         if is_dropped {
@@ -217,8 +217,8 @@
             proposed_at_unix_millis: self.now,
             command: Command::Contents(vec![report]),
         };
-        let (_, changes) = group.apply(position, &command.encode()).expect("a command");
-        if !changes.routing {
+        let applied = group.apply(position, &command.encode()).expect("a command");
+        if !applied.changes.routing {
             return;
         }
         let list = group.quarantine().list();
@@ -237,7 +237,7 @@
         }
         let contents = view.install(now, list);
         if !contents.is_empty() {
-            let report = ContentReport::EndedWell { contents };
+            let report = ContentReport::Succeeded { contents };
             self.later(5..60, Message::Report(daemon, report));
         }
     }
@@ -318,7 +318,7 @@
         let now = self.at();
         if self.daemons[daemon].view.ended_well(now, content) {
             let contents = vec![content];
-            let report = ContentReport::EndedWell { contents };
+            let report = ContentReport::Succeeded { contents };
             self.later(5..60, Message::Report(daemon, report));
         }
     }
--- a/crates/bramblewheel-proxy/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-proxy/src/inbound/dispatch.rs
@@ -277,7 +277,7 @@
         let now = self.shared.clock.now();
         let is_to_be_reported = self.shared.quarantine().ended_well(now, content);
         if is_to_be_reported {
-            self.shared.reporter.ended_well(vec![content]);
+            self.shared.reporter.succeeded(vec![content]);
         }
     }
 }
@@ -293,7 +293,7 @@
     };
     shared.metrics.quarantined.inc();
     slog::info!(shared.log, "quarantined"; "id" => text(id), "content" => %known.content,
-        "ends" => known.ends, "revision" => revision);
+        "ends" => known.crashes, "revision" => revision);
     true
 }
 
--- a/crates/bramblewheel-proxy/src/local/crash_probe.rs
+++ b/crates/bramblewheel-proxy/src/local/crash_probe.rs
@@ -34,8 +34,8 @@
                 continue;
             }
             tokio::time::sleep(NOTICED_WITHIN).await;
-            if let Some(crash) = shared.local.take_crash(&endpoint) {
-                shared.reporter.endpoint_ended(crash);
+            if let Some(end) = shared.local.take_crash(&endpoint) {
+                shared.reporter.endpoint_crashed(end);
             }
         }
     });
--- a/crates/bramblewheel-replication/src/source.rs
+++ b/crates/bramblewheel-replication/src/source.rs
@@ -5,7 +5,7 @@
 use crate::progress::{Flow, Progress};
 use crate::types::{Entry, LogIndex, Payload};
 
-/// Most bytes of commands in one message, unless a single entry has more.
+/// Most bytes of commands in one message, unless a single entry has more; chosen, not measured.
 const MAX_BYTES_PER_MESSAGE: usize = 1024 * 1024;
 
 /// What a leader sends from.
@@ -24,8 +24,8 @@
             bodies.push(body);
         }
         let replicates = matches!(progress.flow, Flow::Replicate { .. });
-        let has_news = replicates && progress.sent_commit < self.commit;
-        if bodies.is_empty() && (progress.sent_round < self.round || has_news) {
+        let has_newer_commit = replicates && progress.sent_commit < self.commit;
+        if bodies.is_empty() && (progress.sent_round < self.round || has_newer_commit) {
             bodies.push(self.append_after(progress, Vec::new()));
         }
         if !bodies.is_empty() {
