--- a/crates/bramblewheel-lab/src/bench/mod.rs
+++ b/crates/bramblewheel-lab/src/bench/mod.rs
@@ -2,4 +2,3 @@
 
 pub mod latency;
 pub mod overload;
-pub mod scale;
--- a/crates/bramblewheel-lab/src/commands/mod.rs
+++ b/crates/bramblewheel-lab/src/commands/mod.rs
@@ -25,7 +25,6 @@
         Command::Bench(options) => match options.command.ok_or_else(incomplete)? {
             BenchCommand::Overload(options) => bench::overload::run(options),
             BenchCommand::Latency(options) => bench::latency::run(options),
-            BenchCommand::Scale(options) => bench::scale::run(options),
         },
         Command::RunDaemon(options) => hidden::run_daemon(options),
         Command::RunControl(options) => hidden::run_control(options),
--- a/crates/bramblewheel-lab/src/options.rs
+++ b/crates/bramblewheel-lab/src/options.rs
@@ -2,7 +2,6 @@
 
 use crate::bench::latency::LatencyOptions;
 use crate::bench::overload::OverloadOptions;
-use crate::bench::scale::ScaleOptions;
 use crate::commands::caller::CallerOptions;
 use crate::commands::endpoint::EndpointOptions;
 use crate::commands::fleet::FleetOptions;
@@ -41,7 +40,7 @@
     Fleet(FleetOptions),
     /// run the deterministic simulator
     Sim(SimOptions),
-    /// measure overload, latency and scale
+    /// measure overload and latency
     Bench(BenchOptions),
     /// (used by the lab itself) run one daemon
     RunDaemon(SettingsOptions),
@@ -51,7 +50,7 @@
 
 /// Arguments of `bench`.
 #[derive(Debug, Options)]
-#[options(help = "Measures overload, latency and scale.")]
+#[options(help = "Measures overload and latency.")]
 pub struct BenchOptions {
     /// print help
     pub help: bool,
@@ -67,8 +66,6 @@
     Overload(OverloadOptions),
     /// latency that the daemons add to a call
     Latency(LatencyOptions),
-    /// work of daemons and replicas at the size to come
-    Scale(ScaleOptions),
 }
 
 impl Arguments {
