--- a/crates/bramblewheel-lab/src/fleet/running.rs
+++ b/crates/bramblewheel-lab/src/fleet/running.rs
@@ -86,11 +86,6 @@
         })
     }
 
-    /// Folder of the run.
-    pub fn folder(&self) -> &RunFolder {
-        &self.folder
-    }
-
     /// Gives the folder up once the fleet has stopped.
     pub fn into_folder(self) -> RunFolder {
         self.folder
--- a/crates/bramblewheel-lab/src/process/child.rs
+++ b/crates/bramblewheel-lab/src/process/child.rs
@@ -11,7 +11,7 @@
 use tokio::process::{ChildStderr, ChildStdin, Command};
 use tokio::sync::{Mutex, mpsc, watch};
 
-/// A child process can't be started or told something.
+/// A child process can't be started or sent a command.
 #[derive(Debug, Error)]
 pub enum ProcessError {
     /// It can't be started.
@@ -49,7 +49,7 @@
     pub log: PathBuf,
 }
 
-/// News of a child.
+/// What becomes known of a child.
 #[derive(Clone, Debug)]
 pub enum ChildEvent {
     /// It logged something to act upon.
@@ -69,7 +69,7 @@
 }
 
 impl Child {
-    /// Starts a process; its news goes to `events` under its name.
+    /// Starts a process; what becomes known of it goes to `events` under its name.
     ///
     /// # Errors
     /// [`ProcessError::Start`].
@@ -153,11 +153,6 @@
         written.map_err(|_| not_running())
     }
 
-    /// Its process id, for looking at what it uses; only while it has not ended.
-    pub fn id(&self) -> u32 {
-        self.pid.as_raw_nonzero().get().unsigned_abs()
-    }
-
     /// Sends a signal.
     ///
     /// # Errors
--- a/crates/bramblewheel-replication/src/replica.rs
+++ b/crates/bramblewheel-replication/src/replica.rs
@@ -374,11 +374,6 @@
         self.commit
     }
 
-    /// Last entry handed out as committed.
-    pub fn delivered_index(&self) -> LogIndex {
-        self.delivered
-    }
-
     /// Last entry of the log, committed or not.
     pub fn last_index(&self) -> LogIndex {
         self.log.last_index()
--- a/crates/bramblewheel-sim/src/kernel/queue.rs
+++ b/crates/bramblewheel-sim/src/kernel/queue.rs
@@ -75,9 +75,4 @@
             .take()
             .expect("the slot is occupied")
     }
-
-    /// Events that wait.
-    pub(super) fn len(&self) -> usize {
-        self.heap.len()
-    }
 }
--- a/crates/bramblewheel-sim/src/kernel/random.rs
+++ b/crates/bramblewheel-sim/src/kernel/random.rs
@@ -14,8 +14,6 @@
     Clocks,
     /// Kinds, moments and targets of faults.
     Faults,
-    /// What remains of unsynced data when power is lost.
-    Disks,
     /// Load.
     Load,
     /// Anything else, numbered by the domain.
@@ -28,7 +26,6 @@
             Self::Network => 1,
             Self::Clocks => 2,
             Self::Faults => 3,
-            Self::Disks => 4,
             Self::Load => 5,
             Self::Process(index) => (1 << 32) | index as u64,
             Self::Other(index) => (2 << 32) | index as u64,
--- a/crates/bramblewheel-sim/src/kernel/simulation.rs
+++ b/crates/bramblewheel-sim/src/kernel/simulation.rs
@@ -278,11 +278,6 @@
         self.handled
     }
 
-    /// Events that wait.
-    pub fn waiting(&self) -> usize {
-        self.core.queue.len()
-    }
-
     /// The run's streams of randomness.
     pub fn streams(&self) -> Streams {
         self.streams
--- a/crates/bramblewheel-sim/src/requests/endpoint.rs
+++ b/crates/bramblewheel-sim/src/requests/endpoint.rs
@@ -91,7 +91,6 @@
     shape: Endpoint,
     started: Timestamp,
     slowdown: f64,
-    is_draining: bool,
     says_draining: bool,
     fails: f64,
     report_fault: Option<ReportFault>,
@@ -112,7 +111,6 @@
             shape,
             started: now,
             slowdown: 1.0,
-            is_draining: false,
             says_draining: false,
             fails: 0.0,
             report_fault: None,
@@ -130,11 +128,6 @@
         self.slowdown = factor;
     }
 
-    /// Takes no new requests from now on.
-    pub fn drain(&mut self) {
-        self.is_draining = true;
-    }
-
     /// Reports from now on that it wants no new requests, but still takes what it is given.
     pub fn announce_drain(&mut self) {
         self.says_draining = true;
@@ -165,11 +158,6 @@
         self.shape.cold_start = Duration::ZERO;
     }
 
-    /// Requests that run.
-    pub fn running(&self) -> u32 {
-        self.running
-    }
-
     /// A request that runs or waits.
     pub fn run(&self, run: RunKey) -> Option<&Run> {
         self.runs.get(run)
@@ -184,7 +172,7 @@
         actions: &mut Vec<EndpointAction>,
     ) -> Option<RunKey> {
         let in_use = self.running as usize + self.queue.len();
-        if self.is_draining || in_use >= self.shape.connections as usize {
+        if in_use >= self.shape.connections as usize {
             return None;
         }
         let id = RunId(self.next_run);
@@ -381,7 +369,7 @@
         let honest = EndpointReport {
             slots: self.shape.slots,
             busy: busy as u32,
-            draining: self.is_draining || self.says_draining,
+            draining: self.says_draining,
         };
         self.report_fault
             .map_or(honest, |fault| fault.apply(honest))
--- a/crates/bramblewheel-sim/src/requests/host.rs
+++ b/crates/bramblewheel-sim/src/requests/host.rs
@@ -127,11 +127,6 @@
         }
     }
 
-    /// Begins a planned stop of the daemon alone; the process ends once it is drained.
-    pub fn stop_planned(&mut self, context: &mut Context<'_, RequestActor>) {
-        self.with_layer(context, |layer, environment| layer.drain(environment));
-    }
-
     /// Something happens to the layer, from outside of the simulated world.
     pub(super) fn instruct(
         &mut self,
@@ -143,11 +138,6 @@
         });
     }
 
-    /// The layer on this machine, while it runs.
-    pub fn layer(&self) -> Option<&dyn Layer> {
-        self.layer.as_deref()
-    }
-
     /// Slot time spent so far.
     pub fn slot_uses(&self) -> &[SlotUse] {
         &self.slot_uses
@@ -166,14 +156,6 @@
         }
     }
 
-    /// Begins a planned stop.
-    pub fn drain(&mut self, context: &mut Context<'_, RequestActor>) {
-        if let Some(endpoint) = &mut self.endpoint {
-            endpoint.drain();
-        }
-        self.with_layer(context, |layer, environment| layer.drain(environment));
-    }
-
     pub(super) fn start(&mut self, context: &mut Context<'_, RequestActor>, cause: StartCause) {
         let shape = self.endpoint_index.map(|index| {
             let shape = self.topology.endpoints[index.0].clone();
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/dispatch.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/dispatch.rs
@@ -9,7 +9,6 @@
 use crate::requests::message::{Message, Timer};
 use crate::requests::record::Record;
 use bramblewheel_core::event::{AttemptResult, Event};
-use bramblewheel_core::metrics::Metrics;
 use bramblewheel_types::Timestamp;
 use std::sync::Arc;
 
@@ -130,12 +129,4 @@
             }
         }
     }
-
-    fn drain(&mut self, environment: &mut Environment<'_, '_>) {
-        self.submit(environment, Event::DrainRequested);
-    }
-
-    fn metrics(&self) -> Option<Metrics> {
-        Some(self.engine.metrics())
-    }
 }
--- a/crates/bramblewheel-sim/src/requests/layer/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/mod.rs
@@ -36,15 +36,6 @@
     /// All kinds, worst first.
     pub const ALL: [Self; 3] = [Self::None, Self::Naive, Self::Bramblewheel];
 
-    /// Name in reports.
-    pub const fn as_str(self) -> &'static str {
-        match self {
-            Self::None => "none",
-            Self::Naive => "naive",
-            Self::Bramblewheel => "bramblewheel",
-        }
-    }
-
     /// Whether callers send to the gateway of their zone.
     pub const fn has_gateways(self) -> bool {
         !matches!(self, Self::None)
@@ -218,12 +209,4 @@
 
     /// Something happens to the layer from outside of the simulated world.
     fn instruct(&mut self, _environment: &mut Environment<'_, '_>, _instruction: Instruction) {}
-
-    /// A planned stop begins.
-    fn drain(&mut self, _environment: &mut Environment<'_, '_>) {}
-
-    /// What the engine counted, if there is one.
-    fn metrics(&self) -> Option<bramblewheel_core::metrics::Metrics> {
-        None
-    }
 }
--- a/crates/bramblewheel-sim/src/requests/simulation.rs
+++ b/crates/bramblewheel-sim/src/requests/simulation.rs
@@ -242,16 +242,6 @@
             .collect()
     }
 
-    /// Begins a planned stop of an endpoint and its daemon.
-    pub fn drain(&mut self, endpoint: EndpointIndex) {
-        let process = self.places.host(endpoint);
-        self.simulation.with(process, |actor, context| {
-            if let RequestActor::Host(host) = actor {
-                host.drain(context);
-            }
-        });
-    }
-
     /// What is simulated underneath, for faults on single processes.
     pub fn kernel_mut(&mut self) -> &mut Simulation<RequestActor> {
         &mut self.simulation
