--- a/crates/bramblewheel-lab/src/bench/latency/endpoint.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/endpoint.rs
@@ -20,7 +20,7 @@
 const ANSWER: &[u8] = b"{\"answer\":\"constant\"}";
 /// Path on which the daemon asks for the endpoint's load.
 const LOAD_PATH: &str = "/load";
-/// The endpoint's word on its load: it takes whatever comes.
+/// The endpoint's load report: it takes whatever comes.
 const LOAD: &[u8] = b"{\"slots\":1000,\"busy\":0,\"draining\":false}";
 
 /// Serves until the process that started it ends; the first line on standard output is the address.
--- a/crates/bramblewheel-lab/src/bench/latency/load.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/load.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::runtime::Runtime;
 
-/// Longest latency that is told apart, in nanoseconds: one minute.
+/// Longest latency that is distinguished, in nanoseconds: one minute.
 const LONGEST_NANOS: u64 = 60_000_000_000;
 /// Significant digits of recorded latencies.
 const DIGITS: u8 = 3;
--- a/crates/bramblewheel-lab/src/caller/command.rs
+++ b/crates/bramblewheel-lab/src/caller/command.rs
@@ -1,4 +1,4 @@
-//! What a caller can be told while it runs.
+//! Commands that a caller takes while it runs.
 
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/bramblewheel-lab/src/caller/request.rs
+++ b/crates/bramblewheel-lab/src/caller/request.rs
@@ -4,7 +4,7 @@
 use super::load::Shared;
 use super::sessions::SessionUse;
 use crate::client::{CallReply, OutgoingCall, set};
-use crate::journal::{Event, Failure, ReplyFromDaemon, RootSend, Told};
+use crate::journal::{CallerOutcome, Event, Failure, ReplyFromDaemon, RootSend};
 use crate::lab_headers;
 use bramblewheel_protocol::headers;
 use bramblewheel_sim::deployment::FlowModel;
@@ -25,7 +25,7 @@
 const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
 /// What a caller sees of a gateway that is down.
-const NOT_SENT: Told = Told::Nothing {
+const NOT_SENT: CallerOutcome = CallerOutcome::Nothing {
     failure: Failure::NotConnected,
 };
 
@@ -101,11 +101,11 @@
             };
             let resend = unsent.take().unwrap_or_else(|| self.next_resend());
             let reply = self.send(&gateway, resend, left).await;
-            if reply.reply.told == NOT_SENT {
+            if reply.reply.outcome == NOT_SENT {
                 // Nothing left this caller, so that the next try is no resend.
                 unsent = Some(resend);
             }
-            if leads_elsewhere(reply.reply.told) {
+            if leads_elsewhere(reply.reply.outcome) {
                 self.shared.gateways.avoid(&gateway.name);
                 gateway_number += 1;
             }
@@ -136,7 +136,7 @@
             is_over: false,
         };
         let reply = self.shared.client.call(&call).await;
-        guard.told(reply.reply);
+        guard.ended(reply.reply);
         if let (SessionUse::Open(index), Some(token)) = (session, &reply.session) {
             self.shared.sessions.opened(index, token.clone());
         }
@@ -209,23 +209,23 @@
 
 /// When to send again; none when the request is settled or sending again is of no use.
 fn pause_before_resend(reply: &CallReply) -> Option<Duration> {
-    match reply.reply.told {
-        Told::Completed | Told::Failed => None,
-        Told::NotRun { reason } if is_lasting(reason) => None,
-        Told::NotRun { .. } | Told::Unknown | Told::Nothing { .. } => {
+    match reply.reply.outcome {
+        CallerOutcome::Completed | CallerOutcome::Failed => None,
+        CallerOutcome::NotRun { reason } if is_lasting(reason) => None,
+        CallerOutcome::NotRun { .. } | CallerOutcome::Unknown | CallerOutcome::Nothing { .. } => {
             Some(reply.retry_after.unwrap_or(PAUSE))
         }
     }
 }
 
 /// Whether another gateway may do better.
-fn leads_elsewhere(told: Told) -> bool {
-    match told {
-        Told::Nothing { .. } => true,
-        Told::NotRun { reason } => {
+fn leads_elsewhere(outcome: CallerOutcome) -> bool {
+    match outcome {
+        CallerOutcome::Nothing { .. } => true,
+        CallerOutcome::NotRun { reason } => {
             matches!(reason, NotRunReason::Draining | NotRunReason::NotReady)
         }
-        Told::Completed | Told::Failed | Told::Unknown => false,
+        CallerOutcome::Completed | CallerOutcome::Failed | CallerOutcome::Unknown => false,
     }
 }
 
@@ -245,10 +245,10 @@
 }
 
 impl UnansweredSend<'_> {
-    fn told(mut self, told: ReplyFromDaemon) {
+    fn ended(mut self, reply: ReplyFromDaemon) {
         self.is_over = true;
         let send = self.send;
-        self.shared.journal.write(Event::Told { send, told });
+        self.shared.journal.write(Event::SendEnded { send, reply });
     }
 }
 
@@ -258,12 +258,12 @@
             return;
         }
         let failure = Failure::Silent;
-        let told = ReplyFromDaemon {
-            told: Told::Nothing { failure },
+        let reply = ReplyFromDaemon {
+            outcome: CallerOutcome::Nothing { failure },
             status: None,
             own_whole: None,
         };
         let send = self.send;
-        self.shared.journal.write(Event::Told { send, told });
+        self.shared.journal.write(Event::SendEnded { send, reply });
     }
 }
--- a/crates/bramblewheel-lab/src/check/history.rs
+++ b/crates/bramblewheel-lab/src/check/history.rs
@@ -11,7 +11,7 @@
 pub struct Arrival<'a> {
     /// Endpoint.
     pub endpoint: &'a str,
-    /// What the endpoint was told.
+    /// What the endpoint was given with it.
     pub context: &'a CallContext,
     /// When it came.
     pub received_us: u64,
@@ -23,15 +23,24 @@
     pub was_cancelled: bool,
 }
 
-/// A send by a caller, and what the caller was told.
+/// A send by a caller, and how it ended.
 #[derive(Clone, Debug)]
 pub struct Send<'a> {
     /// The send.
     pub sent: &'a RootSend,
     /// When it was sent.
     pub sent_us: u64,
-    /// When the caller was told, and what.
-    pub told: Option<(u64, ReplyFromDaemon)>,
+    /// Its end, if it was recorded.
+    pub end: Option<SendEnd>,
+}
+
+/// The end of a send, as its caller saw it.
+#[derive(Clone, Copy, Debug)]
+pub struct SendEnd {
+    /// When.
+    pub at_us: u64,
+    /// The answer, or why there is none.
+    pub reply: ReplyFromDaemon,
 }
 
 /// Something that was done to a process, or its end.
@@ -106,13 +115,14 @@
                 let send = Send {
                     sent,
                     sent_us: at_us,
-                    told: None,
+                    end: None,
                 };
                 self.sends.insert(sent.send, send);
             }
-            Event::Told { send, told } => {
+            Event::SendEnded { send, reply } => {
                 if let Some(send) = self.sends.get_mut(send) {
-                    send.told = Some((at_us, *told));
+                    let reply = *reply;
+                    send.end = Some(SendEnd { at_us, reply });
                 }
             }
             Event::NotSent { flow } => *self.not_sent.entry(flow).or_default() += 1,
--- a/crates/bramblewheel-lab/src/check/mod.rs
+++ b/crates/bramblewheel-lab/src/check/mod.rs
@@ -18,7 +18,7 @@
 use crate::journal::Record;
 use std::time::Duration;
 
-/// What the checkers are told of the run.
+/// What the checkers need to know of the run.
 #[derive(Clone, Copy, Debug)]
 pub struct CheckLimits {
     /// Extra attempts that one request may cause: `limits.retry_tokens` of the bundle.
--- a/crates/bramblewheel-lab/src/check/not_run.rs
+++ b/crates/bramblewheel-lab/src/check/not_run.rs
@@ -1,12 +1,12 @@
-//! Who is told `NotRun` was not run, anywhere.
+//! A request answered `NotRun` was not run, anywhere.
 //!
-//! A send that was told `NotRun` left no run at any endpoint, at any depth, at any time. And a
-//! caller that resends and is told `NotRun` may start anew under another key: then no earlier
-//! send of the request may have begun to run before the caller was told.
+//! A send answered `NotRun` left no run at any endpoint, at any depth, at any time. And a
+//! caller that resends and is answered `NotRun` may start anew under another key: then no earlier
+//! send of the request may have begun to run before that answer.
 
 use super::Finding;
 use super::history::{Arrival, History, Send};
-use crate::journal::Told;
+use crate::journal::CallerOutcome;
 use std::collections::HashMap;
 
 pub(super) fn check(history: &History<'_>) -> Finding {
@@ -14,10 +14,10 @@
     let runs = history.runs_by_send();
     for (request, sends) in history.sends_by_request() {
         for (index, send) in sends.iter().enumerate() {
-            let Some((told_us, reply)) = send.told else {
+            let Some(end) = send.end else {
                 continue;
             };
-            let Told::NotRun { reason } = reply.told else {
+            let CallerOutcome::NotRun { reason } = end.reply.outcome else {
                 continue;
             };
             let own = first_run(&runs, send, u64::MAX);
@@ -26,7 +26,7 @@
                 format!("request {request} told not-run ({reason}) but ran at {endpoint}")
             });
             let mut earlier = sends[..index].iter();
-            let earlier = earlier.find_map(|send| first_run(&runs, send, told_us));
+            let earlier = earlier.find_map(|send| first_run(&runs, send, end.at_us));
             finding.case(earlier.is_none(), || {
                 let endpoint = earlier.map_or("", |run| run.endpoint);
                 let resend = send.sent.resend;
--- a/crates/bramblewheel-lab/src/check/own_answer.rs
+++ b/crates/bramblewheel-lab/src/check/own_answer.rs
@@ -2,20 +2,20 @@
 
 use super::Finding;
 use super::history::History;
-use crate::journal::{ReplyFromDaemon, Told};
+use crate::journal::{CallerOutcome, ReplyFromDaemon};
 
 pub(super) fn check(history: &History<'_>) -> Finding {
     let mut finding = Finding::new("own-whole-answer");
     for send in history.sends.values() {
-        if let Some((_, reply)) = send.told {
-            judge(&mut finding, &reply, || {
+        if let Some(end) = send.end {
+            judge(&mut finding, &end.reply, || {
                 format!("request {}", send.sent.request)
             });
         }
     }
     for (_, sub_call) in &history.sub_calls {
         let call = sub_call.call;
-        judge(&mut finding, &sub_call.told, || {
+        judge(&mut finding, &sub_call.reply, || {
             format!("sub-call {call:016x}")
         });
     }
@@ -23,7 +23,7 @@
 }
 
 fn judge(finding: &mut Finding, reply: &ReplyFromDaemon, who: impl FnOnce() -> String) {
-    if reply.told == Told::Completed {
+    if reply.outcome == CallerOutcome::Completed {
         let is_own = reply.own_whole == Some(true);
         finding.case(is_own, || {
             format!("{} got another answer than its own", who())
--- a/crates/bramblewheel-lab/src/check/planned_stop.rs
+++ b/crates/bramblewheel-lab/src/check/planned_stop.rs
@@ -1,8 +1,8 @@
 //! A planned stop interrupts no request in progress, and ends with status 0.
 
 use super::Finding;
-use super::history::{History, ProcessEventKind, Send};
-use crate::journal::{Failure, FaultKind, Told};
+use super::history::{History, ProcessEventKind, Send, SendEnd};
+use crate::journal::{CallerOutcome, Failure, FaultKind};
 
 /// No run was broken off at a stopping endpoint before its deadline, and no caller lost an answer
 /// at a stopping gateway.
@@ -32,21 +32,19 @@
 }
 
 fn check_send(history: &History<'_>, send: &Send<'_>, finding: &mut Finding) {
-    let Some((told_us, reply)) = send.told else {
+    let Some(SendEnd { at_us, reply }) = send.end else {
         return;
     };
     let stops = history.planned_stops(&send.sent.gateway);
     let is_in_progress = |&(from, to): &(u64, Option<u64>)| {
-        send.sent_us <= from
-            && to.is_none_or(|to| told_us <= to + EXIT_NOTICE_US)
-            && told_us >= from
+        send.sent_us <= from && to.is_none_or(|to| at_us <= to + EXIT_NOTICE_US) && at_us >= from
     };
     if !stops.iter().any(is_in_progress) {
         return;
     }
     let lost = matches!(
-        reply.told,
-        Told::Nothing {
+        reply.outcome,
+        CallerOutcome::Nothing {
             failure: Failure::Broken | Failure::NoOutcome
         }
     );
--- a/crates/bramblewheel-lab/src/check/priority.rs
+++ b/crates/bramblewheel-lab/src/check/priority.rs
@@ -10,7 +10,7 @@
 
 use super::Finding;
 use super::history::History;
-use crate::journal::Told;
+use crate::journal::CallerOutcome;
 use bramblewheel_types::{Criticality, NotRunReason, ServiceName};
 use std::collections::BTreeMap;
 
@@ -88,22 +88,33 @@
 
 fn counts(history: &History<'_>) -> BTreeMap<ServiceName, BTreeMap<Criticality, Windows>> {
     let mut counts: BTreeMap<ServiceName, BTreeMap<Criticality, Windows>> = BTreeMap::new();
-    let mut add = |service: &ServiceName, class: Criticality, at_us: u64, told: Told| {
-        let classes = counts.entry(service.clone()).or_default();
-        let windows = classes.entry(class).or_default();
-        let count = windows.entry(at_us / WINDOW_US).or_default();
-        count.calls += 1;
-        let reason = NotRunReason::Overloaded;
-        count.shed += u64::from(told == Told::NotRun { reason });
-    };
+    let mut add =
+        |service: &ServiceName, class: Criticality, at_us: u64, outcome: CallerOutcome| {
+            let classes = counts.entry(service.clone()).or_default();
+            let windows = classes.entry(class).or_default();
+            let count = windows.entry(at_us / WINDOW_US).or_default();
+            count.calls += 1;
+            let reason = NotRunReason::Overloaded;
+            count.shed += u64::from(outcome == CallerOutcome::NotRun { reason });
+        };
     for send in history.sends.values() {
-        if let Some((told_us, reply)) = send.told {
+        if let Some(end) = send.end {
             let sent = send.sent;
-            add(&sent.service, sent.criticality, told_us, reply.told);
+            add(
+                &sent.service,
+                sent.criticality,
+                end.at_us,
+                end.reply.outcome,
+            );
         }
     }
     for (ended_us, call) in &history.sub_calls {
-        add(&call.service, call.criticality, *ended_us, call.told.told);
+        add(
+            &call.service,
+            call.criticality,
+            *ended_us,
+            call.reply.outcome,
+        );
     }
     counts
 }
--- a/crates/bramblewheel-lab/src/check/tests.rs
+++ b/crates/bramblewheel-lab/src/check/tests.rs
@@ -2,7 +2,8 @@
 
 use super::{CheckLimits, Finding, check_all};
 use crate::journal::{
-    CallContext, Event, Failure, FaultKind, Record, ReplyFromDaemon, RootSend, SubCallEnd, Told,
+    CallContext, CallerOutcome, Event, Failure, FaultKind, Record, ReplyFromDaemon, RootSend,
+    SubCallEnd,
 };
 use bramblewheel_types::{
     AttemptId, Criticality, NotRunReason, OperationKey, RequestId, ServiceName,
@@ -14,7 +15,7 @@
     leaving_bound: Duration::from_secs(3),
 };
 const SECOND: u64 = 1_000_000;
-const SHED: Told = Told::NotRun {
+const SHED: CallerOutcome = CallerOutcome::NotRun {
     reason: NotRunReason::Overloaded,
 };
 
@@ -38,24 +39,24 @@
         self.at(at_us, "caller", Event::Sent(root_send(send, request)))
     }
 
-    fn told(&mut self, at_us: u64, send: u64, told: Told) -> &mut Self {
-        let own_whole = (told == Told::Completed).then_some(true);
-        self.told_with(at_us, send, told, own_whole)
+    fn send_ended(&mut self, at_us: u64, send: u64, outcome: CallerOutcome) -> &mut Self {
+        let own_whole = (outcome == CallerOutcome::Completed).then_some(true);
+        self.send_ended_with(at_us, send, outcome, own_whole)
     }
 
-    fn told_with(
+    fn send_ended_with(
         &mut self,
         at_us: u64,
         send: u64,
-        told: Told,
+        outcome: CallerOutcome,
         own_whole: Option<bool>,
     ) -> &mut Self {
-        let told = ReplyFromDaemon {
-            told,
+        let reply = ReplyFromDaemon {
+            outcome,
             status: None,
             own_whole,
         };
-        self.at(at_us, "caller", Event::Told { send, told })
+        self.at(at_us, "caller", Event::SendEnded { send, reply })
     }
 
     fn received(&mut self, at_us: u64, arrival: u64, context: CallContext) -> &mut Self {
@@ -146,7 +147,9 @@
 #[test]
 fn a_send_told_not_run_must_not_have_run() {
     let mut run = Run::default();
-    run.sent(1, 1, 1).told(2, 1, SHED).passes("not-run-truth");
+    run.sent(1, 1, 1)
+        .send_ended(2, 1, SHED)
+        .passes("not-run-truth");
     run.received(3, 1, context(1, 1, 1)).passes("not-run-truth");
     run.ran(4, 1).fails("not-run-truth");
 }
@@ -155,10 +158,14 @@
 fn a_resend_told_not_run_must_follow_no_run() {
     let mut run = Run::default();
     run.sent(1, 1, 7).received(2, 1, context(1, 1, 7)).ran(3, 1);
-    run.told(4, 1, Told::Unknown);
-    run.sent(5, 2, 7).told(6, 2, Told::Unknown);
-    run.sent(7, 3, 8).told(8, 3, SHED).passes("not-run-truth");
-    run.sent(9, 4, 7).told(10, 4, SHED).fails("not-run-truth");
+    run.send_ended(4, 1, CallerOutcome::Unknown);
+    run.sent(5, 2, 7).send_ended(6, 2, CallerOutcome::Unknown);
+    run.sent(7, 3, 8)
+        .send_ended(8, 3, SHED)
+        .passes("not-run-truth");
+    run.sent(9, 4, 7)
+        .send_ended(10, 4, SHED)
+        .fails("not-run-truth");
 }
 
 #[test]
@@ -173,33 +180,33 @@
 #[test]
 fn a_completed_call_must_bring_its_own_whole_answer() {
     let mut run = Run::default();
-    run.sent(1, 1, 1).told(2, 1, Told::Completed);
+    run.sent(1, 1, 1).send_ended(2, 1, CallerOutcome::Completed);
     run.passes("own-whole-answer");
     run.sent(3, 2, 2)
-        .told_with(4, 2, Told::Completed, Some(false))
+        .send_ended_with(4, 2, CallerOutcome::Completed, Some(false))
         .fails("own-whole-answer");
 }
 
 #[test]
 fn a_sub_call_must_bring_its_own_whole_answer() {
-    let told = ReplyFromDaemon {
-        told: Told::Completed,
+    let reply = ReplyFromDaemon {
+        outcome: CallerOutcome::Completed,
         status: Some(200),
         own_whole: None,
     };
-    let sub_call = sub_call(Criticality::Normal, told);
+    let sub_call = sub_call(Criticality::Normal, reply);
     let mut run = Run::default();
     run.at(1, "kassa-1", Event::SubCall(sub_call))
         .fails("own-whole-answer");
 }
 
-fn sub_call(criticality: Criticality, told: ReplyFromDaemon) -> SubCallEnd {
+fn sub_call(criticality: Criticality, reply: ReplyFromDaemon) -> SubCallEnd {
     SubCallEnd {
         arrival: 1,
         call: 2,
         service: service("beholdning"),
         criticality,
-        told,
+        reply,
     }
 }
 
@@ -237,15 +244,16 @@
 
 #[test]
 fn a_planned_stop_of_a_gateway_must_not_lose_answers() {
-    let lost = Told::Nothing {
+    let lost = CallerOutcome::Nothing {
         failure: Failure::Broken,
     };
     let mut run = Run::default();
     run.sent(1, 1, 1);
     run.sent(2, 2, 2);
     run.fault(3, "gateway-1", FaultKind::PlannedStop);
-    run.told(4, 1, Told::Completed).passes("planned-stop");
-    run.told(5, 2, lost).exited(6, "gateway-1", Some(0));
+    run.send_ended(4, 1, CallerOutcome::Completed)
+        .passes("planned-stop");
+    run.send_ended(5, 2, lost).exited(6, "gateway-1", Some(0));
     run.fails("planned-stop");
 }
 
@@ -299,12 +307,16 @@
         let mut run = Run::default();
         for (class, shed) in [(Criticality::Critical, critical), (Criticality::Low, low)] {
             for number in 0..200 {
-                let told = ReplyFromDaemon {
-                    told: if number < shed { SHED } else { Told::Completed },
+                let reply = ReplyFromDaemon {
+                    outcome: if number < shed {
+                        SHED
+                    } else {
+                        CallerOutcome::Completed
+                    },
                     status: None,
                     own_whole: Some(true),
                 };
-                run.at(number, "kassa-1", Event::SubCall(sub_call(class, told)));
+                run.at(number, "kassa-1", Event::SubCall(sub_call(class, reply)));
             }
         }
         run
@@ -325,12 +337,16 @@
     ];
     for (at_us, class, count, shed) in calls {
         for number in 0..count {
-            let told = ReplyFromDaemon {
-                told: if number < shed { SHED } else { Told::Completed },
+            let reply = ReplyFromDaemon {
+                outcome: if number < shed {
+                    SHED
+                } else {
+                    CallerOutcome::Completed
+                },
                 status: None,
                 own_whole: Some(true),
             };
-            run.at(at_us, "kassa-1", Event::SubCall(sub_call(class, told)));
+            run.at(at_us, "kassa-1", Event::SubCall(sub_call(class, reply)));
         }
     }
     run.passes("priority");
--- a/crates/bramblewheel-lab/src/client.rs
+++ b/crates/bramblewheel-lab/src/client.rs
@@ -1,7 +1,7 @@
 //! Calls to a daemon's outbound listener, by endpoints and by outside callers.
 
 use crate::answer;
-use crate::journal::{Failure, ReplyFromDaemon, Told};
+use crate::journal::{CallerOutcome, Failure, ReplyFromDaemon};
 use bramblewheel_protocol::headers;
 use bramblewheel_types::{NotRunReason, RequestId};
 use bytes::Bytes;
@@ -47,7 +47,7 @@
 /// What came back.
 #[derive(Clone, Debug)]
 pub struct CallReply {
-    /// What the caller is told.
+    /// How the request ended for the caller.
     pub reply: ReplyFromDaemon,
     /// When it may come back.
     pub retry_after: Option<Duration>,
@@ -104,7 +104,7 @@
 fn nothing(failure: Failure) -> CallReply {
     CallReply {
         reply: ReplyFromDaemon {
-            told: Told::Nothing { failure },
+            outcome: CallerOutcome::Nothing { failure },
             status: None,
             own_whole: None,
         },
@@ -123,15 +123,15 @@
         .await
         .map_err(|_| Failure::Broken)?
         .to_bytes();
-    let told = told(&head.headers).unwrap_or(Told::Nothing {
+    let outcome = outcome(&head.headers).unwrap_or(CallerOutcome::Nothing {
         failure: Failure::NoOutcome,
     });
     let expected = || answer::body(call.request, &call.path, &call.body);
-    let own_whole = (told == Told::Completed).then(|| body == expected());
+    let own_whole = (outcome == CallerOutcome::Completed).then(|| body == expected());
     let retry_after = text(&head.headers, headers::RETRY_AFTER_MS);
     Ok(CallReply {
         reply: ReplyFromDaemon {
-            told,
+            outcome,
             status: Some(head.status.as_u16()),
             own_whole,
         },
@@ -142,14 +142,14 @@
     })
 }
 
-fn told(map: &HeaderMap) -> Option<Told> {
+fn outcome(map: &HeaderMap) -> Option<CallerOutcome> {
     match text(map, headers::OUTCOME)? {
-        "completed" => Some(Told::Completed),
-        "failed" => Some(Told::Failed),
-        "unknown" => Some(Told::Unknown),
+        "completed" => Some(CallerOutcome::Completed),
+        "failed" => Some(CallerOutcome::Failed),
+        "unknown" => Some(CallerOutcome::Unknown),
         "not-run" => {
             let reason: NotRunReason = text(map, headers::REASON)?.parse().ok()?;
-            Some(Told::NotRun { reason })
+            Some(CallerOutcome::NotRun { reason })
         }
         _ => None,
     }
--- a/crates/bramblewheel-lab/src/endpoint/command.rs
+++ b/crates/bramblewheel-lab/src/endpoint/command.rs
@@ -1,4 +1,4 @@
-//! What an endpoint can be told while it runs.
+//! Commands that an endpoint takes while it runs.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
--- a/crates/bramblewheel-lab/src/endpoint/load.rs
+++ b/crates/bramblewheel-lab/src/endpoint/load.rs
@@ -1,4 +1,4 @@
-//! The endpoint's own word on its load, which lags and flatters as the deployment says.
+//! The endpoint's own load report, which lags and flatters as the deployment says.
 
 use super::state::State;
 use bramblewheel_sim::deployment::ReportModel;
--- a/crates/bramblewheel-lab/src/endpoint/server.rs
+++ b/crates/bramblewheel-lab/src/endpoint/server.rs
@@ -106,7 +106,7 @@
     config: EndpointConfig,
     mut stop: watch::Receiver<bool>,
 ) {
-    let places = Arc::new(Semaphore::new(config.model.connections as usize));
+    let permits = Arc::new(Semaphore::new(config.model.connections as usize));
     let connection_cost = Duration::from_micros(config.network.new_connection_us);
     let mut connections = JoinSet::new();
     loop {
@@ -117,14 +117,14 @@
         while connections.try_join_next().is_some() {}
         let Ok((stream, _)) = accepted else { continue };
         // A connection beyond the limit is closed before a byte is read.
-        let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             continue;
         };
         let (state, stop) = (Arc::clone(&state), stop.clone());
         connections.spawn(async move {
             tokio::time::sleep(connection_cost).await;
             serve(stream, state, stop).await;
-            drop(place);
+            drop(permit);
         });
     }
     while connections.join_next().await.is_some() {}
--- a/crates/bramblewheel-lab/src/endpoint/slots.rs
+++ b/crates/bramblewheel-lab/src/endpoint/slots.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Full;
 
-/// A place in the queue.
+/// A queue position.
 struct Waiting(Arc<AtomicU32>);
 
 impl Drop for Waiting {
@@ -50,12 +50,12 @@
             return Ok(Slot { _permit: permit });
         }
         let waiting = self.waiting.fetch_add(1, Ordering::Relaxed);
-        let place = Waiting(Arc::clone(&self.waiting));
+        let queue_position = Waiting(Arc::clone(&self.waiting));
         if waiting >= self.count * WAITING_PER_SLOT {
             return Err(Full);
         }
         let permit = Arc::clone(&self.free).acquire_owned().await;
-        drop(place);
+        drop(queue_position);
         let permit = permit.expect("the semaphore is never closed");
         Ok(Slot { _permit: permit })
     }
--- a/crates/bramblewheel-lab/src/endpoint/sub_calls.rs
+++ b/crates/bramblewheel-lab/src/endpoint/sub_calls.rs
@@ -2,7 +2,7 @@
 
 use super::state::State;
 use crate::client::{CallReply, OutgoingCall, set};
-use crate::journal::{CallContext, Event, Failure, ReplyFromDaemon, SubCallEnd, Told};
+use crate::journal::{CallContext, CallerOutcome, Event, Failure, ReplyFromDaemon, SubCallEnd};
 use crate::lab_headers;
 use bramblewheel_protocol::headers;
 use bramblewheel_sim::deployment::{RouteModel, SubCallModel};
@@ -78,10 +78,10 @@
         call,
         service: model.service,
         criticality: running.context.criticality,
-        told: reply,
+        reply,
     }));
-    match reply.told {
-        Told::Completed => Ok(()),
+    match reply.outcome {
+        CallerOutcome::Completed => Ok(()),
         _ => Err(SubCallFailed),
     }
 }
@@ -117,7 +117,7 @@
     let failure = Failure::NotConnected;
     CallReply {
         reply: ReplyFromDaemon {
-            told: Told::Nothing { failure },
+            outcome: CallerOutcome::Nothing { failure },
             status: None,
             own_whole: None,
         },
--- a/crates/bramblewheel-lab/src/endpoint/tests.rs
+++ b/crates/bramblewheel-lab/src/endpoint/tests.rs
@@ -1,3 +1,5 @@
+//! Commands to a stand-in endpoint, written and read.
+
 use super::{EndpointChange, EndpointCommand};
 
 #[test]
--- a/crates/bramblewheel-lab/src/fleet/board.rs
+++ b/crates/bramblewheel-lab/src/fleet/board.rs
@@ -27,9 +27,9 @@
     if *ended { ": it has ended" } else { "" }
 }
 
-/// News of one process since its last start.
+/// Status of one process since its last start.
 #[derive(Clone, Debug, Default)]
-pub struct ProcessNews {
+pub struct ProcessStatus {
     /// Open listeners.
     pub listeners: BTreeMap<String, SocketAddr>,
     /// Version of the bundle in force, 0 if none.
@@ -38,24 +38,24 @@
     pub has_ended: bool,
 }
 
-/// News of all processes.
+/// Status of all processes.
 #[derive(Clone, Debug)]
 pub struct Board {
-    news: watch::Sender<BTreeMap<String, ProcessNews>>,
+    processes: watch::Sender<BTreeMap<String, ProcessStatus>>,
 }
 
 impl Board {
-    /// A board without news.
+    /// A board that knows of no process.
     pub fn new() -> Self {
         Self {
-            news: watch::Sender::new(BTreeMap::new()),
+            processes: watch::Sender::new(BTreeMap::new()),
         }
     }
 
-    /// Forgets the news of a process that is about to start.
+    /// Forgets the status of a process that is about to start.
     pub fn begin(&self, process: &str) {
-        self.news.send_modify(|news| {
-            news.insert(process.to_owned(), ProcessNews::default());
+        self.processes.send_modify(|processes| {
+            processes.insert(process.to_owned(), ProcessStatus::default());
         });
     }
 
@@ -73,8 +73,8 @@
     fn take_in(&self, process: String, event: ChildEvent, journal: &Journal) {
         match event {
             ChildEvent::Log(LogEvent::Listening { listener, address }) => {
-                self.update(&process, |news| {
-                    news.listeners.insert(listener, address);
+                self.update(&process, |status| {
+                    status.listeners.insert(listener, address);
                 });
             }
             ChildEvent::Log(LogEvent::BundleInForce { version }) => {
@@ -83,7 +83,7 @@
                     process: daemon,
                     version,
                 });
-                self.update(&process, |news| news.bundle_version = version);
+                self.update(&process, |status| status.bundle_version = version);
             }
             ChildEvent::Exited(status) => {
                 let name = process.clone();
@@ -91,14 +91,14 @@
                     process: name,
                     status,
                 });
-                self.update(&process, |news| news.has_ended = true);
+                self.update(&process, |status| status.has_ended = true);
             }
         }
     }
 
-    fn update(&self, process: &str, change: impl FnOnce(&mut ProcessNews)) {
-        self.news
-            .send_modify(|news| change(news.entry(process.to_owned()).or_default()));
+    fn update(&self, process: &str, change: impl FnOnce(&mut ProcessStatus)) {
+        self.processes
+            .send_modify(|processes| change(processes.entry(process.to_owned()).or_default()));
     }
 
     /// Waits until a process listens, and says where.
@@ -106,7 +106,7 @@
     /// # Errors
     /// [`WaitError`] when it ends or [`PATIENCE`] is over.
     pub async fn listening(&self, process: &str, listener: &str) -> Result<SocketAddr, WaitError> {
-        let found = |news: &ProcessNews| news.listeners.get(listener).copied();
+        let found = |status: &ProcessStatus| status.listeners.get(listener).copied();
         self.wait(process, "its listener", PATIENCE, found).await
     }
 
@@ -120,7 +120,7 @@
         version: u64,
         patience: Duration,
     ) -> Result<(), WaitError> {
-        let found = |news: &ProcessNews| (news.bundle_version >= version).then_some(());
+        let found = |status: &ProcessStatus| (status.bundle_version >= version).then_some(());
         self.wait(daemon, "the bundle", patience, found).await
     }
 
@@ -129,7 +129,7 @@
     /// # Errors
     /// [`WaitError`] when the patience is over.
     pub async fn ended(&self, process: &str, patience: Duration) -> Result<(), WaitError> {
-        let found = |news: &ProcessNews| news.has_ended.then_some(());
+        let found = |status: &ProcessStatus| status.has_ended.then_some(());
         self.wait(process, "its end", patience, found).await
     }
 
@@ -138,15 +138,15 @@
         process: &str,
         what: &'static str,
         patience: Duration,
-        find: impl Fn(&ProcessNews) -> Option<T>,
+        find: impl Fn(&ProcessStatus) -> Option<T>,
     ) -> Result<T, WaitError> {
-        let mut receiver = self.news.subscribe();
+        let mut receiver = self.processes.subscribe();
         let mut found = None;
         let mut ended = false;
         let settled = receiver.wait_for(|all| {
-            let news = all.get(process);
-            found = news.and_then(&find);
-            ended = news.is_some_and(|news| news.has_ended);
+            let status = all.get(process);
+            found = status.and_then(&find);
+            ended = status.is_some_and(|status| status.has_ended);
             found.is_some() || ended
         });
         // The sender is this board's own; only the time can run out.
--- a/crates/bramblewheel-lab/src/fleet/error.rs
+++ b/crates/bramblewheel-lab/src/fleet/error.rs
@@ -10,7 +10,7 @@
 /// A fleet can't go on.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// A process can't be started or told something.
+    /// A process can't be started or sent a command.
     #[error(transparent)]
     Process(#[from] ProcessError),
     /// A process did not do what was waited for.
--- a/crates/bramblewheel-lab/src/fleet/script/tests.rs
+++ b/crates/bramblewheel-lab/src/fleet/script/tests.rs
@@ -1,3 +1,5 @@
+//! Reading fault scripts: what is taken, and what errors name.
+
 use super::{Action, Role, Target, Which, parse};
 use std::time::Duration;
 
--- a/crates/bramblewheel-lab/src/fleet/summary.rs
+++ b/crates/bramblewheel-lab/src/fleet/summary.rs
@@ -1,7 +1,7 @@
 //! What a run came to, as key=value lines.
 
 use crate::check::{Finding, History};
-use crate::journal::Told;
+use crate::journal::CallerOutcome;
 use bramblewheel_types::Criticality;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 const SHOWN_VIOLATIONS: usize = 10;
 /// Depth that the call trees must reach, or the run has not shown what it is for.
 const MIN_DEPTH: u32 = 3;
-/// Longest latency that is told apart, in microseconds.
+/// Longest latency that is distinguished, in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Figures of one flow.
@@ -27,7 +27,7 @@
     pub completed: u64,
     /// Requests of which a send was completed, but late.
     pub late: u64,
-    /// Requests that were told that they failed.
+    /// Requests that were answered as failed.
     pub failed: u64,
     /// Requests of which nobody knows whether they ran.
     pub unknown: u64,
@@ -173,7 +173,7 @@
         figures.sends += sends.len() as u64;
         let best = sends
             .iter()
-            .map(|send| settled(send.told.map(|(_, reply)| reply.told)));
+            .map(|send| settled(send.end.map(|end| end.reply.outcome)));
         match best.max().unwrap_or(Settled::Unknown) {
             Settled::NotRun => figures.not_run += 1,
             Settled::Unknown => figures.unknown += 1,
@@ -187,8 +187,8 @@
 impl FlowFigures {
     fn add_completed(&mut self, sends: &[&crate::check::Send<'_>]) {
         let completed = sends.iter().filter_map(|send| {
-            let (told_us, reply) = send.told?;
-            (reply.told == Told::Completed).then_some(told_us)
+            let end = send.end?;
+            (end.reply.outcome == CallerOutcome::Completed).then_some(end.at_us)
         });
         let Some(told_us) = completed.min() else {
             return;
@@ -205,11 +205,11 @@
     }
 }
 
-fn settled(told: Option<Told>) -> Settled {
-    match told {
-        Some(Told::Completed) => Settled::Completed,
-        Some(Told::Failed) => Settled::Failed,
-        Some(Told::NotRun { .. }) => Settled::NotRun,
-        Some(Told::Unknown | Told::Nothing { .. }) | None => Settled::Unknown,
+fn settled(outcome: Option<CallerOutcome>) -> Settled {
+    match outcome {
+        Some(CallerOutcome::Completed) => Settled::Completed,
+        Some(CallerOutcome::Failed) => Settled::Failed,
+        Some(CallerOutcome::NotRun { .. }) => Settled::NotRun,
+        Some(CallerOutcome::Unknown | CallerOutcome::Nothing { .. }) | None => Settled::Unknown,
     }
 }
--- a/crates/bramblewheel-lab/src/journal/mod.rs
+++ b/crates/bramblewheel-lab/src/journal/mod.rs
@@ -3,11 +3,14 @@
 
 mod read;
 mod record;
+#[cfg(test)]
+mod tests;
 mod text;
 mod write;
 
 pub use read::{JournalError, read_folder};
 pub use record::{
-    CallContext, Event, Failure, FaultKind, Record, ReplyFromDaemon, RootSend, SubCallEnd, Told,
+    CallContext, CallerOutcome, Event, Failure, FaultKind, Record, ReplyFromDaemon, RootSend,
+    SubCallEnd,
 };
 pub use write::{Journal, now_us};
--- a/crates/bramblewheel-lab/src/journal/record.rs
+++ b/crates/bramblewheel-lab/src/journal/record.rs
@@ -25,7 +25,7 @@
     Received {
         /// Names the arrival at this endpoint in later events; unique in a run.
         arrival: u64,
-        /// What the endpoint was told of it.
+        /// What the endpoint was given with it.
         context: CallContext,
     },
     /// An endpoint refused a request before doing anything for it.
@@ -56,12 +56,14 @@
     SubCall(SubCallEnd),
     /// A caller sent a request.
     Sent(RootSend),
-    /// A caller was told how a send ended, or gave it up.
-    Told {
+    /// A caller got the outcome of a send, or gave it up.
+    #[serde(rename = "told")]
+    SendEnded {
         /// The send, as in [`RootSend::send`].
         send: u64,
-        /// What it was told.
-        told: ReplyFromDaemon,
+        /// How it ended.
+        #[serde(rename = "told")]
+        reply: ReplyFromDaemon,
     },
     /// A caller did not send a request because it has too many in progress.
     NotSent {
@@ -91,7 +93,7 @@
     },
 }
 
-/// What an endpoint is told of a request, and what the lab's own header fields add.
+/// What an endpoint is given with a request, and what the lab's own header fields add.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallContext {
     /// The caller's send at the root, as in [`RootSend::send`].
@@ -132,7 +134,8 @@
     /// Class of the tree.
     pub criticality: Criticality,
     /// Answer of the endpoint's own daemon.
-    pub told: ReplyFromDaemon,
+    #[serde(rename = "told")]
+    pub reply: ReplyFromDaemon,
 }
 
 /// A send of an original request.
@@ -168,7 +171,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplyFromDaemon {
     /// What it says.
-    pub told: Told,
+    #[serde(rename = "told")]
+    pub outcome: CallerOutcome,
     /// HTTP status, if an answer came.
     pub status: Option<u16>,
     /// Whether the body is, byte for byte, the answer to this very request. None where there is
@@ -176,10 +180,10 @@
     pub own_whole: Option<bool>,
 }
 
-/// What a caller is told.
+/// How a send or sub-call ended, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
-pub enum Told {
+pub enum CallerOutcome {
     /// Completed.
     Completed,
     /// Provably not run.
--- a/crates/bramblewheel-lab/src/process/tests.rs
+++ b/crates/bramblewheel-lab/src/process/tests.rs
@@ -1,3 +1,5 @@
+//! Reading log lines of child processes.
+
 use super::{LogEvent, parse};
 
 #[test]
--- a/crates/bramblewheel-lab/src/trace/faults.rs
+++ b/crates/bramblewheel-lab/src/trace/faults.rs
@@ -11,7 +11,7 @@
 const GATEWAY_PREFIX: &str = "gateway-";
 
 /// Faults that ended within the run. Slow endpoints are in the work times, and an endpoint that
-/// says it is leaving is not told of in a trace.
+/// says it is leaving does not stand in a trace.
 pub(super) fn faults(records: &[Record], topology: &Topology, clock: TraceClock) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (index, record) in records.iter().enumerate() {
--- a/crates/bramblewheel-lab/src/trace/mod.rs
+++ b/crates/bramblewheel-lab/src/trace/mod.rs
@@ -12,7 +12,7 @@
 use crate::client::SILENCE_GRACE;
 use crate::deployments::Example;
 use crate::error::CommandError;
-use crate::journal::{Event, Failure, Record, RootSend, Told};
+use crate::journal::{CallerOutcome, Event, Failure, Record, RootSend};
 use bramblewheel_sim::requests::{FlowIndex, RunDraws, Topology, ZoneIndex};
 use bramblewheel_sim::trace::{
     Embedded, Expect, Head, Request, Send, StatedOutcome, Trace, replay, state_outcomes, to_toml,
@@ -83,7 +83,7 @@
     let converter = Converter {
         topology: &topology,
         clock,
-        told: told(records),
+        outcomes: outcomes(records),
         draws: runs::draws(records, &topology),
     };
     let requests = converter.requests(records);
@@ -126,21 +126,21 @@
     }
 }
 
-fn told(records: &[Record]) -> HashMap<u64, StatedOutcome> {
-    let told = records.iter().filter_map(|record| match &record.event {
-        Event::Told { send, told } => Some((*send, outcome(told.told))),
+fn outcomes(records: &[Record]) -> HashMap<u64, StatedOutcome> {
+    let outcomes = records.iter().filter_map(|record| match &record.event {
+        Event::SendEnded { send, reply } => Some((*send, outcome(reply.outcome))),
         _ => None,
     });
-    told.collect()
+    outcomes.collect()
 }
 
-fn outcome(told: Told) -> StatedOutcome {
-    match told {
-        Told::Completed => StatedOutcome::Completed,
-        Told::NotRun { reason } => StatedOutcome::NotRun(Some(reason)),
-        Told::Failed => StatedOutcome::Failed,
-        Told::Unknown => StatedOutcome::Unknown,
-        Told::Nothing { failure } => match failure {
+fn outcome(outcome: CallerOutcome) -> StatedOutcome {
+    match outcome {
+        CallerOutcome::Completed => StatedOutcome::Completed,
+        CallerOutcome::NotRun { reason } => StatedOutcome::NotRun(Some(reason)),
+        CallerOutcome::Failed => StatedOutcome::Failed,
+        CallerOutcome::Unknown => StatedOutcome::Unknown,
+        CallerOutcome::Nothing { failure } => match failure {
             Failure::NotConnected => StatedOutcome::NotReached,
             Failure::Broken | Failure::Silent | Failure::NoOutcome => StatedOutcome::GaveUp,
         },
@@ -150,7 +150,7 @@
 struct Converter<'a> {
     topology: &'a Topology,
     clock: TraceClock,
-    told: HashMap<u64, StatedOutcome>,
+    outcomes: HashMap<u64, StatedOutcome>,
     draws: BTreeMap<u64, Vec<RunDraws>>,
 }
 
@@ -192,7 +192,7 @@
             resend: Some(sent.resend),
             deadline: own.map(Duration::from_millis),
             outcome: None,
-            recorded: self.told.get(&sent.send).copied(),
+            recorded: self.outcomes.get(&sent.send).copied(),
             runs: self.draws.get(&sent.send).cloned().unwrap_or_default(),
         };
         Some((FlowIndex(flow), send))
--- a/crates/bramblewheel-lab/src/trace/runs.rs
+++ b/crates/bramblewheel-lab/src/trace/runs.rs
@@ -119,7 +119,7 @@
         position.map(RouteIndex)
     }
 
-    /// Place in the call tree; none if the run that made the call left no word of its end.
+    /// Position in the call tree; none if the end of the run that made the call is not recorded.
     fn path(&self, arrival: &Arrival<'_>) -> Option<CallPath> {
         let context = arrival.context;
         if context.call == context.send {
--- a/crates/bramblewheel-lab/src/trace/tests.rs
+++ b/crates/bramblewheel-lab/src/trace/tests.rs
@@ -3,7 +3,7 @@
 use super::record;
 use crate::deployments::Deployments;
 use crate::journal::{
-    CallContext, Event, FaultKind, Record, ReplyFromDaemon, RootSend, SubCallEnd, Told,
+    CallContext, CallerOutcome, Event, FaultKind, Record, ReplyFromDaemon, RootSend, SubCallEnd,
 };
 use bramblewheel_sim::trace::{self, FaultAction, StatedOutcome, Trace};
 use bramblewheel_types::{
@@ -26,9 +26,9 @@
     }
 }
 
-fn reply(told: Told) -> ReplyFromDaemon {
+fn reply(outcome: CallerOutcome) -> ReplyFromDaemon {
     ReplyFromDaemon {
-        told,
+        outcome,
         status: None,
         own_whole: None,
     }
@@ -69,13 +69,13 @@
         call,
         service: service(called),
         criticality: Criticality::Critical,
-        told: reply(Told::Completed),
+        reply: reply(CallerOutcome::Completed),
     };
     at(ended, "kassa-1", Event::SubCall(end))
 }
 
 /// A basket: the stock list, called last, ends first; of two price checks one is tried twice.
-fn basket(told: Told) -> Vec<Record> {
+fn basket(outcome: CallerOutcome) -> Vec<Record> {
     let sent = RootSend {
         send: SEND,
         request: RequestId(1),
@@ -98,11 +98,11 @@
     records.push(sub_call(7_500, 100, 53, "beholdning"));
     records.push(sub_call(11_500, 100, 51, "prisskilt"));
     records.push(sub_call(16_500, 100, 52, "prisskilt"));
-    let told = reply(told);
+    let reply = reply(outcome);
     records.push(at(
         22_000,
         "caller-bergen-hall",
-        Event::Told { send: SEND, told },
+        Event::SendEnded { send: SEND, reply },
     ));
     records.sort_by_key(|record| record.at_us);
     records
@@ -118,7 +118,7 @@
 
 #[test]
 fn a_request_is_taken_from_the_journals() {
-    let (trace, stated, noted) = traced(&basket(Told::Completed));
+    let (trace, stated, noted) = traced(&basket(CallerOutcome::Completed));
     assert_eq!((stated, noted), (1, 0));
     let [request] = &trace.requests[..] else {
         panic!("{} requests", trace.requests.len());
@@ -146,7 +146,7 @@
 
 #[test]
 fn an_outcome_that_does_not_come_again_is_noted_and_not_stated() {
-    let refused = Told::NotRun {
+    let refused = CallerOutcome::NotRun {
         reason: NotRunReason::Overloaded,
     };
     let (trace, stated, noted) = traced(&basket(refused));
@@ -159,7 +159,7 @@
 
 #[test]
 fn kills_and_freezes_are_faults_of_the_trace() {
-    let mut records = basket(Told::Completed);
+    let mut records = basket(CallerOutcome::Completed);
     for (at_us, kind) in [(30_000, FaultKind::Killed), (730_000, FaultKind::Started)] {
         let process = "daemon-kassa-2".to_owned();
         records.push(at(at_us, "fleet", Event::Fault { process, kind }));
--- a/crates/bramblewheel-sim/src/control/check/mod.rs
+++ b/crates/bramblewheel-sim/src/control/check/mod.rs
@@ -72,7 +72,7 @@
 }
 
 impl<'a> Evidence<'a> {
-    /// What the domain recorded, with its place in the history.
+    /// What the domain recorded, with its position in the history.
     fn records(self) -> impl Iterator<Item = Line<'a>> {
         let lines = self.history.iter().enumerate();
         lines.filter_map(|(index, entry)| match &entry.fact {
--- a/crates/bramblewheel-sim/src/control/daemon.rs
+++ b/crates/bramblewheel-sim/src/control/daemon.rs
@@ -48,11 +48,11 @@
     settings: DaemonSettings,
     disk: SimulatedDisk,
     random: Pcg64Mcg,
-    life: Option<Life>,
+    incarnation: Option<Incarnation>,
 }
 
-/// What a process has in memory.
-struct Life {
+/// What one start of the process has in memory.
+struct Incarnation {
     store: BundleStore<SimulatedDisk>,
     intake: Intake,
     choice: ReplicaChoice,
@@ -71,16 +71,16 @@
             settings,
             disk: SimulatedDisk::new(ignores_sync),
             random,
-            life: None,
+            incarnation: None,
         }
     }
 
     pub(super) fn start(&mut self, context: &mut ActorContext<'_>) {
         match self.open(context) {
-            Ok(life) => {
-                let bundle = life.intake.bundle().map(|bundle| name(bundle));
+            Ok(incarnation) => {
+                let bundle = incarnation.intake.bundle().map(|bundle| name(bundle));
                 context.record(ControlRecord::DaemonOpened { bundle });
-                self.life = Some(life);
+                self.incarnation = Some(incarnation);
                 self.ask(context);
             }
             Err(error) => {
@@ -91,13 +91,13 @@
         }
     }
 
-    fn open(&self, context: &mut ActorContext<'_>) -> Result<Life, StoreError> {
+    fn open(&self, context: &mut ActorContext<'_>) -> Result<Incarnation, StoreError> {
         let store = BundleStore::open(self.disk.clone(), Path::new(FOLDER))?;
         let bundle = store.load()?.map(Arc::new);
         let incarnation = context.random().random();
         let mut registration = self.settings.registration.clone();
         registration.incarnation = incarnation;
-        Ok(Life {
+        Ok(Incarnation {
             store,
             intake: Intake::new(bundle),
             choice: ReplicaChoice::new(self.settings.replicas.clone(), incarnation),
@@ -109,7 +109,7 @@
     }
 
     pub(super) fn stop(&mut self, cause: StopCause) {
-        self.life = None;
+        self.incarnation = None;
         if cause == StopCause::PowerLost {
             self.disk.files().crash(self.random.random());
         } else {
@@ -119,54 +119,56 @@
 
     /// Asks the replica chosen.
     pub(super) fn ask(&mut self, context: &mut ActorContext<'_>) {
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        if life.intake.bundle().is_none() {
+        if incarnation.intake.bundle().is_none() {
             context.record(ControlRecord::DaemonAsksAnew);
         }
-        life.asked += 1;
-        life.is_waiting = true;
+        incarnation.asked += 1;
+        incarnation.is_waiting = true;
         let services = vec![bundles::service()];
-        let mut poll = life.intake.request(life.registration.clone(), services);
+        let mut poll = incarnation
+            .intake
+            .request(incarnation.registration.clone(), services);
         if self.settings.double == Some(UnsafeDouble::DaemonTakesOlder) {
             poll.position = LogPosition::default();
             poll.bundle_version = BundleVersion(1);
             poll.whole_bundle = true;
         }
         let request = ControlRequest {
-            id: life.asked,
+            id: incarnation.asked,
             body: RequestBody::Poll(Box::new(poll)),
         };
-        let to = address::process(life.choice.address());
+        let to = address::process(incarnation.choice.address());
         context.send(to, ControlMessage::Request(Box::new(request)));
-        let timer = ControlTimer::PollTimeout(life.asked);
+        let timer = ControlTimer::PollTimeout(incarnation.asked);
         context.set_timer(POLL_WAIT + POLL_GRACE, timer);
     }
 
     /// No answer in time, or nobody listens.
     pub(super) fn timed_out(&mut self, context: &mut ActorContext<'_>, id: u64) {
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        if life.is_waiting && life.asked == id {
-            life.choice.next_replica();
-            life.ask_later(context);
+        if incarnation.is_waiting && incarnation.asked == id {
+            incarnation.choice.next_replica();
+            incarnation.ask_later(context);
         }
     }
 
     pub(super) fn receive(&mut self, context: &mut ActorContext<'_>, reply: ControlReply) {
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        if !life.is_waiting || life.asked != reply.id {
+        if !incarnation.is_waiting || incarnation.asked != reply.id {
             return;
         }
         match reply.body {
             ReplyBody::Poll(reply) => self.take(context, *reply),
             ReplyBody::Unavailable(reason) => {
-                life.choice.unavailable(&reason);
-                life.ask_later(context);
+                incarnation.choice.unavailable(&reason);
+                incarnation.ask_later(context);
             }
             other => unreachable!("a replica answers a poll with {other:?}"),
         }
@@ -174,38 +176,38 @@
 
     fn take(&mut self, context: &mut ActorContext<'_>, reply: PollReply) {
         let double = self.settings.double;
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        let news = match life.check(&reply, double) {
+        let news = match incarnation.check(&reply, double) {
             Ok(news) => news,
             Err(refused) => {
                 let reason = refused.to_string();
                 context.record(ControlRecord::DaemonRefused { reason });
-                life.choice.next_replica();
-                return life.ask_later(context);
+                incarnation.choice.next_replica();
+                return incarnation.ask_later(context);
             }
         };
         let mut in_force = None;
         if let Some(NewBundle { bundle, signed }) = news {
-            if let Err(error) = life.store.save(&signed) {
+            if let Err(error) = incarnation.store.save(&signed) {
                 let reason = error.to_string();
                 context.record(ControlRecord::StorageFailed { reason });
-                return life.ask_later(context);
+                return incarnation.ask_later(context);
             }
             let name = name(&bundle);
             context.record(ControlRecord::DaemonInForce { bundle: name });
             in_force = Some(Arc::new(bundle));
         }
-        if reply.position != life.intake.position() {
+        if reply.position != incarnation.intake.position() {
             let index = reply.position.index;
             context.record(ControlRecord::DaemonSeen { index });
         }
-        life.intake.take(&reply, in_force);
-        life.choice.succeeded();
+        incarnation.intake.take(&reply, in_force);
+        incarnation.choice.succeeded();
         if double == Some(UnsafeDouble::DaemonTakesOlder) {
             // It always gets an answer at once, and asks all replicas in turn.
-            life.choice.next_replica();
+            incarnation.choice.next_replica();
             return context.set_timer(DOUBLE_PAUSE, ControlTimer::Poll);
         }
         self.ask(context);
@@ -217,7 +219,7 @@
     }
 }
 
-impl Life {
+impl Incarnation {
     fn check(
         &mut self,
         reply: &PollReply,
--- a/crates/bramblewheel-sim/src/control/replica.rs
+++ b/crates/bramblewheel-sim/src/control/replica.rs
@@ -58,11 +58,11 @@
     power_fails: Option<Duration>,
     identity: Option<u64>,
     is_unusable: bool,
-    life: Option<Life>,
+    incarnation: Option<Incarnation>,
 }
 
-/// What a process has in memory.
-struct Life {
+/// What one start of the process has in memory.
+struct Incarnation {
     node: ControlNode,
     durable: Durable<SimulatedDisk>,
     address: ReplicaAddress,
@@ -93,25 +93,25 @@
             power_fails: None,
             identity: None,
             is_unusable: false,
-            life: None,
+            incarnation: None,
         }
     }
 
     pub(super) fn start(&mut self, context: &mut ActorContext<'_>) {
         let opened = self.open(context);
         match opened {
-            Ok(life) => {
-                let identity = life.address.replica;
+            Ok(incarnation) => {
+                let identity = incarnation.address.replica;
                 self.identity = Some(identity);
                 context.record(ControlRecord::ReplicaOpened { identity });
-                self.life = Some(life);
+                self.incarnation = Some(incarnation);
                 self.drive(context);
             }
             Err(error) => self.fail(context, &error),
         }
     }
 
-    fn open(&mut self, context: &mut ActorContext<'_>) -> Result<Life, StorageError> {
+    fn open(&mut self, context: &mut ActorContext<'_>) -> Result<Incarnation, StorageError> {
         let fresh = self.fresh_identity();
         let config = StorageConfig {
             folder: Path::new(FOLDER).to_owned(),
@@ -136,7 +136,7 @@
         };
         let node = ControlNode::new(config, restored, now(context))
             .expect("what this program wrote is a state of this program");
-        Ok(Life {
+        Ok(Incarnation {
             node,
             durable,
             address,
@@ -157,7 +157,7 @@
     }
 
     pub(super) fn stop(&mut self, cause: StopCause) {
-        self.life = None;
+        self.incarnation = None;
         let power_failed = cause == StopCause::Exited && self.power_fails.is_some();
         if cause == StopCause::PowerLost || power_failed {
             self.disk.files().crash(self.random.random());
@@ -169,16 +169,16 @@
 
     pub(super) fn receive_peer(&mut self, context: &mut ActorContext<'_>, envelope: PeerEnvelope) {
         let now = now(context);
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
         let PeerEnvelope { hello, message } = envelope;
-        if !life.is_meant(&hello) {
+        if !incarnation.is_meant(&hello) {
             return;
         }
         let from = ReplicaId(hello.from.replica);
-        life.node.introduce(now, hello.from);
-        life.node.receive(now, from, message);
+        incarnation.node.introduce(now, hello.from);
+        incarnation.node.receive(now, from, message);
         self.drive(context);
     }
 
@@ -189,44 +189,44 @@
         request: ControlRequest,
     ) {
         let double = self.settings.double;
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
         let now = now(context);
-        if let Some(body) = answer_at_once(double, life, &request.body) {
+        if let Some(body) = answer_at_once(double, incarnation, &request.body) {
             let id = request.id;
             let reply = ControlMessage::Reply(Box::new(ControlReply { id, body }));
             context.send(from, reply);
         }
-        life.next_client += 1;
-        let client = ClientRequestId(life.next_client);
-        life.clients.insert(client, (from, request.id));
-        life.node.request(now, client, request.body);
+        incarnation.next_client += 1;
+        let client = ClientRequestId(incarnation.next_client);
+        incarnation.clients.insert(client, (from, request.id));
+        incarnation.node.request(now, client, request.body);
         self.drive(context);
     }
 
     pub(super) fn wake(&mut self, context: &mut ActorContext<'_>) {
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        if context.now() < life.armed {
+        if context.now() < incarnation.armed {
             return;
         }
-        life.armed = Timestamp::NEVER;
+        incarnation.armed = Timestamp::NEVER;
         let now = now(context);
-        life.node.tick(now);
+        incarnation.node.tick(now);
         self.drive(context);
     }
 
     /// Carries out what the node asks for, then sets the timer.
     fn drive(&mut self, context: &mut ActorContext<'_>) {
-        while let Some(life) = &mut self.life {
+        while let Some(incarnation) = &mut self.incarnation {
             let now = now(context);
-            let output = life.node.take_output(now);
+            let output = incarnation.node.take_output(now);
             if output.is_empty() {
                 break;
             }
-            if let Err(error) = life.durable.apply(&output) {
+            if let Err(error) = incarnation.durable.apply(&output) {
                 return self.fail(context, &error);
             }
             let sync = self.sync_time(&output);
@@ -245,20 +245,20 @@
 
     fn send(&mut self, context: &mut ActorContext<'_>, output: NodeOutput, sync: Duration) {
         let double = self.settings.double;
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
         let now = now(context);
-        life.node.persisted(now);
-        let group = life.durable.identity().group;
+        incarnation.node.persisted(now);
+        let group = incarnation.durable.identity().group;
         for (to, message) in output.messages {
-            life.show_promises(context, &message);
-            let Some(peer) = life.node.member_address(to) else {
+            incarnation.show_promises(context, &message);
+            let Some(peer) = incarnation.node.member_address(to) else {
                 continue;
             };
             let hello = Hello {
                 group,
-                from: life.address.clone(),
+                from: incarnation.address.clone(),
                 to: to.0,
             };
             let envelope = PeerEnvelope { hello, message };
@@ -266,10 +266,10 @@
             context.send_after(sync, address::process(peer.peer), message);
         }
         for (client, body) in output.replies {
-            let Some((to, id)) = life.clients.remove(&client) else {
+            let Some((to, id)) = incarnation.clients.remove(&client) else {
                 continue;
             };
-            let (body, wait) = life.altered(double, body);
+            let (body, wait) = incarnation.altered(double, body);
             let reply = ControlMessage::Reply(Box::new(ControlReply { id, body }));
             context.send_after(sync + wait, to, reply);
         }
@@ -291,37 +291,37 @@
     }
 
     fn arm(&mut self, context: &mut ActorContext<'_>) {
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        let due = life.node.next_wakeup();
-        if due < life.armed {
-            life.armed = due;
+        let due = incarnation.node.next_wakeup();
+        if due < incarnation.armed {
+            incarnation.armed = due;
             context.set_timer_at(due, ControlTimer::Wake);
         }
     }
 
     fn show(&mut self, context: &mut ActorContext<'_>) {
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        let current = life.node.state().bundles().current();
+        let current = incarnation.node.state().bundles().current();
         let bundle = current.map(|signed| BundleName {
             version: signed.version,
             digest: signed.digest,
         });
-        if bundle != life.shown.bundle {
-            life.shown.bundle = bundle;
-            let index = life.node.state().position().index;
+        if bundle != incarnation.shown.bundle {
+            incarnation.shown.bundle = bundle;
+            let index = incarnation.node.state().position().index;
             let record = bundle.map(|bundle| ControlRecord::ReplicaInForce { bundle, index });
             record.into_iter().for_each(|record| context.record(record));
         }
-        let replica = life.node.replica();
+        let replica = incarnation.node.replica();
         let leading = (replica.role() == Role::Leader).then(|| replica.term());
-        if leading != life.shown.leading {
-            life.shown.leading = leading;
+        if leading != incarnation.shown.leading {
+            incarnation.shown.leading = leading;
             if let Some(term) = leading {
-                let identity = life.address.replica;
+                let identity = incarnation.address.replica;
                 context.record(ControlRecord::Leading {
                     identity,
                     term: term.0,
@@ -342,8 +342,8 @@
 
     /// Whether the process leads.
     pub(super) fn is_leader(&self) -> bool {
-        let life = self.life.as_ref();
-        life.is_some_and(|life| life.node.replica().role() == Role::Leader)
+        let incarnation = self.incarnation.as_ref();
+        incarnation.is_some_and(|incarnation| incarnation.node.replica().role() == Role::Leader)
     }
 
     /// The disk, to inject faults.
@@ -371,7 +371,7 @@
     }
 }
 
-impl Life {
+impl Incarnation {
     /// Whether a connection that begins like this reaches whom it means.
     fn is_meant(&self, hello: &Hello) -> bool {
         let group = self.durable.identity().group;
@@ -452,10 +452,10 @@
 /// What a double answers to a publish before anything is committed.
 fn answer_at_once(
     double: Option<UnsafeDouble>,
-    life: &Life,
+    incarnation: &Incarnation,
     body: &RequestBody,
 ) -> Option<ReplyBody> {
-    let accepts = double == Some(UnsafeDouble::AcceptBeforeCommit) && life.is_leader();
+    let accepts = double == Some(UnsafeDouble::AcceptBeforeCommit) && incarnation.is_leader();
     if !accepts || !matches!(body, RequestBody::Publish(_)) {
         return None;
     }
--- a/crates/bramblewheel-sim/src/deployment/tests.rs
+++ b/crates/bramblewheel-sim/src/deployment/tests.rs
@@ -1,3 +1,5 @@
+//! Reading deployment files: the examples are valid, and errors name file and key.
+
 use super::{DeploymentError, parse};
 
 const TORGNETT: &str = include_str!("../../../../examples/deployments/torgnett.toml");
--- a/crates/bramblewheel-sim/src/kernel/core.rs
+++ b/crates/bramblewheel-sim/src/kernel/core.rs
@@ -2,7 +2,7 @@
 
 use super::actor::Actor;
 use super::history::{Entry, Fact, History};
-use super::network::{Network, Place};
+use super::network::{Location, Network};
 use super::process::{Process, ProcessId};
 use super::queue::Queue;
 use bramblewheel_types::Timestamp;
@@ -53,9 +53,9 @@
 }
 
 impl<A: Actor> Core<A> {
-    pub(super) fn place(&self, process: ProcessId) -> Place {
+    pub(super) fn location(&self, process: ProcessId) -> Location {
         let zone = self.processes[process.index()].zone;
-        Place { process, zone }
+        Location { process, zone }
     }
 
     pub(super) fn send(&mut self, from: ProcessId, to: ProcessId, message: A::Message) {
@@ -71,8 +71,10 @@
     ) {
         let starts = self.processes[to.index()].starts;
         let is_disorderly = A::is_disorderly(&message);
-        let (from_place, to_place) = (self.place(from), self.place(to));
-        let copies = self.network.transmit(from_place, to_place, is_disorderly);
+        let (from_location, to_location) = (self.location(from), self.location(to));
+        let copies = self
+            .network
+            .transmit(from_location, to_location, is_disorderly);
         let arrival = |delay: Duration| self.now + wait + delay;
         match copies.map(|copy| copy.map(arrival)) {
             [Some(first), Some(second)] => {
@@ -107,9 +109,11 @@
         if !self.network.reports_undelivered() {
             return;
         }
-        let (from_place, to_place) = (self.place(to), self.place(from));
+        let (from_location, to_location) = (self.location(to), self.location(from));
         let is_disorderly = A::is_disorderly(&message);
-        let copies = self.network.transmit(from_place, to_place, is_disorderly);
+        let copies = self
+            .network
+            .transmit(from_location, to_location, is_disorderly);
         let [Some(delay), _] = copies else {
             return;
         };
--- a/crates/bramblewheel-sim/src/kernel/network.rs
+++ b/crates/bramblewheel-sim/src/kernel/network.rs
@@ -54,7 +54,7 @@
 
 /// Where a message comes from or goes to.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Place {
+pub(super) struct Location {
     pub(super) process: ProcessId,
     pub(super) zone: ZoneId,
 }
@@ -135,7 +135,7 @@
         self.disorder = Disorder::default();
     }
 
-    pub(super) fn is_cut(&self, from: Place, to: Place) -> bool {
+    pub(super) fn is_cut(&self, from: Location, to: Location) -> bool {
         if self.cut_links.is_empty() && self.cut_zones.is_empty() {
             return false;
         }
@@ -146,8 +146,8 @@
     /// When each copy of a message arrives, after how long; none if it is lost.
     pub(super) fn transmit(
         &mut self,
-        from: Place,
-        to: Place,
+        from: Location,
+        to: Location,
         is_disorderly: bool,
     ) -> [Option<Duration>; 2] {
         if self.is_cut(from, to) {
--- a/crates/bramblewheel-sim/src/kernel/simulation.rs
+++ b/crates/bramblewheel-sim/src/kernel/simulation.rs
@@ -173,7 +173,7 @@
         if self
             .core
             .network
-            .is_cut(self.core.place(from), self.core.place(to))
+            .is_cut(self.core.location(from), self.core.location(to))
         {
             return;
         }
--- a/crates/bramblewheel-sim/src/requests/callers.rs
+++ b/crates/bramblewheel-sim/src/requests/callers.rs
@@ -4,7 +4,7 @@
 use super::layer::LayerKind;
 use super::load::{CallerBehaviour, LoadProfile, flow_at};
 use super::message::{CallerAnswer, Message, RootRequest, SendId, SessionClaim, Timer};
-use super::places::Places;
+use super::process_layout::ProcessLayout;
 use super::record::Record;
 use super::topology::{FlowIndex, Topology, ZoneIndex};
 use super::work::next_arrival;
@@ -71,7 +71,7 @@
 #[derive(Debug)]
 pub struct Callers {
     topology: Arc<Topology>,
-    places: Places,
+    layout: ProcessLayout,
     zone: ZoneIndex,
     layer: LayerKind,
     load: LoadProfile,
@@ -95,7 +95,7 @@
         behaviour: CallerBehaviour,
     ) -> Self {
         Self {
-            places: Places::new(&topology),
+            layout: ProcessLayout::new(&topology),
             topology,
             zone,
             layer,
@@ -258,14 +258,14 @@
             let roams = self.behaviour.roams && self.topology.zones.len() > 1;
             return match last {
                 Some(last) if roams => self.another_gateway(context, last),
-                _ => self.places.gateway(self.zone),
+                _ => self.layout.gateway(self.zone),
             };
         }
         let route = self.topology.flows[flow.0].route;
         let service = self.topology.routes[route.0].service;
         let endpoints = &self.topology.services[service.0].endpoints;
         let position = context.random().random_range(0..endpoints.len());
-        self.places.host(endpoints[position])
+        self.layout.host(endpoints[position])
     }
 
     fn another_gateway(
@@ -274,7 +274,7 @@
         last: ProcessId,
     ) -> ProcessId {
         let zones = (0..self.topology.zones.len()).map(ZoneIndex);
-        let gateways = zones.map(|zone| self.places.gateway(zone));
+        let gateways = zones.map(|zone| self.layout.gateway(zone));
         let others: Vec<ProcessId> = gateways.filter(|gateway| *gateway != last).collect();
         others[context.random().random_range(0..others.len())]
     }
--- a/crates/bramblewheel-sim/src/requests/check/facts.rs
+++ b/crates/bramblewheel-sim/src/requests/check/facts.rs
@@ -27,12 +27,12 @@
 pub(super) struct SendEnd {
     pub(super) at: Timestamp,
     pub(super) index: usize,
-    pub(super) told: Told,
+    pub(super) outcome: CallerOutcome,
 }
 
-/// What a caller learnt.
+/// How a send ended, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Told {
+pub(super) enum CallerOutcome {
     /// The answer.
     Answer(Outcome, Option<Content>),
     /// No connection could be opened.
@@ -56,7 +56,7 @@
     pub(super) stopped: Option<Timestamp>,
 }
 
-/// What an endpoint was told of its sub-call.
+/// How a sub-call ended, as the endpoint that made it saw it.
 #[derive(Debug)]
 pub(super) struct SubCallTold {
     pub(super) index: usize,
@@ -158,9 +158,11 @@
                 outcome,
                 answered,
                 ..
-            } => self.end_send(index, at, *send, Told::Answer(*outcome, *answered)),
-            Record::NotReached { send } => self.end_send(index, at, *send, Told::NotReached),
-            Record::GaveUp { send, .. } => self.end_send(index, at, *send, Told::Nothing),
+            } => self.end_send(index, at, *send, CallerOutcome::Answer(*outcome, *answered)),
+            Record::NotReached { send } => {
+                self.end_send(index, at, *send, CallerOutcome::NotReached)
+            }
+            Record::GaveUp { send, .. } => self.end_send(index, at, *send, CallerOutcome::Nothing),
             Record::ToldAgain { send } => self.told_again.push((index, *send)),
             Record::SubCallTold {
                 run,
@@ -221,9 +223,9 @@
         }
     }
 
-    fn end_send(&mut self, index: usize, at: Timestamp, send: SendId, told: Told) {
+    fn end_send(&mut self, index: usize, at: Timestamp, send: SendId, outcome: CallerOutcome) {
         if let Some(sent) = self.sends.get_mut(&send) {
-            sent.end = Some(SendEnd { at, index, told });
+            sent.end = Some(SendEnd { at, index, outcome });
         }
     }
 
--- a/crates/bramblewheel-sim/src/requests/check/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/check/mod.rs
@@ -87,7 +87,7 @@
 pub struct Bounds {
     /// Time after which a leaving endpoint gets no new work.
     pub leave_within: Duration,
-    /// Time from the last news about a request until its caller is told.
+    /// Time from the last report about a request until its caller is answered.
     pub answer_within: Duration,
     /// Longest time that a planned stop takes.
     pub stop_within: Duration,
--- a/crates/bramblewheel-sim/src/requests/check/one_answer.rs
+++ b/crates/bramblewheel-sim/src/requests/check/one_answer.rs
@@ -1,6 +1,6 @@
 //! Each send is answered once: not twice, and never not at all by a gateway that was there.
 
-use super::facts::{Facts, Told};
+use super::facts::{CallerOutcome, Facts};
 use super::{Evidence, Promise, Violation};
 
 pub(super) fn check(facts: &Facts, evidence: &Evidence<'_>) -> Vec<Violation> {
@@ -16,7 +16,7 @@
         let has_answer = send
             .end
             .as_ref()
-            .is_some_and(|end| end.told != Told::Nothing);
+            .is_some_and(|end| end.outcome != CallerOutcome::Nothing);
         let is_excused =
             facts.was_absent(send.to, send.at, until) || facts.cut.overlap(send.at, until);
         if !has_answer && !is_excused {
--- a/crates/bramblewheel-sim/src/requests/check/outcome_truth.rs
+++ b/crates/bramblewheel-sim/src/requests/check/outcome_truth.rs
@@ -1,6 +1,6 @@
 //! What was told not to have run ran nowhere, before or after, in the whole call tree.
 
-use super::facts::{Facts, Run, Send, Told};
+use super::facts::{CallerOutcome, Facts, Run, Send};
 use super::{Promise, Violation};
 use bramblewheel_types::{OperationKey, RequestId};
 use std::collections::BTreeMap;
@@ -12,7 +12,8 @@
         let Some(end) = &send.end else {
             continue;
         };
-        let is_not_run = matches!(end.told, Told::Answer(outcome, _) if outcome.is_not_run());
+        let is_not_run =
+            matches!(end.outcome, CallerOutcome::Answer(outcome, _) if outcome.is_not_run());
         let ran = is_not_run.then(|| index.first_run(facts, send)).flatten();
         if let Some(run) = ran {
             violations.push(Violation {
--- a/crates/bramblewheel-sim/src/requests/check/planned_stop.rs
+++ b/crates/bramblewheel-sim/src/requests/check/planned_stop.rs
@@ -2,7 +2,7 @@
 
 use super::super::faults::FaultRecord;
 use super::super::record::Record;
-use super::facts::{Facts, Told};
+use super::facts::{CallerOutcome, Facts};
 use super::{Evidence, Promise, Violation};
 use crate::kernel::{Fact, ProcessId, StopCause};
 use bramblewheel_types::Timestamp;
@@ -74,7 +74,7 @@
     let sends = facts.sends.values().filter(move |send| send.to == process);
     sends.filter_map(move |send| {
         let end = send.end.as_ref()?;
-        let is_cut = end.told == Told::Nothing && send.at < at && end.at > at;
+        let is_cut = end.outcome == CallerOutcome::Nothing && send.at < at && end.at > at;
         let is_excused =
             facts.cut.overlap(send.at, end.at) || facts.was_absent(process, send.at, before(at));
         (is_cut && !is_excused).then(|| {
--- a/crates/bramblewheel-sim/src/requests/check/priority.rs
+++ b/crates/bramblewheel-sim/src/requests/check/priority.rs
@@ -3,7 +3,7 @@
 
 use super::super::record::Record;
 use super::super::topology::EndpointIndex;
-use super::facts::{Facts, Told};
+use super::facts::{CallerOutcome, Facts};
 use super::{Evidence, Promise, Violation};
 use crate::kernel::Fact;
 use bramblewheel_types::{AttemptId, Criticality, NotRunReason, Outcome, ServiceName};
@@ -135,8 +135,8 @@
     // Each person counts once, however often it sent.
     let mut people = BTreeMap::new();
     for send in facts.sends.values() {
-        let told = send.end.as_ref().map(|end| end.told);
-        let is_completed = matches!(told, Some(Told::Answer(Outcome::Completed, _)));
+        let told = send.end.as_ref().map(|end| end.outcome);
+        let is_completed = matches!(told, Some(CallerOutcome::Answer(Outcome::Completed, _)));
         let (_, completed) = people.entry(send.person).or_insert((send.flow, false));
         *completed |= is_completed;
     }
--- a/crates/bramblewheel-sim/src/requests/check/prompt.rs
+++ b/crates/bramblewheel-sim/src/requests/check/prompt.rs
@@ -1,28 +1,29 @@
-//! What is known for good is told at once, not held back until the deadline.
+//! What is known for good is answered at once, not held back until the deadline.
 //!
-//! The last news about a request is the last end of a run, the last answer of a daemon to an
+//! The last report about a request is the last end of a run, the last answer of a daemon to an
 //! attempt, or the last refusal of a connection for one, in its call tree. Unknown outcomes wait
-//! for news that never comes, so they are not looked at.
+//! for a report that never comes, so they are not looked at.
 
 use super::super::record::Record;
-use super::facts::{Facts, Told};
+use super::facts::{CallerOutcome, Facts};
 use super::{Evidence, Promise, Violation};
 use crate::kernel::Fact;
 use bramblewheel_types::{Outcome, RequestId, Timestamp};
 use std::collections::BTreeMap;
 
 pub(super) fn check(facts: &Facts, evidence: &Evidence<'_>) -> Vec<Violation> {
-    let news = news(facts, evidence);
+    let reports = reports(facts, evidence);
     let mut violations = Vec::new();
     for send in facts.sends.values() {
         let Some(end) = &send.end else {
             continue;
         };
-        let is_final = matches!(end.told, Told::Answer(outcome, _) if outcome != Outcome::Unknown);
+        let is_final =
+            matches!(end.outcome, CallerOutcome::Answer(outcome, _) if outcome != Outcome::Unknown);
         if !is_final || facts.was_absent(send.to, send.at, end.at) {
             continue;
         }
-        let of_request = news.get(&send.request).into_iter().flatten();
+        let of_request = reports.get(&send.request).into_iter().flatten();
         let before = of_request.filter(|at| **at <= end.at);
         let last = before.copied().max().unwrap_or(send.at).max(send.at);
         let waited = end.at.since(last);
@@ -30,7 +31,7 @@
             violations.push(Violation {
                 promise: Promise::AnsweredAtOnce,
                 message: format!(
-                    "request {} was told {waited:?} after the news",
+                    "request {} was answered {waited:?} after the last report",
                     send.request
                 ),
                 evidence: vec![send.index, end.index],
@@ -40,9 +41,9 @@
     violations
 }
 
-/// Times at which there was news about a request.
-fn news(facts: &Facts, evidence: &Evidence<'_>) -> BTreeMap<RequestId, Vec<Timestamp>> {
-    let mut news: BTreeMap<RequestId, Vec<Timestamp>> = BTreeMap::new();
+/// Times at which something became known about a request.
+fn reports(facts: &Facts, evidence: &Evidence<'_>) -> BTreeMap<RequestId, Vec<Timestamp>> {
+    let mut reports: BTreeMap<RequestId, Vec<Timestamp>> = BTreeMap::new();
     let mut attempts = BTreeMap::new();
     for entry in evidence.history {
         match &entry.fact {
@@ -53,19 +54,19 @@
             }
             Fact::Domain(Record::Replied { attempt, .. }) => {
                 if let Some(request) = attempts.get(attempt) {
-                    news.entry(*request).or_default().push(entry.at);
+                    reports.entry(*request).or_default().push(entry.at);
                 }
             }
             Fact::Domain(Record::ConnectionRefused { request }) => {
-                news.entry(*request).or_default().push(entry.at);
+                reports.entry(*request).or_default().push(entry.at);
             }
             _ => {}
         }
     }
     for run in facts.runs.values() {
         if let Some((at, _)) = run.ended {
-            news.entry(run.request).or_default().push(at);
+            reports.entry(run.request).or_default().push(at);
         }
     }
-    news
+    reports
 }
--- a/crates/bramblewheel-sim/src/requests/check/whole_answer.rs
+++ b/crates/bramblewheel-sim/src/requests/check/whole_answer.rs
@@ -1,7 +1,7 @@
 //! Who asks gets the whole answer to its own question, or none.
 
 use super::super::content::Content;
-use super::facts::{Facts, Told};
+use super::facts::{CallerOutcome, Facts};
 use super::{Promise, Violation};
 use bramblewheel_types::Outcome;
 
@@ -11,7 +11,7 @@
         let Some(end) = &send.end else {
             continue;
         };
-        let Told::Answer(outcome, answered) = end.told else {
+        let CallerOutcome::Answer(outcome, answered) = end.outcome else {
             continue;
         };
         let is_own = |content| match content {
--- a/crates/bramblewheel-sim/src/requests/endpoint.rs
+++ b/crates/bramblewheel-sim/src/requests/endpoint.rs
@@ -307,7 +307,7 @@
         actions.push(EndpointAction::Work { run: key, takes });
     }
 
-    /// Stops a request, or takes it out of the queue; nothing more is heard of it. Returns the
+    /// Stops a request, or takes it out of the queue; it leaves no further record. Returns the
     /// time it held a slot, if it did.
     pub fn cancel(
         &mut self,
@@ -358,7 +358,7 @@
         }
     }
 
-    /// The endpoint's own word on its load: as old as `lag_ms`, less a share of `flattery`.
+    /// The endpoint's own load report: as old as `lag_ms`, less a share of `flattery`.
     pub fn report(&mut self, now: Timestamp) -> EndpointReport {
         let lag = Duration::from_millis(self.shape.report.lag_ms);
         self.samples.push_back((now, self.running));
--- a/crates/bramblewheel-sim/src/requests/host.rs
+++ b/crates/bramblewheel-sim/src/requests/host.rs
@@ -4,7 +4,7 @@
 use super::endpoint::{EndpointAction, EndpointModel, ReportFault};
 use super::layer::{Environment, Instruction, Layer, LayerCounters, LayerOptions, LayerSettings};
 use super::message::{Message, Timer};
-use super::places::Places;
+use super::process_layout::ProcessLayout;
 use super::record::Record;
 use super::tape::Tape;
 use super::topology::{EndpointIndex, Topology, ZoneIndex};
@@ -30,7 +30,7 @@
 /// A machine.
 pub struct Host {
     topology: Arc<Topology>,
-    places: Places,
+    layout: ProcessLayout,
     zone: ZoneIndex,
     endpoint_index: Option<EndpointIndex>,
     settings: LayerSettings,
@@ -62,7 +62,7 @@
         settings: LayerSettings,
     ) -> Self {
         Self {
-            places: Places::new(&topology),
+            layout: ProcessLayout::new(&topology),
             topology,
             zone,
             endpoint_index,
@@ -94,12 +94,12 @@
         self
     }
 
-    /// What the next start hears of an endpoint; the layer that runs is told apart.
+    /// Listing of an endpoint that the next start begins with; the running layer gets it separately.
     pub fn set_listed(&mut self, entry: DirectoryEndpoint) {
         self.listed.insert(entry.endpoint.clone(), entry);
     }
 
-    /// The bundle that the next start begins with; the layer that runs is told apart.
+    /// The bundle that the next start begins with; the running layer gets it separately.
     pub fn set_bundle(&mut self, bundle: Arc<Bundle>) {
         self.settings.bundle = bundle;
     }
@@ -254,7 +254,7 @@
         let mut environment = Environment {
             context,
             topology: &self.topology,
-            places: self.places,
+            layout: self.layout,
             endpoint_index: self.endpoint_index,
             endpoint: self.endpoint.as_mut(),
             actions: &mut self.actions,
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/directory.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/directory.rs
@@ -1,6 +1,6 @@
 //! The directory that a daemon starts with: the endpoints of the services it calls.
 
-use crate::requests::places::Places;
+use crate::requests::process_layout::ProcessLayout;
 use crate::requests::topology::{EndpointIndex, ServiceIndex, Topology};
 use bramblewheel_core::event::{DirectoryEndpoint, DirectoryUpdate};
 
@@ -21,7 +21,7 @@
 /// All endpoints of the called services, none of them draining.
 pub(super) fn directory(
     topology: &Topology,
-    places: Places,
+    layout: ProcessLayout,
     called: &[ServiceIndex],
 ) -> DirectoryUpdate {
     let mut live = Vec::new();
@@ -33,7 +33,7 @@
                 endpoint: endpoint.name.clone(),
                 service: service.name.clone(),
                 zone: topology.zones[endpoint.zone.0].clone(),
-                address: Places::address(places.host(*index)),
+                address: ProcessLayout::address(layout.host(*index)),
                 draining: false,
             }
         }));
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/dispatch.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/dispatch.rs
@@ -17,7 +17,7 @@
         let bundle = Arc::clone(&self.bundle);
         self.submit(environment, Event::BundleInstalled(bundle));
         let called = called_services(environment.topology, self.endpoint);
-        let update = directory(environment.topology, environment.places, &called);
+        let update = directory(environment.topology, environment.layout, &called);
         self.submit(environment, Event::DirectoryUpdated(update));
         self.report(environment);
     }
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/drive.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/drive.rs
@@ -5,7 +5,7 @@
 use crate::requests::double::UnsafeDouble;
 use crate::requests::layer::Environment;
 use crate::requests::message::{Message, Timer};
-use crate::requests::places::Places;
+use crate::requests::process_layout::ProcessLayout;
 use crate::requests::record::Record;
 use bramblewheel_core::action::{Action, Answer, AnswerBody};
 use bramblewheel_core::event::{ClaimAnswer, Event, Feedback, LedgerRequest};
@@ -45,7 +45,7 @@
                 context,
                 ..
             } => {
-                let to = Places::process_at(address);
+                let to = ProcessLayout::process_at(address);
                 self.send_attempt(environment, call, to, context);
             }
             Action::CancelAttempt { attempt } => self.cancel_attempt(environment, attempt),
--- a/crates/bramblewheel-sim/src/requests/layer/direct.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/direct.rs
@@ -105,7 +105,7 @@
             .context
             .random()
             .random_range(0..endpoints.len());
-        call.to = environment.places.host(endpoints[position]);
+        call.to = environment.layout.host(endpoints[position]);
         let tried = call.tried;
         let timeout = Timer::DirectTimeout(key, tried);
         environment
--- a/crates/bramblewheel-sim/src/requests/layer/ledger_client.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/ledger_client.rs
@@ -4,7 +4,7 @@
 //! themselves; then each request is a batch of one operation.
 
 use super::super::message::{Message, Timer};
-use super::super::places::Places;
+use super::super::process_layout::ProcessLayout;
 use super::Environment;
 use crate::kernel::ProcessId;
 use bramblewheel_core::event::{ClaimAnswer, LedgerRequest, StoredAnswer};
@@ -109,8 +109,8 @@
             ReplyBody::Unavailable(Unavailable::NotLeader(Some(leader))) => {
                 let before = self.target;
                 self.target = environment
-                    .places
-                    .replica_number(Places::process_at(leader));
+                    .layout
+                    .replica_number(ProcessLayout::process_at(leader));
                 if self.target != before {
                     self.send(environment, position);
                 }
@@ -169,7 +169,7 @@
         let (attempt, request) = (pending.attempt, pending.request.clone());
         let (to, message) = if self.replicas == 0 {
             let message = Message::AskLedger { attempt, request };
-            (environment.places.ledger(), message)
+            (environment.layout.ledger(), message)
         } else {
             let operation = operation(self.incarnation, attempt, request);
             let request = ControlRequest {
@@ -183,7 +183,7 @@
     }
 
     fn replica(&self, environment: &Environment<'_, '_>) -> ProcessId {
-        environment.places.replica(self.target)
+        environment.layout.replica(self.target)
     }
 }
 
--- a/crates/bramblewheel-sim/src/requests/layer/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/mod.rs
@@ -10,7 +10,7 @@
 use super::endpoint::{EndpointAction, EndpointModel, RunKey, RunRequest};
 use super::host::SlotUse;
 use super::message::{Message, Timer};
-use super::places::Places;
+use super::process_layout::ProcessLayout;
 use super::record::Record;
 use super::topology::{EndpointIndex, Topology, ZoneIndex};
 use crate::kernel::{Context, ProcessId};
@@ -122,7 +122,7 @@
 pub struct Environment<'a, 'b> {
     pub(super) context: &'a mut Context<'b, RequestActor>,
     pub(super) topology: &'a Topology,
-    pub(super) places: Places,
+    pub(super) layout: ProcessLayout,
     pub(super) endpoint_index: Option<EndpointIndex>,
     pub(super) endpoint: Option<&'a mut EndpointModel>,
     pub(super) actions: &'a mut Vec<EndpointAction>,
--- a/crates/bramblewheel-sim/src/requests/message.rs
+++ b/crates/bramblewheel-sim/src/requests/message.rs
@@ -110,7 +110,7 @@
         attempt: AttemptId,
         /// Its outcome.
         outcome: Outcome,
-        /// News of the called daemon.
+        /// Reports of the called daemon.
         feedback: Feedback,
         /// What the answer is an answer to, if it has a body of an endpoint.
         body: Option<Content>,
--- a/crates/bramblewheel-sim/src/requests/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/mod.rs
@@ -21,7 +21,7 @@
 mod message;
 pub mod overload;
 pub mod overload_scenario;
-mod places;
+mod process_layout;
 mod record;
 mod replica;
 pub mod scenario;
@@ -47,7 +47,7 @@
 pub use ledger::LedgerService;
 pub use load::{CallerBehaviour, LoadProfile};
 pub use message::{CallerAnswer, Message, PeerEnvelope, RootRequest, SendId, SessionClaim, Timer};
-pub use places::Places;
+pub use process_layout::ProcessLayout;
 pub use record::Record;
 pub use replica::Replica;
 pub use scripted::{ScriptedCallers, ScriptedSend};
--- a/crates/bramblewheel-sim/src/requests/places.rs
+++ b/crates/bramblewheel-sim/src/requests/process_layout.rs
@@ -1,4 +1,4 @@
-//! Which process stands where.
+//! Which simulated process carries which endpoint, gateway, ledger, callers and control replica.
 
 use super::topology::{EndpointIndex, Topology, ZoneIndex};
 use crate::kernel::{ProcessId, ZoneId};
@@ -10,13 +10,13 @@
 /// Processes in the order in which they are added: endpoints with their daemons, gateways, the
 /// ledger, callers, control replicas.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct ProcessLayout {
     endpoints: usize,
     zones: usize,
 }
 
-impl Places {
-    /// The places of a topology.
+impl ProcessLayout {
+    /// The layout of the processes of a topology.
     pub fn new(topology: &Topology) -> Self {
         Self {
             endpoints: topology.endpoints.len(),
@@ -69,7 +69,7 @@
         ZoneId(u16::try_from(zone.0).expect("a deployment has few zones"))
     }
 
-    /// The network's name of the place where the callers of a zone are.
+    /// The network zone of the callers of a zone.
     pub fn caller_zone(&self, zone: ZoneIndex) -> ZoneId {
         Self::zone(ZoneIndex(self.zones + zone.0))
     }
--- a/crates/bramblewheel-sim/src/requests/replica.rs
+++ b/crates/bramblewheel-sim/src/requests/replica.rs
@@ -3,7 +3,7 @@
 
 use super::actor::RequestActor;
 use super::message::{Message, PeerEnvelope, Timer};
-use super::places::Places;
+use super::process_layout::ProcessLayout;
 use crate::kernel::{Context, ProcessId, StopCause};
 use bramblewheel_bundle::{
     Bundle, OperatorKey, OperatorPolicy, ServicePolicy, canonical, defaults, digest,
@@ -47,11 +47,11 @@
     process: ProcessId,
     files: MemoryFileSystem,
     random: Pcg64Mcg,
-    life: Option<Life>,
+    incarnation: Option<Incarnation>,
 }
 
-/// What a process has in memory.
-struct Life {
+/// What one start of the process has in memory.
+struct Incarnation {
     node: ControlNode,
     durable: Durable<MemoryFileSystem>,
     address: ReplicaAddress,
@@ -69,19 +69,24 @@
             process,
             files: MemoryFileSystem::new(),
             random,
-            life: None,
+            incarnation: None,
         }
     }
 
     /// Whether it leads the group.
     pub fn is_leader(&self) -> bool {
-        let node = self.life.as_ref().map(|life| &life.node);
+        let node = self
+            .incarnation
+            .as_ref()
+            .map(|incarnation| &incarnation.node);
         node.is_some_and(|node| node.replica().role() == Role::Leader)
     }
 
     /// Identity and addresses, while it runs.
     pub fn address(&self) -> Option<&ReplicaAddress> {
-        self.life.as_ref().map(|life| &life.address)
+        self.incarnation
+            .as_ref()
+            .map(|incarnation| &incarnation.address)
     }
 
     pub(super) fn start(&mut self, context: &mut Context<'_, RequestActor>) {
@@ -93,7 +98,7 @@
         let fresh = ReplicaId(self.random.random());
         let (durable, restored) = Durable::open(self.files.clone(), config, &name, fresh)
             .expect("the disk of this simulation fails only by losing power");
-        let here = Places::address(self.process);
+        let here = ProcessLayout::address(self.process);
         let address = ReplicaAddress {
             replica: durable.identity().replica.0,
             name,
@@ -110,7 +115,7 @@
         };
         let node = ControlNode::new(config, restored, now(context))
             .expect("what this program wrote is a state of this program");
-        self.life = Some(Life {
+        self.incarnation = Some(Incarnation {
             node,
             durable,
             address,
@@ -122,7 +127,7 @@
     }
 
     pub(super) fn stop(&mut self, cause: StopCause) {
-        self.life = None;
+        self.incarnation = None;
         if cause == StopCause::PowerLost {
             self.files.crash(self.random.random());
         } else {
@@ -144,8 +149,8 @@
     /// Hands leadership over, as the first step of a planned stop.
     pub(super) fn hand_over(&mut self, context: &mut Context<'_, RequestActor>) {
         let now = now(context);
-        if let Some(life) = &mut self.life {
-            life.node.stop(now);
+        if let Some(incarnation) = &mut self.incarnation {
+            incarnation.node.stop(now);
         }
         self.drive(context);
     }
@@ -165,17 +170,17 @@
 
     fn peer(&mut self, context: &mut Context<'_, RequestActor>, envelope: PeerEnvelope) {
         let now = now(context);
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
         let PeerEnvelope { hello, message } = envelope;
-        let group = life.durable.identity().group;
-        if hello.to != life.address.replica || (group.is_some() && hello.group != group) {
+        let group = incarnation.durable.identity().group;
+        if hello.to != incarnation.address.replica || (group.is_some() && hello.group != group) {
             return;
         }
         let from = ReplicaId(hello.from.replica);
-        life.node.introduce(now, hello.from);
-        life.node.receive(now, from, message);
+        incarnation.node.introduce(now, hello.from);
+        incarnation.node.receive(now, from, message);
         self.drive(context);
     }
 
@@ -186,54 +191,55 @@
         request: ControlRequest,
     ) {
         let now = now(context);
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        life.next_client += 1;
-        let client = ClientRequestId(life.next_client);
-        life.clients.insert(client, (from, request.id));
-        life.node.request(now, client, request.body);
+        incarnation.next_client += 1;
+        let client = ClientRequestId(incarnation.next_client);
+        incarnation.clients.insert(client, (from, request.id));
+        incarnation.node.request(now, client, request.body);
         self.drive(context);
     }
 
     pub(super) fn wake(&mut self, context: &mut Context<'_, RequestActor>) {
         let now = now(context);
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        if now.monotonic < life.armed {
+        if now.monotonic < incarnation.armed {
             return;
         }
-        life.armed = Timestamp::NEVER;
-        life.node.tick(now);
+        incarnation.armed = Timestamp::NEVER;
+        incarnation.node.tick(now);
         self.drive(context);
     }
 
     /// Carries out what the node asks for, then sets the timer.
     fn drive(&mut self, context: &mut Context<'_, RequestActor>) {
-        let Some(life) = &mut self.life else {
+        let Some(incarnation) = &mut self.incarnation else {
             return;
         };
         loop {
-            let output = life.node.take_output(now(context));
+            let output = incarnation.node.take_output(now(context));
             if output.is_empty() {
                 break;
             }
-            life.durable
+            incarnation
+                .durable
                 .apply(&output)
                 .expect("the disk of this simulation fails only by losing power");
-            life.node.persisted(now(context));
-            life.send(context, output);
+            incarnation.node.persisted(now(context));
+            incarnation.send(context, output);
         }
-        let due = life.node.next_wakeup();
-        if due < life.armed {
-            life.armed = due;
+        let due = incarnation.node.next_wakeup();
+        if due < incarnation.armed {
+            incarnation.armed = due;
             context.set_timer_at(due, Timer::Replica);
         }
     }
 }
 
-impl Life {
+impl Incarnation {
     fn send(&mut self, context: &mut Context<'_, RequestActor>, output: NodeOutput) {
         let group = self.durable.identity().group;
         for (to, message) in output.messages {
@@ -247,7 +253,7 @@
             };
             let envelope = PeerEnvelope { hello, message };
             let message = Message::Peer(Box::new(envelope));
-            context.send(Places::process_at(peer.peer), message);
+            context.send(ProcessLayout::process_at(peer.peer), message);
         }
         for (client, body) in output.replies {
             let Some((to, id)) = self.clients.remove(&client) else {
--- a/crates/bramblewheel-sim/src/requests/scenario/file.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/file.rs
@@ -246,7 +246,7 @@
 pub struct Outcomes {
     /// Time after which a leaving endpoint begins nothing new.
     pub leave_within_ms: u64,
-    /// Time from the last news about a request until its caller is told.
+    /// Time from the last report about a request until its caller is answered.
     pub answer_within_ms: u64,
     /// Longest time that a planned stop takes.
     pub stop_within_ms: u64,
--- a/crates/bramblewheel-sim/src/requests/scenario/world/listing.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/listing.rs
@@ -5,7 +5,7 @@
 use crate::kernel::ProcessId;
 use crate::requests::faults::{DrainSeenOn, FaultRecord};
 use crate::requests::layer::Instruction;
-use crate::requests::places::Places;
+use crate::requests::process_layout::ProcessLayout;
 use crate::requests::scenario::file::{Fault, SeenOn};
 use crate::requests::scenario::plan::Occurrence;
 use crate::requests::topology::{EndpointIndex, ZoneIndex};
@@ -16,7 +16,7 @@
 impl World {
     pub(super) fn leave(&mut self, fault: &Fault, occurrence: &Occurrence) {
         let endpoint = self.endpoint(fault);
-        let process = self.simulation.places().host(endpoint);
+        let process = self.simulation.layout().host(endpoint);
         let seen_on = match fault.seen_on {
             SeenOn::Report => {
                 self.host(endpoint).announce_drain();
@@ -44,7 +44,7 @@
 
     /// Once an endpoint has started again, its daemon registers; the platform's list follows.
     pub(super) fn await_start(&mut self, endpoint: EndpointIndex, starts: u32, lag: Duration) {
-        let process = self.simulation.places().host(endpoint);
+        let process = self.simulation.layout().host(endpoint);
         let kernel = self.simulation.kernel();
         let has_started = kernel.starts(process) > starts;
         if !has_started {
@@ -61,12 +61,12 @@
     pub(super) fn list(&mut self, endpoint: EndpointIndex, is_leaving: bool) {
         let topology = Arc::clone(self.simulation.topology());
         let shape = &topology.endpoints[endpoint.0];
-        let places = self.simulation.places();
+        let layout = self.simulation.layout();
         let entry = DirectoryEndpoint {
             endpoint: shape.name.clone(),
             service: topology.services[shape.service.0].name.clone(),
             zone: topology.zones[shape.zone.0].clone(),
-            address: Places::address(places.host(endpoint)),
+            address: ProcessLayout::address(layout.host(endpoint)),
             draining: is_leaving,
         };
         let update = DirectoryUpdate {
@@ -82,13 +82,13 @@
     }
 
     pub(super) fn hosts(&self) -> Vec<ProcessId> {
-        let places = self.simulation.places();
+        let layout = self.simulation.layout();
         let topology = self.simulation.topology();
         let endpoints = (0..topology.endpoints.len()).map(EndpointIndex);
         let gateways = (0..topology.zones.len()).map(ZoneIndex);
         endpoints
-            .map(|endpoint| places.host(endpoint))
-            .chain(gateways.map(|zone| places.gateway(zone)))
+            .map(|endpoint| layout.host(endpoint))
+            .chain(gateways.map(|zone| layout.gateway(zone)))
             .collect()
     }
 }
--- a/crates/bramblewheel-sim/src/requests/scenario/world/services.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/services.rs
@@ -30,7 +30,7 @@
     }
 
     pub(super) fn host(&mut self, endpoint: EndpointIndex) -> &mut Host {
-        let process = self.simulation.places().host(endpoint);
+        let process = self.simulation.layout().host(endpoint);
         self.simulation.host_at(process)
     }
 
--- a/crates/bramblewheel-sim/src/requests/scenario/world/stops.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/stops.rs
@@ -54,14 +54,14 @@
     }
 
     pub(super) fn stop_replica(&mut self, replica: u32) {
-        let process = self.simulation.places().replica(replica);
+        let process = self.simulation.layout().replica(replica);
         self.stop(process, StopCause::Exited, RESTART_AFTER);
     }
 
     /// Stops every machine, one after the other: endpoints, gateways, replicas. The next is
     /// stopped once the one before has started again, and some time later.
     pub(super) fn roll_on(&mut self, position: usize, pause: Duration) {
-        let places = self.simulation.places();
+        let layout = self.simulation.layout();
         let hosts = self.hosts();
         let replica = u32::try_from(position.saturating_sub(hosts.len())).unwrap_or(u32::MAX);
         let process = match hosts.get(position) {
@@ -71,7 +71,7 @@
             }
             None if replica < self.replicas => {
                 self.hand_over(replica);
-                places.replica(replica)
+                layout.replica(replica)
             }
             None => return,
         };
--- a/crates/bramblewheel-sim/src/requests/scenario/world/targets.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/targets.rs
@@ -24,20 +24,20 @@
     }
 
     pub(super) fn machine(&mut self, kind: MachineKind, fault: &Fault) -> ProcessId {
-        let places = self.simulation.places();
+        let layout = self.simulation.layout();
         match kind {
             MachineKind::Endpoint => {
                 let endpoint = self.endpoint(fault);
-                places.host(endpoint)
+                layout.host(endpoint)
             }
             MachineKind::Gateway => {
                 let zones = self.simulation.topology().zones.len();
-                places.gateway(ZoneIndex(self.random.random_range(0..zones)))
+                layout.gateway(ZoneIndex(self.random.random_range(0..zones)))
             }
-            MachineKind::Replica => places.replica(self.random.random_range(0..self.replicas)),
+            MachineKind::Replica => layout.replica(self.random.random_range(0..self.replicas)),
             MachineKind::Leader => {
                 let drawn = self.random.random_range(0..self.replicas);
-                places.replica(self.simulation.leader(self.replicas).unwrap_or(drawn))
+                layout.replica(self.simulation.leader(self.replicas).unwrap_or(drawn))
             }
         }
     }
--- a/crates/bramblewheel-sim/src/requests/scripted.rs
+++ b/crates/bramblewheel-sim/src/requests/scripted.rs
@@ -2,7 +2,7 @@
 
 use super::actor::RequestActor;
 use super::message::{CallerAnswer, Message, RootRequest, SendId, SessionClaim, Timer};
-use super::places::Places;
+use super::process_layout::ProcessLayout;
 use super::record::Record;
 use super::topology::{FlowIndex, Topology, ZoneIndex};
 use crate::kernel::{Context, ProcessId};
@@ -52,7 +52,7 @@
 /// Callers of one zone that send what a script says.
 #[derive(Debug)]
 pub struct ScriptedCallers {
-    places: Places,
+    layout: ProcessLayout,
     topology: Arc<Topology>,
     patience: Duration,
     script: Vec<ScriptedSend>,
@@ -64,7 +64,7 @@
     /// Callers with their sends; they wait for `patience` beyond their deadlines.
     pub fn new(topology: Arc<Topology>, patience: Duration, script: Vec<ScriptedSend>) -> Self {
         Self {
-            places: Places::new(&topology),
+            layout: ProcessLayout::new(&topology),
             topology,
             patience,
             script,
@@ -91,7 +91,7 @@
         let position = usize::try_from(position).expect("a script fits into memory");
         let scripted = &self.script[position];
         let send = scripted.send;
-        let to = self.places.gateway(scripted.gateway);
+        let to = self.layout.gateway(scripted.gateway);
         let request = RootRequest {
             send,
             request: scripted.request,
--- a/crates/bramblewheel-sim/src/requests/simulation.rs
+++ b/crates/bramblewheel-sim/src/requests/simulation.rs
@@ -6,7 +6,7 @@
 use super::layer::{Instruction, LayerCounters, LayerOptions, LayerSettings};
 use super::ledger::LedgerService;
 use super::load::{CallerBehaviour, LoadProfile};
-use super::places::Places;
+use super::process_layout::ProcessLayout;
 use super::record::Record;
 use super::replica::{Replica, bootstrap_request};
 use super::scripted::{ScriptedCallers, ScriptedSend};
@@ -47,7 +47,7 @@
 /// A run of a deployment under load.
 pub struct RequestSimulation {
     topology: Arc<Topology>,
-    places: Places,
+    layout: ProcessLayout,
     simulation: Simulation<RequestActor>,
 }
 
@@ -71,7 +71,7 @@
         simulation.network_mut().set_reports_undelivered(true);
         simulation.network_mut().set_keeps_connections(true);
         let mut run = Self {
-            places: Places::new(&topology),
+            layout: ProcessLayout::new(&topology),
             topology,
             simulation,
         };
@@ -99,7 +99,10 @@
         for (zone, endpoint) in hosts.chain(gateways) {
             let host = Host::new(Arc::clone(&topology), zone, endpoint, layer.clone());
             let host = host.with_options(options).with_tape(tape.cloned());
-            self.add(RequestActor::Host(Box::new(host)), Places::zone(zone));
+            self.add(
+                RequestActor::Host(Box::new(host)),
+                ProcessLayout::zone(zone),
+            );
         }
     }
 
@@ -107,7 +110,7 @@
     fn add_ledger(&mut self) {
         let commit_time = self.topology.delay_between_zones() * 2 + SYNC_TIME;
         let ledger = LedgerService::new(commit_time);
-        let zone = Places::zone(ZoneIndex(0));
+        let zone = ProcessLayout::zone(ZoneIndex(0));
         self.add(RequestActor::Ledger(ledger), zone);
     }
 
@@ -120,8 +123,8 @@
                 settings.load.clone(),
                 settings.callers,
             );
-            let place = self.places.caller_zone(zone);
-            self.add(RequestActor::Callers(Box::new(callers)), place);
+            let network_zone = self.layout.caller_zone(zone);
+            self.add(RequestActor::Callers(Box::new(callers)), network_zone);
         }
     }
 
@@ -130,8 +133,8 @@
             let own = sends.iter().filter(|send| send.zone == zone);
             let own = own.cloned().collect();
             let callers = ScriptedCallers::new(Arc::clone(&self.topology), patience, own);
-            let place = self.places.caller_zone(zone);
-            self.add(RequestActor::Scripted(Box::new(callers)), place);
+            let network_zone = self.layout.caller_zone(zone);
+            self.add(RequestActor::Scripted(Box::new(callers)), network_zone);
         }
     }
 
@@ -140,10 +143,10 @@
         let zones = self.topology.zones.len();
         let mut voters = Vec::new();
         for number in 0..count {
-            let process = self.places.replica(number);
+            let process = self.layout.replica(number);
             let random = self.simulation.streams().stream(Purpose::Other(number));
             let replica = Replica::new(number, process, random);
-            let zone = Places::zone(ZoneIndex(number as usize % zones));
+            let zone = ProcessLayout::zone(ZoneIndex(number as usize % zones));
             self.add(RequestActor::Replica(Box::new(replica)), zone);
             if let RequestActor::Replica(replica) = self.simulation.actor(process) {
                 voters.extend(replica.address().cloned());
@@ -151,7 +154,7 @@
         }
         for number in 0..count {
             let request = bootstrap_request(voters.clone());
-            let process = self.places.replica(number);
+            let process = self.layout.replica(number);
             self.simulation.with(process, |actor, context| {
                 if let RequestActor::Replica(replica) = actor {
                     replica.bootstrap(context, request);
@@ -171,7 +174,7 @@
 
     /// Hands the leadership of a control replica over, if it leads.
     pub fn hand_over(&mut self, replica: u32) {
-        let process = self.places.replica(replica);
+        let process = self.layout.replica(replica);
         self.simulation.with(process, |actor, context| {
             if let RequestActor::Replica(replica) = actor {
                 replica.hand_over(context);
@@ -182,7 +185,7 @@
     /// Number of the control replica that leads, if one does.
     pub fn leader(&self, replicas: u32) -> Option<u32> {
         (0..replicas).find(
-            |number| match self.simulation.actor(self.places.replica(*number)) {
+            |number| match self.simulation.actor(self.layout.replica(*number)) {
                 RequestActor::Replica(replica) => replica.is_leader(),
                 _ => false,
             },
@@ -203,7 +206,7 @@
     pub fn set_slowdown(&mut self, service: ServiceIndex, factor: f64) {
         let topology = Arc::clone(&self.topology);
         for endpoint in &topology.services[service.0].endpoints {
-            self.host_mut(self.places.host(*endpoint))
+            self.host_mut(self.layout.host(*endpoint))
                 .set_slowdown(factor);
         }
     }
@@ -216,7 +219,7 @@
     /// Cuts the ways into a zone, out of it, or both, as [`cut_zone`](Self::cut_zone) does.
     pub fn cut_ways(&mut self, zone: ZoneIndex, into: bool, out_of: bool) {
         let others = self.other_zones(zone);
-        let inside = [Places::zone(zone), self.places.caller_zone(zone)];
+        let inside = [ProcessLayout::zone(zone), self.layout.caller_zone(zone)];
         for outside in others {
             for own in inside {
                 if out_of {
@@ -238,7 +241,7 @@
         (0..self.topology.zones.len())
             .map(ZoneIndex)
             .filter(|other| *other != zone)
-            .flat_map(|other| [Places::zone(other), self.places.caller_zone(other)])
+            .flat_map(|other| [ProcessLayout::zone(other), self.layout.caller_zone(other)])
             .collect()
     }
 
@@ -253,8 +256,8 @@
     }
 
     /// Where the processes are.
-    pub fn places(&self) -> Places {
-        self.places
+    pub fn layout(&self) -> ProcessLayout {
+        self.layout
     }
 
     /// The deployment.
@@ -270,7 +273,7 @@
     fn host_mut(&mut self, process: ProcessId) -> &mut Host {
         match self.simulation.actor_mut(process) {
             RequestActor::Host(host) => host,
-            _ => unreachable!("places name hosts for endpoints and gateways"),
+            _ => unreachable!("the layout names hosts for endpoints and gateways"),
         }
     }
 
@@ -279,8 +282,8 @@
         let endpoints = (0..self.topology.endpoints.len()).map(EndpointIndex);
         let gateways = (0..self.topology.zones.len()).map(ZoneIndex);
         let processes = endpoints
-            .map(|endpoint| self.places.host(endpoint))
-            .chain(gateways.map(|zone| self.places.gateway(zone)));
+            .map(|endpoint| self.layout.host(endpoint))
+            .chain(gateways.map(|zone| self.layout.gateway(zone)));
         processes.filter_map(|process| match self.simulation.actor(process) {
             RequestActor::Host(host) => Some(host.as_ref()),
             _ => None,
@@ -290,7 +293,7 @@
     /// Requests of callers that are not over.
     pub fn open_requests(&self) -> usize {
         let zones = (0..self.topology.zones.len()).map(ZoneIndex);
-        let callers = zones.map(|zone| self.simulation.actor(self.places.callers(zone)));
+        let callers = zones.map(|zone| self.simulation.actor(self.layout.callers(zone)));
         callers
             .map(|actor| match actor {
                 RequestActor::Callers(callers) => callers.open(),
@@ -304,7 +307,7 @@
         let zones = (0..self.topology.zones.len()).map(ZoneIndex);
         zones
             .filter_map(
-                |zone| match self.simulation.actor(self.places.callers(zone)) {
+                |zone| match self.simulation.actor(self.layout.callers(zone)) {
                     RequestActor::Callers(callers) => Some(callers.results()),
                     _ => None,
                 },
@@ -337,13 +340,21 @@
     let between = exactly(topology.delay_between_zones());
     let random = streams.stream(Purpose::Network);
     let mut network = Network::new(2 * zones, inside, between, random);
-    // The second half of the zones are the places of callers; each send opens a connection.
+    // The second half of the network zones are those of callers; each send opens a connection.
     let to_clients = exactly(topology.client_delay());
     let from_clients = exactly(topology.client_delay() + topology.connect_time());
     for zone in (0..zones).map(ZoneIndex) {
         for client in (zones..2 * zones).map(ZoneIndex) {
-            network.set_delay(Places::zone(zone), Places::zone(client), to_clients);
-            network.set_delay(Places::zone(client), Places::zone(zone), from_clients);
+            network.set_delay(
+                ProcessLayout::zone(zone),
+                ProcessLayout::zone(client),
+                to_clients,
+            );
+            network.set_delay(
+                ProcessLayout::zone(client),
+                ProcessLayout::zone(zone),
+                from_clients,
+            );
         }
     }
     network
--- a/crates/bramblewheel-sim/src/requests/tape.rs
+++ b/crates/bramblewheel-sim/src/requests/tape.rs
@@ -1,6 +1,6 @@
 //! What endpoints draw in a run, written down or played back.
 //!
-//! A run is known by its place in the call tree of its root's send, so that a tape fits also when
+//! A run is known by its position in the call tree of its root's send, so that a tape fits also when
 //! the layer sends an attempt to another endpoint than it did when the tape was written.
 
 use super::content::{Content, RunId};
@@ -15,7 +15,7 @@
 /// Name of the run that a send itself asks for.
 const ROOT: &str = "root";
 
-/// Place of a run in a call tree: the positions of the sub-calls that lead to it, from 1.
+/// Position of a run in a call tree: the positions of the sub-calls that lead to it, from 1.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallPath(Vec<NonZeroU32>);
 
@@ -61,7 +61,7 @@
 /// What one run drew.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunDraws {
-    /// Place in the call tree. A tree may hold several runs of one place, the first one first;
+    /// Position in the call tree. A tree may hold several runs of one position, the first one first;
     /// the last one stands for all further runs.
     pub path: CallPath,
     /// Whole work time as drawn for each part of the work, in whole microseconds. The last one
@@ -83,13 +83,13 @@
     is_recording: bool,
     draws: Draws,
     /// Runs in progress or over: whose they are, and where.
-    runs: HashMap<RunId, Place>,
-    /// Runs so far of each place.
+    runs: HashMap<RunId, RunPosition>,
+    /// Runs so far of each position.
     begun: HashMap<(SendId, CallPath), usize>,
 }
 
 #[derive(Clone, Debug)]
-struct Place {
+struct RunPosition {
     send: SendId,
     path: CallPath,
     /// Position among the draws of the send; none when the tape has none for the run.
@@ -137,13 +137,13 @@
             },
         };
         let index = state.index_of(send, &path);
-        let place = Place {
+        let position = RunPosition {
             send,
             path,
             index,
             parts: 0,
         };
-        state.runs.insert(run, place);
+        state.runs.insert(run, position);
     }
 
     /// Whole work time for the next part of a run: `drawn` in whole microseconds, or what the
@@ -199,10 +199,10 @@
     }
 
     fn next_part(&mut self, run: RunId) -> Option<(usize, &mut RunDraws)> {
-        let place = self.runs.get_mut(&run)?;
-        let part = place.parts;
-        place.parts += 1;
-        let draws = self.draws.get_mut(&place.send)?;
-        Some((part, draws.get_mut(place.index?)?))
+        let position = self.runs.get_mut(&run)?;
+        let part = position.parts;
+        position.parts += 1;
+        let draws = self.draws.get_mut(&position.send)?;
+        Some((part, draws.get_mut(position.index?)?))
     }
 }
--- a/crates/bramblewheel-sim/src/trace/fault.rs
+++ b/crates/bramblewheel-sim/src/trace/fault.rs
@@ -2,7 +2,7 @@
 
 use crate::kernel::{ProcessId, StopCause};
 use crate::requests::{
-    EndpointIndex, Instruction, Places, RequestSimulation, ServiceIndex, ZoneIndex,
+    EndpointIndex, Instruction, ProcessLayout, RequestSimulation, ServiceIndex, ZoneIndex,
 };
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
@@ -50,11 +50,11 @@
 }
 
 impl Machine {
-    fn process(self, places: Places) -> ProcessId {
+    fn process(self, layout: ProcessLayout) -> ProcessId {
         match self {
-            Self::Endpoint(endpoint) => places.host(endpoint),
-            Self::Gateway(zone) => places.gateway(zone),
-            Self::Replica(number) => places.replica(number),
+            Self::Endpoint(endpoint) => layout.host(endpoint),
+            Self::Gateway(zone) => layout.gateway(zone),
+            Self::Replica(number) => layout.replica(number),
         }
     }
 }
@@ -97,31 +97,31 @@
 }
 
 fn begin(run: &mut RequestSimulation, fault: &Fault) {
-    let places = run.places();
+    let layout = run.layout();
     match fault.action {
         FaultAction::Slow { service, percent } => {
             run.set_slowdown(service, percent as f64 / 100.0);
         }
         FaultAction::Kill(machine) => {
-            let process = machine.process(places);
+            let process = machine.process(layout);
             run.kernel_mut().stop(process, StopCause::Killed);
             run.kernel_mut().start_after(process, fault.lasts);
         }
-        FaultAction::Freeze(machine) => run.kernel_mut().freeze(machine.process(places)),
+        FaultAction::Freeze(machine) => run.kernel_mut().freeze(machine.process(layout)),
         FaultAction::StopPlanned(machine) => {
             let down = fault.lasts;
             let stop = Instruction::StopPlanned { down };
-            run.instruct(machine.process(places), stop);
+            run.instruct(machine.process(layout), stop);
         }
         FaultAction::CutZone(_) => {}
     }
 }
 
 fn end(run: &mut RequestSimulation, fault: &Fault) {
-    let places = run.places();
+    let layout = run.layout();
     match fault.action {
         FaultAction::Slow { service, .. } => run.set_slowdown(service, 1.0),
-        FaultAction::Freeze(machine) => run.kernel_mut().thaw(machine.process(places)),
+        FaultAction::Freeze(machine) => run.kernel_mut().thaw(machine.process(layout)),
         // Started again by the kernel.
         FaultAction::Kill(_) | FaultAction::StopPlanned(_) | FaultAction::CutZone(_) => {}
     }
--- a/crates/bramblewheel-sim/src/trace/record.rs
+++ b/crates/bramblewheel-sim/src/trace/record.rs
@@ -8,7 +8,7 @@
 use super::replay::{play, replay};
 use crate::kernel::{Entry, Fact, ProcessId};
 use crate::requests::{
-    Draws, LayerKind, LayerOptions, LayerSettings, Places, Record, RequestSettings,
+    Draws, LayerKind, LayerOptions, LayerSettings, ProcessLayout, Record, RequestSettings,
     RequestSimulation, Script, SendId, Tape, Topology, ZoneIndex,
 };
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
         ends: Ends::new(&history),
         draws: tape.draws(),
         topology: &head.deployment.value,
-        places: run.places(),
+        layout: run.layout(),
     };
     let trace = Trace {
         head: head.clone(),
@@ -68,7 +68,7 @@
     ends: Ends,
     draws: Draws,
     topology: &'a Topology,
-    places: Places,
+    layout: ProcessLayout,
 }
 
 impl Recording<'_> {
@@ -129,10 +129,10 @@
         else {
             unreachable!("only sends are looked at");
         };
-        let gateway = self.zone_of(*to, Places::gateway);
+        let gateway = self.zone_of(*to, ProcessLayout::gateway);
         let caller = entry
             .process
-            .map(|from| self.zone_of(from, Places::callers));
+            .map(|from| self.zone_of(from, ProcessLayout::callers));
         Send {
             at: entry.at,
             gateway,
@@ -151,9 +151,13 @@
     }
 
     /// The zone whose process of a kind this is.
-    fn zone_of(&self, process: ProcessId, of: fn(&Places, ZoneIndex) -> ProcessId) -> ZoneIndex {
+    fn zone_of(
+        &self,
+        process: ProcessId,
+        of: fn(&ProcessLayout, ZoneIndex) -> ProcessId,
+    ) -> ZoneIndex {
         let mut zones = (0..self.topology.zones.len()).map(ZoneIndex);
-        let found = zones.find(|zone| of(&self.places, *zone) == process);
+        let found = zones.find(|zone| of(&self.layout, *zone) == process);
         found.expect("callers send to the gateways of zones")
     }
 }
