--- a/crates/bramblewheel-lab/src/process/child.rs
+++ b/crates/bramblewheel-lab/src/process/child.rs
@@ -4,7 +4,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{ExitStatus, Stdio};
 use thiserror::Error;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
@@ -82,20 +82,8 @@
             name: spawn.name.clone(),
             error,
         };
-        let executable = std::env::current_exe().map_err(start_error)?;
-        let log = OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(&spawn.log);
-        let log = log.map_err(start_error)?;
-        let mut process = Command::new(executable)
-            .args(&spawn.arguments)
-            .stdin(Stdio::piped())
-            .stdout(Stdio::null())
-            .stderr(Stdio::piped())
-            .kill_on_drop(true)
-            .spawn()
-            .map_err(start_error)?;
+        let log = open_log(&spawn.log).map_err(start_error)?;
+        let mut process = spawn_process(&spawn.arguments).map_err(start_error)?;
         let pid = process
             .id()
             .and_then(|pid| Pid::from_raw(pid.cast_signed()));
@@ -103,7 +91,7 @@
         let input = Mutex::new(process.stdin.take());
         let error_output = process.stderr.take();
         let (ended_sender, ended) = watch::channel(None);
-        let (kill, mut kill_asked) = mpsc::unbounded_channel();
+        let (kill, kill_asked) = mpsc::unbounded_channel();
         let event_name = name.clone();
         tokio::spawn(async move {
             let reading = async {
@@ -111,20 +99,7 @@
                     read_log(output, log, &event_name, &events).await;
                 }
             };
-            let waiting = async {
-                let status = tokio::select! {
-                    status = process.wait() => status,
-                    _ = kill_asked.recv() => {
-                        // The process may have just ended by itself.
-                        let _ = process.start_kill();
-                        process.wait().await
-                    }
-                };
-                // From here on the process id may belong to another process.
-                let status = status.unwrap_or_default();
-                ended_sender.send_replace(Some(status));
-                status
-            };
+            let waiting = wait_for_end(process, kill_asked, ended_sender);
             // All that was logged comes before the end.
             let ((), status) = tokio::join!(reading, waiting);
             let _ = events.send((event_name, ChildEvent::Exited(status.code())));
@@ -194,6 +169,42 @@
     }
 }
 
+/// Opens the file that takes what a child logs, for appending.
+fn open_log(path: &Path) -> io::Result<File> {
+    OpenOptions::new().create(true).append(true).open(path)
+}
+
+/// Starts the lab's own executable with these arguments.
+fn spawn_process(arguments: &[String]) -> io::Result<tokio::process::Child> {
+    Command::new(std::env::current_exe()?)
+        .args(arguments)
+        .stdin(Stdio::piped())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped())
+        .kill_on_drop(true)
+        .spawn()
+}
+
+/// Waits until a process has ended, killing it when asked to, and announces its status.
+async fn wait_for_end(
+    mut process: tokio::process::Child,
+    mut kill_asked: mpsc::UnboundedReceiver<()>,
+    ended: watch::Sender<Option<ExitStatus>>,
+) -> ExitStatus {
+    let status = tokio::select! {
+        status = process.wait() => status,
+        _ = kill_asked.recv() => {
+            // The process may have just ended by itself.
+            let _ = process.start_kill();
+            process.wait().await
+        }
+    };
+    // From here on the process id may belong to another process.
+    let status = status.unwrap_or_default();
+    ended.send_replace(Some(status));
+    status
+}
+
 async fn read_log(
     output: ChildStderr,
     mut log: File,
