--- a/crates/bramblewheel-sim/src/requests/check/priority.rs
+++ b/crates/bramblewheel-sim/src/requests/check/priority.rs
@@ -135,8 +135,8 @@
     // Each person counts once, however often it sent.
     let mut people = BTreeMap::new();
     for send in facts.sends.values() {
-        let told = send.end.as_ref().map(|end| end.outcome);
-        let is_completed = matches!(told, Some(CallerOutcome::Answer(Outcome::Completed, _)));
+        let outcome = send.end.as_ref().map(|end| end.outcome);
+        let is_completed = matches!(outcome, Some(CallerOutcome::Answer(Outcome::Completed, _)));
         let (_, completed) = people.entry(send.person).or_insert((send.flow, false));
         *completed |= is_completed;
     }
--- a/crates/bramblewheel-sim/src/requests/scenario/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/mod.rs
@@ -1,6 +1,7 @@
 //! Scenarios of kind `requests`: a deployment under load and faults, held to the promises.
 
 mod examples;
+mod figures;
 mod file;
 mod plan;
 mod run;
--- a/crates/bramblewheel-sim/src/requests/scenario/run.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/run.rs
@@ -8,12 +8,13 @@
 use super::super::simulation::{RequestSettings, RequestSimulation};
 use super::super::topology::Topology;
 use super::examples::files_of;
+use super::figures;
 use super::file::{Outcomes, RequestScenario};
 use super::plan;
 use super::world::World;
-use crate::kernel::{Entry, Fact, HistoryDigest, Purpose, Streams};
+use crate::kernel::{Entry, HistoryDigest, Purpose, Streams};
 use bramblewheel_bundle::Bundle;
-use bramblewheel_types::{Outcome, Timestamp};
+use bramblewheel_types::Timestamp;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -76,7 +77,7 @@
         bounds: bounds(&scenario.outcomes),
     };
     let mut violations = check(&evidence);
-    let mut figures = figures(&history, &topology);
+    let mut figures = figures::count(&history, &topology);
     figures.insert("events", handled);
     violations.extend(stated_outcomes(&scenario.outcomes, &figures));
     RequestRun {
@@ -154,85 +155,6 @@
     }
 }
 
-/// Counts of what the run shows.
-fn figures(history: &[Entry<Record>], topology: &Topology) -> BTreeMap<&'static str, u64> {
-    let mut figures = BTreeMap::new();
-    let mut count = |name| *figures.entry(name).or_default() += 1;
-    let mut people = BTreeMap::new();
-    let mut contents = BTreeMap::new();
-    let mut sends = BTreeMap::new();
-    for entry in history {
-        let record = match &entry.fact {
-            Fact::Domain(record) => record,
-            Fact::Stopped(_) => {
-                count("stops");
-                continue;
-            }
-            _ => continue,
-        };
-        match record {
-            Record::Sent {
-                send,
-                person,
-                resend,
-                operation,
-                has_token,
-                ..
-            } => {
-                count("sends");
-                if *has_token {
-                    count("session_sends");
-                }
-                sends.insert(*send, *person);
-                people.entry(*person).or_insert(false);
-                if *resend > 0 {
-                    count("resends");
-                }
-                if operation.is_some() {
-                    count("operation_sends");
-                }
-            }
-            Record::Ran { content, .. } => {
-                count("runs");
-                if contents.insert(*content, ()).is_some() {
-                    count("extra_runs");
-                }
-            }
-            Record::Told {
-                send,
-                outcome,
-                answered,
-                ..
-            } => {
-                count(match outcome {
-                    Outcome::Completed => "told_completed",
-                    Outcome::NotRun { .. } => "told_not_run",
-                    Outcome::Failed => "told_failed",
-                    Outcome::Unknown => "told_unknown",
-                });
-                if *outcome == Outcome::Completed {
-                    people.insert(sends[send], true);
-                    let is_stored = *answered != Some(super::super::content::Content::Root(*send));
-                    if is_stored {
-                        count("stored_answers");
-                    }
-                }
-            }
-            Record::GaveUp { .. } => count("gave_up"),
-            Record::NotReached { .. } => count("not_reached"),
-            Record::Stopped { .. } => count("runs_stopped"),
-            Record::Replied { outcome, .. } if outcome.is_not_run() => count("attempts_refused"),
-            Record::Fault(_) => count("faults"),
-            _ => {}
-        }
-    }
-    let completed = people.values().filter(|completed| **completed).count();
-    figures.insert("requests", people.len() as u64);
-    figures.insert("requests_completed", completed as u64);
-    figures.insert("endpoints", topology.endpoints.len() as u64);
-    figures
-}
-
 /// Outcomes of the scenario beside the promises.
 fn stated_outcomes(outcomes: &Outcomes, figures: &BTreeMap<&'static str, u64>) -> Vec<Violation> {
     let figure = |name| figures.get(name).copied().unwrap_or(0);
