--- a/crates/bramblewheel-ports/src/lib.rs
+++ b/crates/bramblewheel-ports/src/lib.rs
@@ -20,7 +20,7 @@
 pub const PORTS: Range<u16> = 12_000..32_000;
 
 /// Ports between the first ones that two processes with consecutive ids try, so that they seldom
-/// meet; chosen, not measured. It has no divisor in common with the number of ports.
+/// meet. It has no divisor in common with the number of ports.
 const PORTS_PER_PROCESS: u64 = 101;
 
 /// Ports tried so far by this process.
--- a/crates/bramblewheel-process/src/clock.rs
+++ b/crates/bramblewheel-process/src/clock.rs
@@ -12,8 +12,7 @@
 use thiserror::Error;
 
 /// Longest sleep between two readings of the clock: a wait that a suspended machine has overslept is found to
-/// be over within this time of waking. Most requests are answered sooner, and cost no second reading. Chosen,
-/// not measured.
+/// be over within this time of waking. Most requests are answered sooner, and cost no second reading.
 const LONGEST_SLEEP: Duration = Duration::from_millis(500);
 
 /// Reads the time since some moment before the start of the process.
--- a/crates/bramblewheel-process/src/logging.rs
+++ b/crates/bramblewheel-process/src/logging.rs
@@ -10,12 +10,11 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Lines that wait to be written; a reader that stalls costs the ones beyond. Chosen, not measured.
+/// Lines that wait to be written; a reader that stalls costs the ones beyond.
 const WAITING_LINES: usize = 2_048;
-/// Seconds' worth of lines that may come at once before the bound on their rate holds. Chosen, not
-/// measured.
+/// Seconds' worth of lines that may come at once before the bound on their rate holds.
 const BURST_SECONDS: f64 = 3.0;
-/// Time between two lines that say how many were left out; chosen, not measured.
+/// Time between two lines that say how many were left out.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
 /// Builds a logger on standard error; lines below `level` are dropped.
--- a/crates/bramblewheel-protocol/src/client.rs
+++ b/crates/bramblewheel-protocol/src/client.rs
@@ -12,16 +12,16 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Longest wait for a connection; chosen, not measured.
+/// Time-out for opening a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for one replica's answer where there are others to ask; chosen, not measured.
+/// Time-out for one replica's answer if there are other replicas to ask.
 pub const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most sends of one request by [`request_any`]; chosen, not measured.
+/// Maximum number of sends of one request by [`request_any`].
 pub const MAX_ATTEMPTS: usize = 100;
-/// Pause after the first round over all replicas; doubled after each round; chosen, not measured.
+/// Pause after the first round over all replicas; doubled after each round.
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause between rounds; chosen, not measured.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum pause between rounds.
+const MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// One replica gave no answer.
 #[derive(Debug, Error)]
@@ -59,8 +59,8 @@
 /// A connection to one control replica.
 #[derive(Debug)]
 pub struct ControlClient {
-    /// Taken while a request is under way, so that a request given up half-way through a frame
-    /// leaves no stream that is out of step.
+    /// Taken while a request is in progress, so that a request that is cancelled in the middle of a frame
+    /// doesn't leave a stream that is out of sync.
     stream: Option<TcpStream>,
     next_id: u64,
 }
@@ -69,7 +69,7 @@
     /// Connects to a replica's service address.
     ///
     /// # Errors
-    /// [`ClientError::Connect`], also when it takes longer than [`CONNECT_TIMEOUT`].
+    /// [`ClientError::Connect`] if the connection fails or takes longer than [`CONNECT_TIMEOUT`].
     pub async fn connect(address: SocketAddr) -> Result<Self, ClientError> {
         let stream = socket::connect(address, CONNECT_TIMEOUT)
             .await
@@ -80,21 +80,21 @@
         })
     }
 
-    /// Sends a request and waits for its answer. After an error the connection is not usable.
+    /// Sends a request and waits up to `max_wait` for its answer. After an error the connection can't be used again.
     ///
     /// # Errors
-    /// [`ClientError`]; [`ClientError::may_have_run`] is whether the replica may have acted.
+    /// [`ClientError`]; [`ClientError::may_have_run`] tells whether the replica may have acted on the request.
     pub async fn request(
         &mut self,
         body: RequestBody,
-        longest_wait: Duration,
+        max_wait: Duration,
     ) -> Result<ReplyBody, ClientError> {
         let id = self.next_id;
         let request = ControlRequest { id, body };
         let frame = encode(&request, MAX_CONTROL_FRAME).map_err(ClientError::Encode)?;
         let mut stream = self.stream.take().ok_or(ClientError::Unusable)?;
         self.next_id += 1;
-        let reply = timeout(longest_wait, exchange(&mut stream, &frame, id))
+        let reply = timeout(max_wait, exchange(&mut stream, &frame, id))
             .await
             .map_err(|_| ClientError::Timeout)??;
         self.stream = Some(stream);
@@ -113,39 +113,39 @@
     Ok(reply.body)
 }
 
-/// No replica gave an answer that settles the request.
+/// No replica gave a final answer to the request.
 #[derive(Debug, Error)]
 pub enum RequestError {
     /// The request was provably not carried out.
-    #[error("no control replica could answer{}", last_note(.last))]
+    #[error("no control replica could answer{}", describe_attempts(.last))]
     NotDone {
-        /// What each failed send came to; the last ones.
+        /// The last failed attempt at each replica.
         last: Vec<FailedAttempt>,
     },
-    /// The request may have been carried out: ask again.
-    #[error("undecided: the request may have been carried out{}", last_note(.last))]
+    /// The request may have been carried out; send it again.
+    #[error("undecided: the request may have been carried out{}", describe_attempts(.last))]
     Undecided {
-        /// What each failed send came to; the last ones.
+        /// The last failed attempt at each replica.
         last: Vec<FailedAttempt>,
     },
 }
 
-/// One send that did not settle a request.
+/// One send of a request without a final answer.
 #[derive(Debug)]
 pub struct FailedAttempt {
     /// Replica asked.
     pub address: SocketAddr,
-    /// What came of it.
+    /// Why it failed.
     pub failure: AttemptFailure,
 }
 
-/// What came of a send that did not settle a request.
+/// Why a send got no final answer.
 #[derive(Debug, Error)]
 pub enum AttemptFailure {
     /// No answer.
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// The replica answered that it can't answer.
+    /// The replica answered that it can't serve the request now.
     #[error("{0}")]
     Unavailable(Unavailable),
 }
@@ -166,16 +166,16 @@
     }
 }
 
-fn last_note(last: &[FailedAttempt]) -> String {
-    let note = |attempt: &FailedAttempt| format!("; {}: {}", attempt.address, attempt.failure);
-    last.iter().map(note).collect()
+fn describe_attempts(last: &[FailedAttempt]) -> String {
+    let describe = |attempt: &FailedAttempt| format!("; {}: {}", attempt.address, attempt.failure);
+    last.iter().map(describe).collect()
 }
 
-/// Sends a request to one replica after the other until one settles it.
+/// Sends a request to one replica after the other until one gives a final answer.
 ///
-/// Follows hints to the leader, goes on to the next replica when one is unavailable or silent, and
-/// starts again after a growing pause, for at most `total_timeout` and [`MAX_ATTEMPTS`] sends. The
-/// request may reach several replicas: it must be one that is safe to send again.
+/// Follows hints to the leader, goes on to the next replica when one is unavailable or does not answer, and
+/// starts again after an increasing pause, for at most `total_timeout` and [`MAX_ATTEMPTS`] sends. The
+/// request may reach several replicas, so it must be safe to send again.
 ///
 /// # Errors
 /// [`RequestError::Undecided`] when a request that changes state may have been carried out,
@@ -201,16 +201,16 @@
             Err(failure) => failure,
         };
         may_have_run |= failure.may_have_run();
-        let hopeless = matches!(failure, AttemptFailure::Client(ClientError::Encode(_)));
+        let is_unsendable = matches!(failure, AttemptFailure::Client(ClientError::Encode(_)));
         hint = failure.leader_hint();
         last.retain(|earlier| earlier.address != address);
         last.push(FailedAttempt { address, failure });
-        if hopeless {
+        if is_unsendable {
             break;
         }
         if attempt % addresses.len() == 0 {
             sleep(pause.min(remaining(deadline))).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            pause = (pause * 2).min(MAX_PAUSE);
         }
         if remaining(deadline).is_zero() {
             break;
@@ -226,7 +226,7 @@
     deadline.saturating_duration_since(Instant::now())
 }
 
-/// A lone replica may use all the time there is.
+/// Limits an attempt to [`ATTEMPT_TIMEOUT`], except with a single replica, which may use all the remaining time.
 fn attempt_timeout(replicas: usize, deadline: Instant) -> Duration {
     if replicas == 1 {
         return remaining(deadline);
@@ -240,14 +240,14 @@
     wait: Duration,
 ) -> Result<ReplyBody, AttemptFailure> {
     let deadline = Instant::now() + wait;
-    let mut client = within(wait, ControlClient::connect(address)).await?;
+    let mut client = connect_within(wait, ControlClient::connect(address)).await?;
     match client.request(body, remaining(deadline)).await? {
         ReplyBody::Unavailable(why) => Err(AttemptFailure::Unavailable(why)),
         reply => Ok(reply),
     }
 }
 
-async fn within(
+async fn connect_within(
     wait: Duration,
     connecting: impl Future<Output = Result<ControlClient, ClientError>>,
 ) -> Result<ControlClient, ClientError> {
--- a/crates/bramblewheel-protocol/src/codec.rs
+++ b/crates/bramblewheel-protocol/src/codec.rs
@@ -1,4 +1,4 @@
-//! Framing: a length of four bytes, most significant first, then one CBOR value.
+//! Framing: a length of four bytes, big-endian, then one CBOR value.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -6,13 +6,13 @@
 use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Longest frame accepted from daemons and operators, in bytes; chosen, not measured.
+/// Maximum frame length accepted from daemons and operators, in bytes.
 pub const MAX_CONTROL_FRAME: usize = 4 * 1024 * 1024;
-/// Longest frame accepted between replicas, in bytes; holds a snapshot; chosen, not measured.
+/// Maximum frame length accepted between replicas, in bytes; one frame must hold a snapshot.
 pub const MAX_PEER_FRAME: usize = 256 * 1024 * 1024;
-/// Bytes of the length in front of each frame.
+/// Size of the length prefix of each frame, in bytes.
 pub const LENGTH_PREFIX: usize = 4;
-/// Memory reserved ahead for a frame that has not arrived yet, in bytes; chosen, not measured.
+/// Memory allocated up front for a frame that is still being received, in bytes.
 const READ_CHUNK: usize = 64 * 1024;
 
 /// A frame could not be read or written.
@@ -21,20 +21,20 @@
     /// The connection failed or ended inside a frame.
     #[error("connection: {0}")]
     Io(#[from] io::Error),
-    /// The peer announced a frame over the limit; nothing of it was read.
+    /// The peer announced a frame over the limit; its content was not read.
     #[error("frame of {length} bytes is over the limit of {limit}")]
     TooLong {
         /// Length announced.
         length: usize,
-        /// Limit in force.
+        /// Longest length allowed.
         limit: usize,
     },
-    /// The frame is not the CBOR value expected.
+    /// The frame is not a CBOR value of the expected type.
     #[error("not a valid message: {0}")]
     Malformed(String),
 }
 
-/// Encodes one value with its length in front.
+/// Encodes one value with its length prefix.
 ///
 /// # Errors
 /// [`CodecError::TooLong`] when the value takes more than `limit` bytes.
@@ -51,7 +51,7 @@
     Ok(frame)
 }
 
-/// Decodes one value from the bytes after the length; bytes left over are an error.
+/// Decodes one value from the bytes after the length prefix; trailing bytes are an error.
 ///
 /// # Errors
 /// [`CodecError::Malformed`] when the bytes are not exactly one value of the type.
@@ -70,7 +70,7 @@
 
 /// Reads one frame; `None` when the peer closed between frames.
 ///
-/// Memory grows with what has arrived, not with what was announced.
+/// Memory use grows with the bytes received, not with the announced length.
 ///
 /// # Errors
 /// [`CodecError`] when the connection fails or the frame is too long or malformed.
--- a/crates/bramblewheel-protocol/src/content.rs
+++ b/crates/bramblewheel-protocol/src/content.rs
@@ -1,14 +1,14 @@
-//! What two tries of one request have in common, whatever ids they carry.
+//! Digest of a request's content, which all attempts of the request share whatever ids they carry.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-/// Digest of a request's content: the same for all tries of one request, at all daemons.
+/// Digest of a request's content: the same for all attempts of one request, at all daemons.
 ///
-/// 64 bits suffice: the control group keeps some thousands of them, so that one among 500,000 requests
-/// a second is taken for another less than once in 100 years.
+/// 64 bits suffice: the control group keeps some thousands of digests, so at 500,000 requests a second
+/// a false match occurs less than once in 100 years.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ContentDigest(pub u64);
 
--- a/crates/bramblewheel-protocol/src/control/bundles.rs
+++ b/crates/bramblewheel-protocol/src/control/bundles.rs
@@ -1,6 +1,6 @@
-//! Signed bundles as operators publish them and as daemons receive them: whole or as a delta.
+//! Signed bundles as published by operators and as sent to daemons, whole or as a delta.
 //!
-//! Relies on the bundle crate for the canonical bytes and for what a signature covers.
+//! The bundle crate defines the canonical bytes and what a signature covers.
 
 use super::LogPosition;
 use bramblewheel_types::{BundleDigest, BundleVersion};
@@ -18,7 +18,7 @@
     pub bytes: Vec<u8>,
     /// Signatures over the digest.
     pub signatures: Vec<BundleSignature>,
-    /// Digest of the bundle this one is meant to follow, if the operator states it.
+    /// Digest of the bundle that this one is meant to replace, if the operator states it.
     pub expected_parent: Option<BundleDigest>,
 }
 
@@ -35,20 +35,20 @@
 /// A newer bundle for a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BundleUpdate {
-    /// The bundle itself.
+    /// The whole bundle.
     Whole(SignedBundle),
-    /// What leads to it from the bundle the daemon holds.
+    /// The difference from the bundle that the daemon holds.
     Delta(SignedBundleDelta),
 }
 
-/// What leads from one bundle to a newer one, with the newer one's signatures.
+/// The difference from one bundle to a newer one, with the newer one's signatures.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignedBundleDelta {
-    /// Version to start from.
+    /// Version that the delta applies to.
     pub from: BundleVersion,
-    /// Version reached.
+    /// Version of the newer bundle.
     pub version: BundleVersion,
-    /// Digest of the bundle reached.
+    /// Digest of the newer bundle.
     pub digest: BundleDigest,
     /// Encoded delta.
     #[serde(with = "serde_bytes")]
@@ -57,29 +57,29 @@
     pub signatures: Vec<BundleSignature>,
 }
 
-/// A bundle that changed who may sign the next one, without its limits and services.
+/// A bundle that changed the operators who may sign the next one, without its limits and services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorChange {
     /// First section of the bundle's canonical bytes: version, deployment and operators.
     #[serde(with = "serde_bytes")]
     pub head: Vec<u8>,
-    /// SHA-256 of the rest of the canonical bytes; with `head` it gives the bundle's digest.
+    /// SHA-256 of the rest of the canonical bytes; the bundle's digest follows from `head` and this.
     pub rest_digest: [u8; 32],
-    /// Signatures over the digest, by the operators before the change.
+    /// Signatures over the digest by the operators in force before the change.
     pub signatures: Vec<BundleSignature>,
 }
 
 /// Answer to a publish. Only `Accepted` means that the bundle is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PublishReply {
-    /// Committed, now or at an earlier send of the same version and digest.
+    /// Committed by this request or by an earlier send of the same version and digest.
     Accepted {
-        /// Position of the entry that holds it.
+        /// Log position of the entry with the bundle.
         position: LogPosition,
     },
-    /// Another bundle holds this version.
+    /// Another bundle has this version.
     Conflict {
-        /// Digest of the bundle that holds the version.
+        /// Digest of the bundle that has the version.
         winner: BundleDigest,
     },
     /// The version is not above the one in force.
--- a/crates/bramblewheel-protocol/src/control/daemons.rs
+++ b/crates/bramblewheel-protocol/src/control/daemons.rs
@@ -1,7 +1,7 @@
-//! Registrations and long polls of daemons: the bundle, the directory, the lease.
+//! Registrations of daemons and their long polls for the bundle and the directory.
 //!
-//! A poll renews the daemon's lease and is held until there is an update for it. Relies on the
-//! directory revision to send only what changed.
+//! A poll renews the daemon's lease and is held until there is an update for the daemon. The directory
+//! revision in it lets the replica send only what changed.
 
 use super::{BundleUpdate, LogPosition, OperatorChange};
 use bramblewheel_types::{
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a daemon reports of itself.
+/// A daemon's report on itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
     /// Name of the daemon.
@@ -21,11 +21,11 @@
     pub zone: ZoneName,
     /// Region of the daemon.
     pub region: RegionName,
-    /// The endpoint it stands beside, none for a gateway.
+    /// The endpoint beside the daemon; `None` for a gateway.
     pub endpoint: Option<EndpointRegistration>,
 }
 
-/// What a daemon reports of the endpoint beside it.
+/// A daemon's report on the endpoint beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRegistration {
     /// Name of the endpoint.
@@ -34,27 +34,27 @@
     pub service: ServiceName,
     /// Address of the daemon's inbound listener.
     pub address: SocketAddr,
-    /// The endpoint takes no new work.
+    /// Whether the endpoint is draining and takes no new requests.
     pub draining: bool,
 }
 
-/// A daemon asks for updates and renews its lease.
+/// Request of a daemon for updates; also renews its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollRequest {
-    /// Who asks.
+    /// Registration of the daemon.
     pub registration: Registration,
     /// Bundle in force at the daemon; version 0 if none.
     pub bundle_version: BundleVersion,
-    /// Version whose operators the daemon trusts: that of the bundle in force, or higher once
-    /// operator changes were followed whose bundle has not arrived yet; 0 if none.
+    /// Version whose operators the daemon trusts; 0 if none. Above the version of the bundle in force when
+    /// the daemon has applied operator changes whose bundle has not arrived yet.
     pub operators_version: BundleVersion,
-    /// The bundle is to come whole: a delta did not lead to the bundle it stated.
+    /// Requests the whole bundle, because applying a delta did not give the bundle with the stated digest.
     pub whole_bundle: bool,
     /// Highest position seen from any replica.
     pub position: LogPosition,
-    /// Directory revision the daemon holds; 0 if none.
+    /// Directory revision that the daemon holds; 0 if none.
     pub directory_revision: u64,
-    /// Services whose endpoints the daemon wants to know.
+    /// Services whose endpoints the daemon asks for.
     pub services: Vec<ServiceName>,
     /// How long the replica may hold the request, in milliseconds.
     pub wait: Millis,
@@ -63,21 +63,20 @@
 /// Update for a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PollReply {
-    /// Position at which the reply is true.
+    /// Log position that the reply reflects.
     pub position: LogPosition,
-    /// Changes of the operators between the version whose operators the daemon trusts and the
-    /// bundle below, oldest first. When they don't fit one reply, the bundle is left out and the
-    /// daemon polls again at once.
+    /// Operator changes between the version whose operators the daemon trusts and the bundle below, oldest
+    /// first. If they don't fit into one reply, the bundle is left out and the daemon polls again at once.
     pub operator_changes: Vec<OperatorChange>,
     /// A newer bundle, if there is one.
     pub bundle: Option<BundleUpdate>,
     /// Revision of the directory after the changes below.
     pub directory_revision: u64,
-    /// Whether `live` is all there is, rather than changes since the daemon's revision.
+    /// Whether `live` is the whole directory rather than the changes since the daemon's revision.
     pub directory_is_complete: bool,
-    /// Endpoints that are live or changed.
+    /// Live endpoints, or those of them that changed.
     pub live: Vec<DirectoryEntry>,
-    /// Endpoints that are gone.
+    /// Endpoints that were removed.
     pub removed: Vec<EndpointId>,
 }
 
@@ -92,14 +91,14 @@
     pub zone: ZoneName,
     /// Address of its daemon's inbound listener.
     pub address: SocketAddr,
-    /// It takes no new work.
+    /// Whether it is draining and takes no new requests.
     pub draining: bool,
 }
 
-/// What the control group knows of a daemon.
+/// State of a daemon as known to the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonStatus {
-    /// What the daemon reported of itself.
+    /// Latest registration of the daemon.
     pub registration: Registration,
     /// Bundle in force at its last poll.
     pub bundle_version: BundleVersion,
--- a/crates/bramblewheel-protocol/src/control/group.rs
+++ b/crates/bramblewheel-protocol/src/control/group.rs
@@ -1,49 +1,49 @@
-//! The control group itself, for operators: its bootstrap, its members, their replacement.
+//! Operators' requests about the control group: bootstrap, status and replacement of replicas.
 
 use super::{LogPosition, SignedBundle};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Starts a new group.
+/// Request to start a new group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BootstrapRequest {
-    /// Unique; the same at every replica of the group. The operator's tool derives it from the
-    /// voters' random identities and the bundle, so that a repeated bootstrap is the same one.
+    /// Unique id of the group, the same at every replica. The operator's tool derives it from the voters'
+    /// random identities and the bundle, so that a repeated bootstrap has the same id.
     pub group: u64,
-    /// First voters; the replica asked must be among them.
+    /// First voters; the replica that receives the request must be among them.
     pub voters: Vec<ReplicaAddress>,
-    /// First bundle: fixes the operator keys that may sign the next.
+    /// First bundle; determines the operator keys that may sign the next.
     pub bundle: SignedBundle,
 }
 
-/// Names a replica and where its peers reach it.
+/// Identity, name and addresses of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaAddress {
-    /// Identity, drawn at random when the data folder is made.
+    /// Identity, drawn at random when the data folder is created.
     pub replica: u64,
     /// Stable name from the settings, such as `control-1`.
     pub name: String,
-    /// Address for messages of its peers.
+    /// Address for messages from other replicas.
     pub peer: SocketAddr,
     /// Address for daemons and operators.
     pub service: SocketAddr,
 }
 
-/// Replaces a lost replica by one with an empty data folder.
+/// Request to replace a lost replica by one with an empty data folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplaceRequest {
     /// Replica to remove.
     pub lost: u64,
-    /// Replica to admit, first as learner, as voter once it has the whole log synced.
+    /// Replica to add, first as learner, then as voter once it has synced the whole log.
     pub replacement: ReplicaAddress,
 }
 
-/// State of the control group as one replica sees it.
+/// State of the control group as known to one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStatus {
     /// The replica that answers.
     pub replica: ReplicaAddress,
-    /// Group it belongs to, none before bootstrap.
+    /// Group it belongs to; `None` before bootstrap.
     pub group: Option<u64>,
     /// Current term.
     pub term: u64,
--- a/crates/bramblewheel-protocol/src/control/mod.rs
+++ b/crates/bramblewheel-protocol/src/control/mod.rs
@@ -1,9 +1,9 @@
 //! Messages between daemons or operators and the control replicas.
 //!
-//! One connection carries requests with rising ids; replies name the id they answer and may come
-//! in any order, so that a long poll and claims share a connection. Owns the envelope and the
-//! position in the log; the bodies stand in a module for each subject, re-exported here. All names
-//! of fields and variants are the wire.
+//! Requests on one connection have increasing ids; replies carry the id of their request and may arrive in
+//! any order, so that a long poll and claims can share a connection. This module defines the envelope and
+//! the log position; the submodules define the bodies. Names of fields and variants are part of the wire
+//! format.
 
 mod bundles;
 mod daemons;
@@ -30,27 +30,27 @@
 /// A request to a control replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlRequest {
-    /// Names the reply; rising on one connection.
+    /// Identifies the reply; increasing on one connection.
     pub id: u64,
-    /// What is asked.
+    /// Content.
     pub body: RequestBody,
 }
 
 /// A reply of a control replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlReply {
-    /// The request answered.
+    /// Id of the request answered.
     pub id: u64,
-    /// The answer.
+    /// Content.
     pub body: ReplyBody,
 }
 
-/// What is asked of a control replica.
+/// Content of a request to a control replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestBody {
-    /// A daemon asks for updates and renews its lease; held until there is one or `wait` is over.
+    /// A daemon asks for updates and renews its lease; held until there is an update or `wait` has passed.
     Poll(Box<PollRequest>),
-    /// Run-once operations, batched; answered by the leader or passed on to it.
+    /// A batch of run-once operations; answered by the leader or forwarded to it.
     Operations(Vec<OperationRequest>),
     /// An operator publishes a bundle.
     Publish(SignedBundle),
@@ -64,11 +64,11 @@
     Bootstrap(BootstrapRequest),
     /// An operator replaces a lost replica.
     Replace(ReplaceRequest),
-    /// A daemon asks for updates of routes and endpoints; held until there is one or `wait` is over.
+    /// A daemon asks for updates of routes and endpoints; held until there is an update or `wait` has passed.
     Watch(Box<WatchRequest>),
     /// A daemon reports a change of the endpoint beside it.
     RegisterEndpoint(Box<EndpointRecord>),
-    /// A daemon reports what ran at an endpoint that crashed, or what succeeded; answered once committed.
+    /// A daemon reports request contents that ran when an endpoint crashed, or that succeeded; answered once committed.
     ReportContents(ContentReport),
     /// An operator replaces the route table.
     ReplaceTable(ReplaceTable),
@@ -79,7 +79,7 @@
 }
 
 impl RequestBody {
-    /// Whether carrying out the request changes the state of the group.
+    /// Whether the request changes the state of the group.
     pub const fn changes_state(&self) -> bool {
         match self {
             Self::Operations(_)
@@ -115,12 +115,11 @@
     FleetStatus(Vec<DaemonStatus>),
     /// Answer to `GroupStatus`.
     GroupStatus(GroupStatus),
-    /// The replica did what was asked (bootstrap, replace, reports).
+    /// The request was carried out (bootstrap, replace, reports).
     Done,
     /// Answer to `Watch`.
     Watch(Box<WatchReply>),
-    /// Answer to `RegisterEndpoint`: the state that is recorded, which may be a later one than the
-    /// one reported.
+    /// Answer to `RegisterEndpoint`: the recorded state, which may be later than the reported one.
     EndpointRegistered(EndpointState),
     /// Answer to `ReplaceTable`.
     TableReplaced(ReplaceTableReply),
@@ -128,7 +127,7 @@
     Table(Option<StoredTable>),
     /// Answer to `Renew`.
     Renewed(Box<RenewReply>),
-    /// The replica can't answer now; ask another.
+    /// The replica can't serve the request now; ask another.
     Unavailable(Unavailable),
     /// The request is not acceptable, for the reason in the text.
     Rejected(String),
@@ -162,8 +161,8 @@
     }
 }
 
-/// Position in the replicated log; ordered by index. Daemons refuse replies of an older one than
-/// they have seen.
+/// Position in the replicated log; ordered by index. Daemons refuse replies with a position older than one
+/// they have already seen.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/bramblewheel-protocol/src/control/operations.rs
+++ b/crates/bramblewheel-protocol/src/control/operations.rs
@@ -1,22 +1,22 @@
-//! Run-once operations: what daemons ask of the ledger, and its answers.
+//! Run-once operations: requests of daemons to the ledger, and its answers.
 
 use bramblewheel_types::OperationKey;
 use serde::{Deserialize, Serialize};
 
-/// A run-once operation request.
+/// Request about one run-once operation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperationRequest {
     /// Operation key.
     pub key: OperationKey,
-    /// Daemon incarnation that asks, from its registration.
+    /// Incarnation of the requesting daemon, from its registration.
     pub incarnation: u64,
-    /// Attempt that asks; unique within the incarnation.
+    /// Attempt that the request is for; unique within the incarnation.
     pub attempt: u64,
-    /// What is asked.
+    /// Action requested.
     pub action: OperationAction,
 }
 
-/// What is asked of the ledger.
+/// Action requested of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperationAction {
     /// Claim the operation for this incarnation's attempt.
@@ -26,7 +26,7 @@
     },
     /// Record the endpoint's answer.
     Complete(OperationAnswer),
-    /// Give the claim back: it was provably not dispatched.
+    /// Release the claim, because the attempt was provably not dispatched.
     Release,
     /// Read the state without changing it.
     Status,
@@ -46,11 +46,11 @@
 /// Answer of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperationReply {
-    /// The claim is durable at a quorum and belongs to the asking attempt.
+    /// The claim is durable at a quorum and belongs to the requesting attempt.
     Granted,
-    /// The operation has ended with this answer.
+    /// The operation has completed with this answer.
     Completed(OperationAnswer),
-    /// Another attempt holds the claim; its result is not known.
+    /// Another attempt holds the claim; its result is not known yet.
     Held,
     /// The key is older than the retention horizon.
     Expired,
@@ -58,6 +58,6 @@
     Recorded,
     /// No such operation is recorded.
     Absent,
-    /// It can't be decided now; whether the claim was recorded is not known.
+    /// No decision was possible; whether the claim was recorded is not known.
     Undecided,
 }
--- a/crates/bramblewheel-protocol/src/packed.rs
+++ b/crates/bramblewheel-protocol/src/packed.rs
@@ -1,4 +1,4 @@
-//! Texts that are kept and sent compressed.
+//! Texts that are stored and sent compressed.
 
 use flate2::Compression;
 use flate2::read::{DeflateDecoder, DeflateEncoder};
@@ -6,25 +6,24 @@
 use std::io::Read;
 use thiserror::Error;
 
-/// Level of the compression: a low one, since operators' texts repeat themselves and replicas have
-/// little processor time. Chosen, not measured.
+/// Compression level; low, since operators' texts are repetitive and replicas have little processor time.
 const LEVEL: u32 = 3;
-/// Longest text that is unpacked, in bytes; chosen, not measured.
+/// Maximum length of a text that is unpacked, in bytes.
 pub const LONGEST_TEXT: usize = 16 * 1024 * 1024;
 
-/// A packed text can't be unpacked.
+/// Why a packed text can't be unpacked.
 #[derive(Debug, Error)]
 pub enum UnpackError {
-    /// It was not packed by [`PackedText::pack`], or is damaged.
+    /// The bytes are damaged, or were not made by [`PackedText::pack`].
     #[error("not unpackable: {0}")]
     Damaged(#[from] std::io::Error),
-    /// It is longer than [`LONGEST_TEXT`].
+    /// The text is longer than [`LONGEST_TEXT`].
     #[error("longer than {LONGEST_TEXT} bytes")]
     TooLong,
 }
 
-/// A text, compressed (deflate). Configurations of many routes go to every daemon and through the log
-/// of every replica, and mostly repeat themselves.
+/// A text compressed with deflate. Configurations of many routes are repetitive, and they are sent to every daemon
+/// and stored in the log of every replica.
 ///
 /// ```
 /// use bramblewheel_protocol::packed::PackedText;
@@ -37,7 +36,7 @@
 pub struct PackedText(#[serde(with = "serde_bytes")] Vec<u8>);
 
 impl PackedText {
-    /// Packs a text.
+    /// Compresses a text.
     pub fn pack(text: &[u8]) -> Self {
         let mut packed = Vec::with_capacity(text.len() / 4);
         DeflateEncoder::new(text, Compression::new(LEVEL))
@@ -46,22 +45,22 @@
         Self(packed)
     }
 
-    /// The text as it was packed, byte for byte.
+    /// Decompresses the text, byte for byte as it was packed.
     ///
     /// # Errors
     /// [`UnpackError`] when it is damaged or too long.
     pub fn unpack(&self) -> Result<Vec<u8>, UnpackError> {
         let mut text = Vec::new();
-        let bound = LONGEST_TEXT as u64 + 1;
+        let read_limit = LONGEST_TEXT as u64 + 1;
         let decoder = DeflateDecoder::new(self.0.as_slice());
-        decoder.take(bound).read_to_end(&mut text)?;
+        decoder.take(read_limit).read_to_end(&mut text)?;
         if text.len() > LONGEST_TEXT {
             return Err(UnpackError::TooLong);
         }
         Ok(text)
     }
 
-    /// Bytes that it takes packed.
+    /// Length of the compressed text, in bytes.
     pub fn packed_bytes(&self) -> usize {
         self.0.len()
     }
--- a/crates/bramblewheel-protocol/src/routing/contents.rs
+++ b/crates/bramblewheel-protocol/src/routing/contents.rs
@@ -1,15 +1,15 @@
-//! Contents of requests that ran at endpoints when these crashed, and which of them are quarantined.
+//! Request contents that were running when endpoints crashed, and the quarantine of such contents.
 
 use crate::content::ContentDigest;
 use bramblewheel_types::EndpointId;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Time for which a content is kept from endpoints after the last crash under it. Whoever sends it can't be
-/// expected to mend it sooner, and each test of it may cost an endpoint. Chosen, not measured.
+/// How long a content stays in quarantine after the last endpoint crash while it ran. Its sender can't be
+/// expected to correct it sooner, and each request let through to test it may crash an endpoint.
 pub const QUARANTINE_TIME: Duration = Duration::from_secs(600);
 
-/// What a daemon reports of requests that ran at the endpoint beside it.
+/// A daemon's report on requests that ran at the endpoint beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ContentReport {
     /// The endpoint crashed.
@@ -17,26 +17,26 @@
     EndpointCrashed {
         /// The start of the endpoint that crashed.
         endpoint: EndpointId,
-        /// What it was running, without what has succeeded at this daemon lately.
+        /// Contents that it was running, except those that recently succeeded at this daemon.
         contents: Vec<ContentDigest>,
     },
-    /// These have succeeded: they are no cause of a crash.
+    /// Requests with these contents succeeded, so the contents did not cause a crash.
     #[serde(rename = "EndedWell")]
     Succeeded {
-        /// Contents among those that daemons watch.
+        /// The contents; only those that daemons watch.
         contents: Vec<ContentDigest>,
     },
 }
 
-/// A content that ran at several crashes of endpoints.
+/// A content that was running when endpoints crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchedContent {
-    /// Which.
+    /// Its digest.
     pub content: ContentDigest,
-    /// Starts of endpoints that crashed while they ran it, as far as they are counted.
+    /// Number of endpoint starts that crashed while running it, as far as they are counted.
     #[serde(rename = "ends")]
     pub crashes: u32,
-    /// Whether it is kept from endpoints.
+    /// Whether it is in quarantine: requests with it are not sent to endpoints.
     pub is_quarantined: bool,
 }
 
@@ -45,6 +45,6 @@
 pub struct QuarantineList {
     /// Revision of the quarantine.
     pub revision: u64,
-    /// Contents, those in quarantine first.
+    /// The contents, those in quarantine first.
     pub contents: Vec<WatchedContent>,
 }
--- a/crates/bramblewheel-protocol/src/routing/endpoints.rs
+++ b/crates/bramblewheel-protocol/src/routing/endpoints.rs
@@ -1,30 +1,30 @@
-//! Endpoints as the daemons beside them register them.
+//! Endpoints as registered by the daemons beside them.
 
 use bramblewheel_types::{DaemonId, EndpointId, Millis, ServiceName, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What an endpoint is ready for.
+/// State of an endpoint in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// Takes work.
+    /// Takes requests.
     Ready,
-    /// No heartbeat lately, of it or of its daemon; may come back.
+    /// Neither the endpoint nor its daemon has sent a recent heartbeat; it may become ready again.
     Silent,
-    /// Leaves: takes no new work, now or later.
+    /// Takes no new requests and will not take any again.
     Draining,
-    /// Has left for good.
+    /// Deregistered permanently.
     Gone,
 }
 
 impl EndpointState {
-    /// Whether the endpoint will take no work again under its id.
+    /// Whether the endpoint can't become ready again under its id.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Draining | Self::Gone)
     }
 }
 
-/// One start of an endpoint as the daemon beside it registered it.
+/// One start of an endpoint as registered by the daemon beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
     /// Id of this start of the endpoint.
@@ -33,21 +33,20 @@
     pub service: ServiceName,
     /// Daemon beside it.
     pub daemon: DaemonId,
-    /// Where other daemons hand requests for it to its daemon.
+    /// Address of its daemon to which other daemons send requests for it.
     pub address: SocketAddr,
-    /// Where it listens; only its daemon connects there.
+    /// Address on which it listens; only its daemon connects to it.
     pub endpoint_address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
-    /// Requests it runs at one time.
+    /// Number of requests that it runs at a time.
     pub slots: u32,
-    /// What it is ready for.
+    /// Its state.
     pub state: EndpointState,
-    /// Sequence number of the endpoint's latest heartbeat; rises within one start, so that late
-    /// heartbeats are recognised.
+    /// Sequence number of the endpoint's latest heartbeat; increases within one start, so that heartbeats
+    /// that arrive late are recognised.
     pub sequence: u64,
-    /// Time for which it is still slow after its start, counted from the registration; in
-    /// milliseconds.
+    /// Remaining time of slow service after its start, in milliseconds from the registration.
     pub cold_for: Millis,
 }
 
--- a/crates/bramblewheel-protocol/src/routing/mod.rs
+++ b/crates/bramblewheel-protocol/src/routing/mod.rs
@@ -1,8 +1,8 @@
-//! Messages on route tables, registered endpoints, contents of requests and tenants' quotas, between
-//! daemons or operators and the control replicas.
+//! Messages between daemons or operators and the control replicas about route tables, registered
+//! endpoints, request contents and tenants' quotas.
 //!
-//! A module for each subject, re-exported here. All names of fields and variants are the wire, and
-//! those of tables, endpoints and contents also the stored form.
+//! Names of fields and variants are part of the wire format; those of tables, endpoints and contents are
+//! also part of the stored format.
 
 mod contents;
 mod endpoints;
--- a/crates/bramblewheel-protocol/src/routing/tables.rs
+++ b/crates/bramblewheel-protocol/src/routing/tables.rs
@@ -1,13 +1,13 @@
 //! Route tables and their replacement.
 //!
 //! A route table is an unsigned configuration for groups whose settings allow it. The replicas
-//! keep its text as the operator sent it and decide only by the order of versions; the operator's
-//! interface checks the text before it is sent here.
+//! store its text as the operator sent it and check only the order of versions; the operator's
+//! interface validates the text before it sends it.
 
 use crate::packed::PackedText;
 use serde::{Deserialize, Serialize};
 
-/// Version of a route table; 0 is that of no table.
+/// Version of a route table; 0 means no table.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,34 +20,34 @@
 /// One version of the route table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredTable {
-    /// Strictly rising, chosen by the operators.
+    /// Version, set by the operators; strictly increasing.
     pub version: TableVersion,
     /// Digest of `text`.
     pub digest: TableDigest,
-    /// What the operator sent, byte for byte.
+    /// Text as the operator sent it, byte for byte.
     pub text: PackedText,
 }
 
-/// An operator replaces the route table.
+/// Request of an operator to replace the route table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplaceTable {
-    /// Version that the new table builds on; 0 for the first.
+    /// Version that the new table is based on; 0 for the first.
     pub parent: TableVersion,
     /// The new table.
     pub table: StoredTable,
 }
 
-/// Answer to a replacement of the route table. Only `Accepted` means that it is durable.
+/// Answer to a replacement of the route table. Only `Accepted` means that the table is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplaceTableReply {
-    /// Committed, now or at an earlier send of the same table.
+    /// Committed by this request or by an earlier send of the same table.
     Accepted,
-    /// Another version is in force than the one it builds on.
+    /// The version in force is not the one that the table is based on.
     ParentMismatch {
         /// Version in force.
         current: TableVersion,
     },
-    /// Its version is not above the one in force.
+    /// The version is not above the one in force.
     Outdated {
         /// Version in force.
         current: TableVersion,
--- a/crates/bramblewheel-protocol/src/routing/watches.rs
+++ b/crates/bramblewheel-protocol/src/routing/watches.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A daemon asks for updates of the route table and the endpoints and renews its lease.
+/// Request of a daemon for updates of the route table and the endpoints; also renews its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// Who asks.
+    /// Registration of the daemon.
     pub registration: Registration,
-    /// Version of the table in force at the daemon; 0 if none, which makes the answer one that a
-    /// quorum has confirmed.
+    /// Version of the table in force at the daemon; 0 if none, in which case the answer must be confirmed
+    /// by a quorum.
     pub table_version: TableVersion,
     /// Revision of the registry that the daemon holds.
     pub registry_revision: u64,
@@ -28,7 +28,7 @@
 /// Update for a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchReply {
-    /// Position at which the reply is true.
+    /// Log position that the reply reflects.
     pub position: LogPosition,
     /// A newer table, if there is one.
     pub table: Option<StoredTable>,
@@ -39,7 +39,7 @@
     /// The quarantine, if the daemon holds an older one.
     #[serde(default)]
     pub quarantine: Option<QuarantineList>,
-    /// Number of daemons registered, by which each takes its share of what all of them may use.
+    /// Number of registered daemons, from which each computes its share of what they may use together.
     pub daemons: u32,
     /// Service addresses of the group's replicas.
     pub replicas: Vec<SocketAddr>,
--- a/crates/bramblewheel-protocol/tests/client.rs
+++ b/crates/bramblewheel-protocol/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client finds the replica that answers, and says when an outcome is not known.
+//! The control client finds a replica that answers, and reports when the outcome of a request is unknown.
 
 use bramblewheel_ports::claim_address;
 use bramblewheel_protocol::client::{AttemptFailure, ClientError, ControlClient, RequestError};
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Never reached where an answer is expected.
+/// Time-out of requests that are answered; long enough never to be reached.
 const LONG: Duration = Duration::from_secs(30);
-/// Time given to requests that are never answered.
+/// Time-out of requests that are never answered.
 const SHORT: Duration = Duration::from_millis(100);
 
-/// What a stand-in replica does with each request.
+/// How a fake replica reacts to each request.
 #[derive(Clone)]
 enum Behavior {
     Answer(Box<ReplyBody>),
@@ -25,7 +25,7 @@
     Silent,
 }
 
-/// Starts a stand-in replica that treats its connections in turn; the last behavior stays.
+/// Starts a fake replica that applies one behavior per connection in turn; the last one repeats.
 async fn replica(behaviors: Vec<Behavior>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
     let address = listener.local_addr().expect("bound");
@@ -64,9 +64,9 @@
     read_frame(stream, MAX_CONTROL_FRAME).await
 }
 
-/// An address where nobody listens.
-fn nobody() -> SocketAddr {
-    claim_address().expect("a port is left")
+/// An address without a listener.
+fn unused_address() -> SocketAddr {
+    claim_address().expect("no free port")
 }
 
 fn unavailable(why: Unavailable) -> Behavior {
@@ -82,12 +82,14 @@
 }
 
 #[tokio::test]
-async fn one_connection_answers_one_request_after_the_other() {
+async fn one_connection_carries_consecutive_requests() {
     let address = replica(vec![Behavior::Answer(Box::new(answer()))]).await;
-    let mut client = ControlClient::connect(address).await.expect("listens");
+    let mut client = ControlClient::connect(address)
+        .await
+        .expect("replica listens");
     for _ in 0..3 {
         let reply = client.request(write_request(), LONG).await;
-        assert_eq!(reply.expect("answers"), answer());
+        assert_eq!(reply.expect("replica answers"), answer());
     }
 }
 
@@ -108,7 +110,9 @@
             LONG
         };
         let address = replica(vec![behavior]).await;
-        let mut client = ControlClient::connect(address).await.expect("listens");
+        let mut client = ControlClient::connect(address)
+            .await
+            .expect("replica listens");
         let error = client.request(write_request(), wait).await;
         let error = error.expect_err("no answer");
         assert!(expected(&error), "{error}");
@@ -119,14 +123,14 @@
 }
 
 #[tokio::test]
-async fn hints_and_other_replicas_lead_to_the_answer() {
+async fn a_request_follows_leader_hints_and_falls_back_to_other_replicas() {
     let leader = replica(vec![Behavior::Answer(Box::new(answer()))]).await;
     let hinting = replica(vec![unavailable(Unavailable::NotLeader(Some(leader)))]).await;
     let no_quorum = replica(vec![unavailable(Unavailable::NoQuorum)]).await;
     let losing = replica(vec![Behavior::Close]).await;
     let lists = [
         vec![hinting],
-        vec![nobody(), no_quorum, hinting],
+        vec![unused_address(), no_quorum, hinting],
         vec![losing, leader],
     ];
     for addresses in lists {
@@ -136,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_is_asked_again_until_it_answers() {
+async fn a_request_is_resent_to_a_single_replica_until_it_answers() {
     let behaviors = vec![
         Behavior::Close,
         unavailable(Unavailable::Undecided),
@@ -149,45 +153,45 @@
 }
 
 #[tokio::test]
-async fn only_a_change_that_may_have_run_is_undecided() {
+async fn only_a_state_changing_request_that_may_have_run_is_undecided() {
     let silent = replica(vec![Behavior::Silent]).await;
     let undecided = replica(vec![unavailable(Unavailable::Undecided)]).await;
     let no_quorum = replica(vec![unavailable(Unavailable::NoQuorum)]).await;
-    let nobody = nobody();
+    let unused = unused_address();
     let cases = [
-        (vec![nobody], write_request(), false),
-        (vec![no_quorum, nobody], write_request(), false),
+        (vec![unused], write_request(), false),
+        (vec![no_quorum, unused], write_request(), false),
         (vec![silent], write_request(), true),
-        (vec![undecided, nobody], write_request(), true),
+        (vec![undecided, unused], write_request(), true),
         (vec![silent], RequestBody::BundleStatus, false),
         (Vec::new(), write_request(), false),
     ];
     for (addresses, body, expected) in cases {
         let error = request_any(&addresses, &body, SHORT).await;
-        let error = error.expect_err("nobody answers");
+        let error = error.expect_err("no replica answers");
         let found = matches!(error, RequestError::Undecided { .. });
         assert_eq!(found, expected, "{error}");
     }
 }
 
 #[tokio::test]
-async fn an_error_names_each_replica_and_its_reason() {
+async fn the_error_lists_each_replica_with_its_failure() {
     let no_quorum = replica(vec![unavailable(Unavailable::NoQuorum)]).await;
-    let nobody = nobody();
-    let error = request_any(&[no_quorum, nobody], &RequestBody::GroupStatus, SHORT).await;
+    let unused = unused_address();
+    let error = request_any(&[no_quorum, unused], &RequestBody::GroupStatus, SHORT).await;
     let Err(RequestError::NotDone { last }) = error else {
         panic!("{error:?}");
     };
     let reason = |address: SocketAddr| {
         let attempt = last.iter().find(|attempt| attempt.address == address);
-        &attempt.expect("asked").failure
+        &attempt.expect("replica was asked").failure
     };
     assert!(matches!(
         reason(no_quorum),
         AttemptFailure::Unavailable(Unavailable::NoQuorum)
     ));
     assert!(matches!(
-        reason(nobody),
+        reason(unused),
         AttemptFailure::Client(ClientError::Connect(_))
     ));
 }
--- a/crates/bramblewheel-protocol/tests/codec.rs
+++ b/crates/bramblewheel-protocol/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames that are cut short, too long or not the message expected are refused.
+//! Frames that are truncated, too long or not of the expected message type are refused.
 
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
@@ -9,7 +9,7 @@
 use bramblewheel_types::{BundleDigest, BundleVersion};
 use std::io;
 
-fn signed() -> SignedBundle {
+fn signed_bundle() -> SignedBundle {
     SignedBundle {
         version: BundleVersion(7),
         digest: BundleDigest([3; 32]),
@@ -23,7 +23,7 @@
 }
 
 fn request() -> ControlRequest {
-    let body = RequestBody::Publish(signed());
+    let body = RequestBody::Publish(signed_bundle());
     ControlRequest { id: 5, body }
 }
 
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn frames_follow_one_another_until_the_peer_closes() {
+async fn consecutive_frames_are_read_until_the_peer_closes() {
     let bytes = [frame(), frame()].concat();
     let mut rest = &bytes[..];
     for _ in 0..2 {
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn a_frame_cut_anywhere_is_an_error() {
+async fn a_frame_truncated_at_any_byte_is_an_error() {
     let frame = frame();
     for end in 1..frame.len() {
         let error = read(&frame[..end]).await;
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn what_is_not_the_message_is_refused() {
+async fn bytes_that_are_not_the_expected_message_are_refused() {
     let body = &frame()[4..];
     let left_over = [body, &[0]].concat();
     let reply = ControlReply {
@@ -103,7 +103,7 @@
 async fn deep_nesting_is_refused() {
     const DEPTH: usize = 1_000_000;
     for open in [0x81_u8, 0xc1, 0x9f] {
-        // In a field that the reader does not know and skips, and in place of the message.
+        // Nested values in an unknown field, which the reader skips, and in place of the message.
         let skipped = [&[0xa1, 0x61, b'x'][..], &vec![open; DEPTH]].concat();
         for body in [skipped, vec![open; DEPTH]] {
             let error = read(&with_length(&body)).await;
@@ -114,13 +114,13 @@
 
 #[test]
 fn arbitrary_and_altered_bytes_never_panic() {
-    /// Draws, and bytes of each: a seed makes `arbtest` run the property once, and the seed's
-    /// low 32 bits are the size.
+    /// Number of cases, and bytes of random input for each: `arbtest` runs the property once per seed, and
+    /// the seed's low 32 bits are the size.
     const CASES: u64 = 1_000;
     const SIZE: u64 = 200;
-    /// CBOR: an array whose length is the next byte.
+    /// CBOR: head of an array whose length is the next byte.
     const ARRAY_OF_LENGTH: u8 = 0x98;
-    /// CBOR: the bit in which the heads of text and of bytes differ.
+    /// CBOR: the bit in which the heads of a text string and a byte string differ.
     const TEXT_FROM_BYTES: u8 = 0x20;
     let body = frame()[4..].to_vec();
     let property = |u: &mut Unstructured<'_>| {
@@ -128,8 +128,8 @@
         let mut altered = body.clone();
         altered[index] = u.arbitrary()?;
         if let Ok(read) = decode::<ControlRequest>(&altered) {
-            // The reader passes over the announced length of fixed arrays, and takes a field's
-            // name as text or bytes; any other change must be seen.
+            // The reader ignores the announced length of fixed arrays, and accepts a field's name as text
+            // or bytes; any other change must give another message.
             let is_array_length = index > 0 && body[index - 1] == ARRAY_OF_LENGTH;
             let is_bytes_for_text = altered[index] == body[index] ^ TEXT_FROM_BYTES;
             let is_same = altered == body || is_array_length || is_bytes_for_text;
--- a/crates/bramblewheel-protocol/tests/memory.rs
+++ b/crates/bramblewheel-protocol/tests/memory.rs
@@ -1,14 +1,14 @@
-//! Memory follows what arrives, not what is announced. Alone in its program, since it looks at
-//! the memory of the whole process.
+//! Memory use follows the bytes received, not the announced lengths. The test has a program of its own,
+//! because it reads the memory use of the whole process.
 
 use bramblewheel_protocol::codec::{CodecError, MAX_PEER_FRAME, decode, read_frame};
 use bramblewheel_protocol::control::{ControlRequest, RequestBody, SignedBundle};
 use std::fs;
 
-/// Far below the lengths announced here, far above what a test program takes by itself.
+/// Far below the lengths announced here, and far above the memory that a test program needs.
 const ALLOWED_GROWTH_KIB: u64 = 128 * 1024;
 
-/// Highest address space of this process so far, in KiB.
+/// Peak virtual memory size of this process so far, in KiB.
 fn peak_kib() -> u64 {
     let status = fs::read_to_string("/proc/self/status").expect("Linux");
     let line = status.lines().find(|line| line.starts_with("VmPeak:"));
@@ -16,7 +16,7 @@
     number.expect("has VmPeak").parse().expect("a number")
 }
 
-/// A CBOR value whose `bytes` field announces `header` and holds next to nothing.
+/// A CBOR value whose `bytes` field has a header that announces far more than the four bytes that follow.
 fn announcing(header: &[u8]) -> Vec<u8> {
     [&[0xa1, 0x65][..], b"bytes", header, &[0; 4]].concat()
 }
--- a/crates/bramblewheel-protocol/tests/packed.rs
+++ b/crates/bramblewheel-protocol/tests/packed.rs
@@ -1,9 +1,9 @@
-//! Packed texts: back byte for byte, much shorter for configurations, bounded when unpacked.
+//! Packed texts: unpacked byte for byte, much shorter for configurations, limited in length.
 
 use bramblewheel_protocol::packed::{LONGEST_TEXT, PackedText, UnpackError};
 
 #[test]
-fn a_text_comes_back_byte_for_byte() {
+fn a_packed_text_unpacks_byte_for_byte() {
     arbtest::arbtest(|bytes| {
         let text: Vec<u8> = bytes.arbitrary()?;
         assert_eq!(PackedText::pack(&text).unpack().expect("packed"), text);
@@ -13,9 +13,9 @@
     .run();
 }
 
-/// 868 routes, as a day of the users' bench put in force with one change.
+/// 868 routes, the size of a configuration that users put in force in one change.
 #[test]
-fn a_configuration_of_many_routes_shrinks_to_a_fifth() {
+fn a_configuration_of_many_routes_packs_to_less_than_a_fifth() {
     let route = |number: u32| {
         let word = number.wrapping_mul(2_654_435_761);
         format!(
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_is_damaged_or_too_long_is_an_error() {
+fn a_damaged_or_too_long_text_is_an_error() {
     let too_long = PackedText::pack(&vec![b' '; LONGEST_TEXT + 1]);
     assert!(matches!(too_long.unpack(), Err(UnpackError::TooLong)));
     let damaged: PackedText = ciborium::from_reader(&b"\x43\xff\xff\xff"[..]).expect("three bytes");
--- a/crates/bramblewheel-replication/src/candidate.rs
+++ b/crates/bramblewheel-replication/src/candidate.rs
@@ -1,7 +1,7 @@
-//! Elections: pre-vote, votes and hand-over.
+//! Elections: pre-votes, votes and leadership transfer.
 //!
-//! A replica asks for pre-votes before it raises its term, so that one that was cut off can't
-//! depose a healthy leader when it comes back.
+//! A replica asks for pre-votes before it increments its term, so that a replica that was partitioned
+//! can't depose a healthy leader when it reconnects.
 
 use crate::message::Body;
 use crate::replica::Replica;
@@ -10,8 +10,8 @@
 use std::collections::BTreeSet;
 
 impl Replica {
-    /// Whether there is a leader that others must not disturb: ourselves, or one that had contact
-    /// within the election timeout.
+    /// Whether this replica leads, or had contact with the leader within the election time-out; it then
+    /// refuses votes to other replicas.
     pub(crate) fn has_leader_contact(&self) -> bool {
         if matches!(self.role, RoleState::Leader(_)) {
             return true;
@@ -22,7 +22,7 @@
         contact + self.config.election_timeout > self.now
     }
 
-    /// Asks the other voters whether an election could be won.
+    /// Asks the other voters for pre-votes.
     pub(crate) fn start_pre_vote(&mut self) {
         self.leader = None;
         self.reset_election_timer();
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The leader of this term stops and wants this replica to take over at once.
+    /// Starts an election at the request of this term's leader, which is stopping.
     pub(crate) fn on_transfer_leadership(&mut self, from: ReplicaId) {
         let is_voter = self.membership().voters.contains(&self.config.id);
         if self.leader == Some(from) && is_voter {
--- a/crates/bramblewheel-replication/src/commitment.rs
+++ b/crates/bramblewheel-replication/src/commitment.rs
@@ -1,4 +1,4 @@
-//! What the answers of followers prove: committed entries and confirmed reads.
+//! Handling of followers' answers: committing entries and confirming reads.
 
 use crate::message::{AppendResult, ContactToken};
 use crate::output::{ProposalResult, ReadResult};
@@ -9,7 +9,7 @@
 use bramblewheel_types::Timestamp;
 
 impl Replica {
-    /// Last entry that another member is known to have synced; `None` unless this is the leader.
+    /// Last entry that another member is known to have synced; `None` if this replica is not the leader.
     pub fn match_index(&self, replica: ReplicaId) -> Option<LogIndex> {
         let progress = self.leadership()?.peers.get(&replica)?;
         Some(progress.match_index)
@@ -31,11 +31,11 @@
             return;
         };
         if let Some(start) = start {
-            progress.answered(round, start, token, now);
+            progress.on_answer(round, start, token, now);
         }
         match result {
             AppendResult::Matched { index } if index <= self.log.last_index() => {
-                progress.matched(index);
+                progress.on_match(index);
             }
             AppendResult::Matched { .. } => {}
             AppendResult::Conflict {
@@ -44,10 +44,10 @@
                 hint_term,
             } => {
                 let (possible, _) = self.log.possible_match(hint_index, hint_term);
-                progress.conflicted(round, previous_index, possible);
+                progress.on_conflict(round, previous_index, possible);
             }
         }
-        self.release_departed();
+        self.release_removed();
         self.prove_tokens();
         self.confirm_reads();
         self.advance_commit();
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Start of the latest round that a quorum answered; `None` if this is no leader or no round
-    /// was answered.
+    /// Start of the latest round that a quorum answered; `None` if this replica is not the leader or no
+    /// round was answered.
     pub(crate) fn leader_quorum_contact(&self) -> Option<Timestamp> {
         let leadership = self.leadership()?;
         let contact_with = |voter| match voter {
@@ -109,8 +109,8 @@
             .is_some_and(|leadership| self.commit >= leadership.first_index)
     }
 
-    /// Commits what a quorum has synced. Only an entry of the own term is counted; those before
-    /// it are committed with it.
+    /// Commits entries that a quorum has synced. Only entries of the leader's own term are counted; earlier
+    /// ones are committed with them.
     pub(crate) fn advance_commit(&mut self) {
         let Some(leadership) = self.leadership() else {
             return;
--- a/crates/bramblewheel-replication/src/compaction.rs
+++ b/crates/bramblewheel-replication/src/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction: a snapshot of the state machine in place of the entries that it covers.
+//! Log compaction: replaces entries by a snapshot of the state machine.
 
 use crate::error::CompactError;
 use crate::replica::Replica;
@@ -6,8 +6,8 @@
 use bramblewheel_types::Timestamp;
 
 impl Replica {
-    /// Takes a snapshot of the state machine, at an entry already handed out, in place of the
-    /// entries up to it. The driver stores the result.
+    /// Replaces the entries up to `index`, which must have been handed out, by a snapshot with the state
+    /// machine's state at that entry. The driver stores the result.
     ///
     /// # Errors
     /// [`CompactError`] when the entry is not applied and synced, or is compacted already.
--- a/crates/bramblewheel-replication/src/error.rs
+++ b/crates/bramblewheel-replication/src/error.rs
@@ -1,9 +1,9 @@
-//! Why a replica refuses a request.
+//! Errors of requests to a replica.
 
 use crate::types::{LogIndex, ReplicaId};
 use thiserror::Error;
 
-/// Only a leader that is not handing over can do this.
+/// The replica is not the leader, or is transferring leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("not the leader")]
 pub struct NotLeader {
@@ -11,7 +11,7 @@
     pub leader: Option<ReplicaId>,
 }
 
-/// A membership change is refused; nothing was appended.
+/// Why a membership change was refused; nothing was appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MembershipError {
     /// Only a leader can change the membership.
@@ -20,23 +20,23 @@
     /// The leader has not committed an entry of its own term yet.
     #[error("the leader has not committed an entry of its own term yet")]
     NotReady,
-    /// The change before this one is not committed yet.
+    /// The previous change is not committed yet.
     #[error("another membership change is not committed yet")]
     ChangeInProgress,
     /// The replica is already a member.
     #[error("replica {} is already a member", .0.0)]
     AlreadyMember(ReplicaId),
-    /// The replica is not a member, or not a learner where a learner is promoted.
-    #[error("replica {} is not such a member", .0.0)]
+    /// The replica is not a member, or is to be promoted but not a learner.
+    #[error("replica {} is not a member of the required kind", .0.0)]
     UnknownReplica(ReplicaId),
     /// The learner has not synced the whole log yet.
     #[error("learner {} has synced {} of {} entries", replica.0, synced.0, wanted.0)]
     NotCaughtUp {
         /// The learner.
         replica: ReplicaId,
-        /// Last entry it is known to have synced.
+        /// Last entry that it is known to have synced.
         synced: LogIndex,
-        /// Entry it must reach.
+        /// Last entry that it must have synced.
         wanted: LogIndex,
     },
     /// The last voter can't be removed.
@@ -44,29 +44,29 @@
     LastVoter,
 }
 
-/// Leadership can't be handed over.
+/// Why leadership can't be transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TransferError {
-    /// There is nothing to hand over.
+    /// The replica is not the leader, or is transferring leadership already.
     #[error(transparent)]
     NotLeader(#[from] NotLeader),
-    /// No other voter has answered lately.
-    #[error("no other voter has answered lately")]
+    /// No other voter has answered within the election time-out.
+    #[error("no other voter has answered within the election time-out")]
     NoTarget,
 }
 
-/// The log can't be compacted at this index.
+/// Why the log can't be compacted at an index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CompactError {
     /// The entry was not handed out as committed or is not synced yet.
-    #[error("entry {} is not applied and synced; {} is", index.0, limit.0)]
+    #[error("entry {} is not applied and synced yet; the last such entry is {}", index.0, limit.0)]
     NotApplied {
-        /// Index asked for.
+        /// Index requested.
         index: LogIndex,
         /// Highest index allowed now.
         limit: LogIndex,
     },
-    /// A snapshot at or above this index is there already.
-    #[error("a snapshot at entry {} is there already", .0.0)]
+    /// A snapshot at or above this index exists already.
+    #[error("a snapshot at entry {} exists already", .0.0)]
     AlreadyCompacted(LogIndex),
 }
--- a/crates/bramblewheel-replication/src/follower.rs
+++ b/crates/bramblewheel-replication/src/follower.rs
@@ -1,4 +1,4 @@
-//! The follower's side of replication.
+//! Follower behaviour: appending entries and installing snapshots.
 
 use crate::message::{AppendResult, Body, ContactToken};
 use crate::replica::Replica;
@@ -32,7 +32,7 @@
             return;
         }
         self.follow(from);
-        self.note_echo(echo);
+        self.record_echo(echo);
         if previous_index >= self.commit && self.log.term_at(previous_index) != Some(previous_term)
         {
             let (hint_index, hint_term) = self.log.possible_match(previous_index, previous_term);
@@ -46,10 +46,10 @@
         self.answer_matched(from, round, index);
     }
 
-    /// Appends the entries that are not there, dropping those of ours that disagree.
+    /// Appends the entries that are missing, and truncates the log where it conflicts with them.
     fn append_missing(&mut self, entries: Vec<Entry>) {
         for entry in entries {
-            // What is committed agrees already, and the log may be compacted that far.
+            // Committed entries match already, and may be compacted.
             if entry.index <= self.commit {
                 continue;
             }
@@ -57,7 +57,7 @@
                 Some(term) if term == entry.term => continue,
                 Some(_) => {
                     self.log.truncate_from(entry.index);
-                    self.persistence.truncated_from(entry.index);
+                    self.persistence.on_truncate(entry.index);
                 }
                 None => {}
             }
@@ -84,12 +84,12 @@
         self.commit = snapshot.index;
         self.delivered = snapshot.index;
         self.log.install(snapshot.clone());
-        self.persistence.installed(snapshot.clone());
+        self.persistence.on_install(snapshot.clone());
         self.installed_snapshot = Some(snapshot);
     }
 
-    /// The leader sent back a token of ours: it had a quorum after the moment in it.
-    fn note_echo(&mut self, echo: Option<ContactToken>) {
+    /// Records a token that the leader sent back, which proves that it had a quorum after the token's time.
+    fn record_echo(&mut self, echo: Option<ContactToken>) {
         let Some(token) = echo else {
             return;
         };
@@ -127,13 +127,13 @@
         self.send(to, body);
     }
 
-    /// Refuses entries of an older term, so that their sender learns the current one.
+    /// Refuses entries of an older term, so that their sender learns the current term.
     pub(crate) fn refuse_append(&mut self, to: ReplicaId, round: u64, previous_index: LogIndex) {
         self.answer_conflict(to, round, previous_index, LogIndex(0), Term(0));
     }
 }
 
-/// Whether the entries come just after `previous_index`, without gaps.
+/// Whether the entries follow `previous_index` directly and without gaps.
 fn follows(previous_index: LogIndex, entries: &[Entry]) -> bool {
     let expected = previous_index.0 + 1..;
     entries
--- a/crates/bramblewheel-replication/src/leader.rs
+++ b/crates/bramblewheel-replication/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's side: rounds, proposals and reads.
+//! Leader behaviour: rounds, proposals and reads.
 
 use crate::error::NotLeader;
 use crate::leadership::Leadership;
@@ -6,7 +6,7 @@
 use crate::quorum::reached_by_quorum;
 use crate::replica::Replica;
 use crate::role::RoleState;
-use crate::source::Source;
+use crate::source::MessageSource;
 use crate::types::{Entry, LogIndex, Payload, ProposalId, ReadId};
 use bramblewheel_types::Timestamp;
 
@@ -36,7 +36,7 @@
     }
 
     pub(crate) fn tick_leader(&mut self) {
-        self.release_departed();
+        self.release_removed();
         let now = self.now;
         let Some(leadership) = self.leadership_mut() else {
             return;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Starts a round: a message to every member, whose answers prove contact after this moment.
+    /// Starts a round of messages to all members, whose answers prove contact after the current time.
     fn begin_round(&mut self) {
         let now = self.now;
         let heartbeat_due = now + self.config.heartbeat_interval;
@@ -61,7 +61,7 @@
         leadership.begin_round(now);
         leadership.heartbeat_due = heartbeat_due;
         for progress in leadership.peers.values_mut() {
-            progress.new_round(last_index);
+            progress.on_round_begun(last_index);
         }
         if commit >= leadership.first_index {
             let round = leadership.round;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Whether this is a leader that no quorum has answered for an election timeout.
+    /// Whether this replica leads and has had no contact with a quorum for an election time-out.
     pub(crate) fn leader_lost_quorum(&self) -> bool {
         let Some(leadership) = self.leadership() else {
             return false;
@@ -87,10 +87,10 @@
 
     /// Proposes a command.
     ///
-    /// Its fate comes with a later output: committed, or undecided if leadership is lost first.
+    /// A later output reports its result: committed, or undecided if leadership is lost first.
     ///
     /// # Errors
-    /// [`NotLeader`] when this replica does not lead or is handing over; nothing was appended.
+    /// [`NotLeader`] when this replica is not the leader or is transferring leadership; nothing was appended.
     pub fn propose(
         &mut self,
         now: Timestamp,
@@ -103,13 +103,13 @@
         Ok(())
     }
 
-    /// Asks for a linearizable read.
+    /// Requests a linearizable read.
     ///
     /// Once a quorum has confirmed the leader in a round that begins after this call, a later
-    /// output names the entry from which on the state may be read.
+    /// output gives the entry up to which the state must be applied before it is read.
     ///
     /// # Errors
-    /// [`NotLeader`] when this replica does not lead.
+    /// [`NotLeader`] when this replica is not the leader.
     pub fn read(&mut self, now: Timestamp, id: ReadId) -> Result<(), NotLeader> {
         self.advance_clock(now);
         let not_leader = self.not_leader();
@@ -148,7 +148,7 @@
         index
     }
 
-    /// Sends what the members lack; called once per output, so that inputs are batched.
+    /// Sends all pending messages to the members; called once per output, so that inputs are batched.
     pub(crate) fn flush_leader(&mut self) {
         let Some(leadership) = self.leadership() else {
             return;
@@ -160,14 +160,14 @@
         let RoleState::Leader(leadership) = &mut self.role else {
             return;
         };
-        let source = Source {
+        let source = MessageSource {
             log: &self.log,
             commit: self.commit,
             round: leadership.round,
             max_entries: self.config.max_entries_per_message,
         };
         for (&peer, progress) in &mut leadership.peers {
-            let bodies = source.missing(progress);
+            let bodies = source.take_pending(progress);
             let messages = bodies.into_iter().map(|body| Message { term, body });
             self.messages
                 .extend(messages.map(|message| (peer, message)));
--- a/crates/bramblewheel-replication/src/leadership.rs
+++ b/crates/bramblewheel-replication/src/leadership.rs
@@ -6,55 +6,54 @@
 use bramblewheel_types::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Rounds whose start is remembered; answers to older rounds count as contact at no time.
-/// Chosen, not measured.
-const REMEMBERED_ROUNDS: usize = 4096;
+/// Rounds whose start times are kept; answers to older rounds don't count as contact.
+const KEPT_ROUND_STARTS: usize = 4096;
 
-/// Leadership being handed over.
+/// A leadership transfer in progress.
 #[derive(Debug)]
 pub(crate) struct Transfer {
     /// Replica that takes over.
     pub(crate) target: ReplicaId,
-    /// When the leader goes on leading.
+    /// Time at which the transfer is abandoned and the leader accepts proposals again.
     pub(crate) deadline: Timestamp,
-    /// Whether the target was sent the prompt to campaign.
+    /// Whether the target was asked to start an election.
     pub(crate) is_prompted: bool,
 }
 
-/// A replica removed from the membership that may not be informed of it.
+/// A replica removed from the membership that may not have received its removal yet.
 #[derive(Debug)]
-pub(crate) struct Departing {
+pub(crate) struct RemovedReplica {
     /// The replica.
     pub(crate) replica: ReplicaId,
-    /// Index of the membership without it.
+    /// Index of the entry with the membership without it.
     pub(crate) index: LogIndex,
-    /// When it is forgotten, informed or not.
+    /// Time at which the leader stops sending to it in any case.
     pub(crate) deadline: Timestamp,
 }
 
 /// State that a replica holds only while it leads.
 #[derive(Debug)]
 pub(crate) struct Leadership {
-    /// When it began.
+    /// Time of the election.
     pub(crate) elected_at: Timestamp,
     /// First entry of this term.
     pub(crate) first_index: LogIndex,
     /// The other members.
     pub(crate) peers: BTreeMap<ReplicaId, Progress>,
-    /// Current round; each message names it and each answer returns it.
+    /// Current round; each message carries it and each answer returns it.
     pub(crate) round: u64,
-    /// When the rounds began, oldest first.
+    /// Start times of rounds, oldest first.
     round_starts: VecDeque<(u64, Timestamp)>,
-    /// When the next round begins at the latest.
+    /// Time at which the next round begins at the latest.
     pub(crate) heartbeat_due: Timestamp,
     /// Reads not answered yet.
     pub(crate) reads: ReadQueue,
     /// Proposals not committed yet.
     pub(crate) proposals: BTreeMap<LogIndex, ProposalId>,
-    /// Hand-over under way.
+    /// Leadership transfer in progress.
     pub(crate) transfer: Option<Transfer>,
-    /// Replica just removed.
-    pub(crate) departing: Option<Departing>,
+    /// Replica removed last, until it has received its removal.
+    pub(crate) removed: Option<RemovedReplica>,
 }
 
 impl Leadership {
@@ -69,7 +68,7 @@
             reads: ReadQueue::default(),
             proposals: BTreeMap::new(),
             transfer: None,
-            departing: None,
+            removed: None,
         }
     }
 
@@ -77,12 +76,12 @@
     pub(crate) fn begin_round(&mut self, now: Timestamp) {
         self.round += 1;
         self.round_starts.push_back((self.round, now));
-        if self.round_starts.len() > REMEMBERED_ROUNDS {
+        if self.round_starts.len() > KEPT_ROUND_STARTS {
             self.round_starts.pop_front();
         }
     }
 
-    /// When a round began; `None` for rounds long gone.
+    /// Start time of a round; `None` if it is no longer kept.
     pub(crate) fn round_start(&self, round: u64) -> Option<Timestamp> {
         let (first, _) = *self.round_starts.front()?;
         let offset = usize::try_from(round.checked_sub(first)?).ok()?;
--- a/crates/bramblewheel-replication/src/lib.rs
+++ b/crates/bramblewheel-replication/src/lib.rs
@@ -1,9 +1,8 @@
-//! Replicated log as a pure state machine: election, replication, membership change, snapshots
-//! and linearizable reads, in the manner of Raft.
+//! Replicated log as a pure state machine, based on Raft: election, replication, membership changes,
+//! snapshots and linearizable reads.
 //!
-//! [`Replica`] takes inputs with the current time and hands back [`Output`]s. It reads no clock,
-//! file, socket or global random source, so the control process and the simulator run the same
-//! code.
+//! [`Replica`] takes inputs with the current time and returns [`Output`]s. It uses no clock, file, socket
+//! or global random source, so that the control process and the simulator run the same code.
 
 mod candidate;
 mod commitment;
--- a/crates/bramblewheel-replication/src/log.rs
+++ b/crates/bramblewheel-replication/src/log.rs
@@ -1,21 +1,20 @@
-//! The log in memory: the latest snapshot and the entries after it.
+//! In-memory log: the latest snapshot and the entries after it.
 
 use crate::types::{Entry, LogIndex, Membership, Payload, Snapshot, Term};
 use std::collections::VecDeque;
 
-/// Entries kept in memory below a snapshot of our own, so that a follower a little behind gets
-/// entries rather than the whole snapshot. Chosen, not measured.
+/// Entries kept in memory below a snapshot of the replica's own state, so that a follower slightly behind
+/// is sent entries rather than the whole snapshot.
 const RETAINED_ENTRIES: u64 = 1024;
-/// Most bytes of commands kept below a snapshot of our own: a few large entries would otherwise
-/// outweigh the snapshot many times over. With this bound and one on the whole log, a leader with
-/// bundles of 400 kB took 128 MB in place of 178 MB.
+/// Maximum bytes of commands kept below a snapshot of the replica's own state; without it, a few large
+/// entries could take many times the memory of the snapshot. With this limit and one on the whole log, a
+/// leader with bundles of 400 kB used 128 MB instead of 178 MB.
 const RETAINED_BYTES: usize = 8 * 1024 * 1024;
 
-/// The log in memory.
+/// In-memory log.
 ///
-/// Invariants: `entries` has no gaps and starts just after `base_index`; `base_index` is at most
-/// the snapshot's index; `memberships` holds every membership at or after `base_index`, and the
-/// one in force at `base_index`.
+/// Invariants: `entries` has no gaps and starts directly after `base_index`; `base_index` is at most
+/// the snapshot's index; `memberships` holds the membership in force at `base_index` and every later one.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
     snapshot: Option<Snapshot>,
@@ -47,7 +46,7 @@
         self.snapshot.as_ref().map_or(LogIndex(0), |s| s.index)
     }
 
-    /// Entry before the first one held.
+    /// Index of the entry before the first one held.
     pub(crate) fn base_index(&self) -> LogIndex {
         self.base_index
     }
@@ -60,7 +59,7 @@
         self.entries.back().map_or(self.base_term, |e| e.term)
     }
 
-    /// Term of an entry; `None` if it is compacted or not there.
+    /// Term of an entry; `None` if it is compacted or not in the log.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -80,7 +79,7 @@
 
     /// Appends the next entry.
     pub(crate) fn append(&mut self, entry: Entry) {
-        assert_eq!(entry.index.0, self.last_index().0 + 1, "log without gaps");
+        assert_eq!(entry.index.0, self.last_index().0 + 1, "log has a gap");
         if let Payload::Membership(membership) = &entry.payload {
             self.memberships.push((entry.index, membership.clone()));
         }
@@ -103,7 +102,7 @@
         self.memberships.retain(|(at, _)| *at < index);
     }
 
-    /// Replaces everything by a snapshot.
+    /// Replaces the whole log by a snapshot.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         self.base_index = snapshot.index;
         self.base_term = snapshot.term;
@@ -113,7 +112,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Takes a snapshot of our own in place of the entries up to `index`, which must be held.
+    /// Replaces the entries up to `index`, which must be held, by a snapshot of the replica's own state.
     pub(crate) fn compact(&mut self, index: LogIndex, data: Vec<u8>) -> Snapshot {
         let term = self.term_at(index).expect("entry to compact at is held");
         let (_, membership) = self.membership_at(index);
@@ -124,13 +123,13 @@
             data,
         };
         self.snapshot = Some(snapshot.clone());
-        self.drop_entries_to(self.retained_after(index));
+        self.drop_entries_to(self.last_droppable_below(index));
         snapshot
     }
 
-    /// The entry up to which nothing need be kept below a snapshot at `index`.
-    fn retained_after(&self, index: LogIndex) -> LogIndex {
-        let mut first_kept = index;
+    /// Last entry that can be dropped below a snapshot at `index`.
+    fn last_droppable_below(&self, index: LogIndex) -> LogIndex {
+        let mut last_dropped = index;
         let mut bytes = 0;
         let covered = (index.0 - self.base_index.0) as usize;
         let newest_first = self.entries.iter().take(covered).rev();
@@ -139,9 +138,9 @@
             if bytes > RETAINED_BYTES {
                 break;
             }
-            first_kept = LogIndex(entry.index.0 - 1);
+            last_dropped = LogIndex(entry.index.0 - 1);
         }
-        first_kept
+        last_dropped
     }
 
     fn drop_entries_to(&mut self, index: LogIndex) {
@@ -160,13 +159,13 @@
         self.base_term = term;
     }
 
-    /// Membership in force, which is the latest one appended, and its index.
+    /// Membership in force, which is the last one appended, and its index.
     pub(crate) fn membership(&self) -> (LogIndex, &Membership) {
         self.membership_at(self.last_index())
     }
 
     fn membership_at(&self, index: LogIndex) -> (LogIndex, &Membership) {
-        static NOBODY: Membership = Membership {
+        static EMPTY: Membership = Membership {
             voters: std::collections::BTreeSet::new(),
             learners: std::collections::BTreeSet::new(),
             descriptions: std::collections::BTreeMap::new(),
@@ -175,16 +174,16 @@
             .iter()
             .rev()
             .find(|(at, _)| *at <= index)
-            .map_or((LogIndex(0), &NOBODY), |(at, membership)| (*at, membership))
+            .map_or((LogIndex(0), &EMPTY), |(at, membership)| (*at, membership))
     }
 
-    /// Whether a log that ends in this entry holds at least all that this one may have committed.
+    /// Whether a log that ends with this entry holds all entries of this log that may be committed.
     pub(crate) fn is_covered_by(&self, last_index: LogIndex, last_term: Term) -> bool {
         (last_term, last_index) >= (self.last_term(), self.last_index())
     }
 
-    /// Highest entry at or below `index` whose term is at most `term`: above it, this log can't
-    /// agree with one that has `term` at `index`.
+    /// Highest entry at or below `index` whose term is at most `term`. Above it, this log can't match a log
+    /// that has `term` at `index`.
     pub(crate) fn possible_match(&self, index: LogIndex, term: Term) -> (LogIndex, Term) {
         let mut candidate = index.min(self.last_index());
         while let Some(own) = self.term_at(candidate) {
--- a/crates/bramblewheel-replication/src/membership.rs
+++ b/crates/bramblewheel-replication/src/membership.rs
@@ -1,7 +1,7 @@
-//! Changes of the membership, one replica at a time.
+//! Membership changes, one replica at a time.
 //!
-//! Changing one voter at a time keeps every majority of the old membership in touch with every
-//! majority of the new one, so no joint membership is needed.
+//! With one voter changed at a time, every majority of the old membership overlaps every majority of the
+//! new one, so joint consensus is not needed.
 
 use crate::error::MembershipError;
 use crate::types::{Membership, ReplicaId};
@@ -9,11 +9,11 @@
 /// A change of the membership by one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// Starts to send the log to a replica that is not counted in a quorum.
+    /// Adds a replica that receives the log and doesn't count for a quorum.
     AddLearner {
         /// The new learner.
         replica: ReplicaId,
-        /// Its opaque description.
+        /// Description of the replica, opaque to this crate.
         description: Vec<u8>,
     },
     /// Makes a learner a voter.
@@ -33,10 +33,10 @@
         self.voters.iter().chain(&self.learners).copied()
     }
 
-    /// The membership after a change.
+    /// Returns the membership after a change.
     ///
     /// # Errors
-    /// [`MembershipError`] when the change does not fit this membership.
+    /// [`MembershipError`] when the change can't be applied to this membership.
     pub fn changed(&self, change: &MembershipChange) -> Result<Self, MembershipError> {
         let mut next = self.clone();
         match change {
--- a/crates/bramblewheel-replication/src/output.rs
+++ b/crates/bramblewheel-replication/src/output.rs
@@ -1,24 +1,24 @@
-//! What a replica asks its driver to do.
+//! Output of a replica for its driver to carry out.
 
 use crate::message::Message;
 use crate::types::{Entry, LogIndex, ProposalId, ReadId, ReplicaId, Snapshot, Term, Write};
 
-/// What the driver must do, in this order: sync `write`, call
+/// Actions for the driver, to be carried out in this order: sync `write`, call
 /// [`persisted`](crate::Replica::persisted), send `messages`, install the snapshot, apply
 /// `committed`, then report `proposals` and answer `reads`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// To be synced before anything else here is done.
+    /// Changes to sync before any other action.
     pub write: Write,
-    /// To be sent once `write` is synced; may be lost.
+    /// Messages to send once `write` is synced; may be lost.
     pub messages: Vec<(ReplicaId, Message)>,
-    /// Entries that are committed now, in order and without gaps.
+    /// Newly committed entries, in order and without gaps.
     pub committed: Vec<Entry>,
-    /// A snapshot from the leader that replaces the state machine, before `committed`.
+    /// A snapshot from the leader that replaces the state machine's state before `committed` is applied.
     pub installed_snapshot: Option<Snapshot>,
-    /// Fates of proposals.
+    /// Results of proposals.
     pub proposals: Vec<(ProposalId, ProposalResult)>,
-    /// Fates of reads; a ready one is answered from the state after `committed` is applied.
+    /// Results of reads; a ready read is answered from the state after `committed` is applied.
     pub reads: Vec<(ReadId, ReadResult)>,
 }
 
@@ -29,21 +29,21 @@
     }
 }
 
-/// Fate of a proposal.
+/// Result of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalResult {
     /// Durable at a quorum.
     Committed {
-        /// Its position.
+        /// Index of the entry.
         index: LogIndex,
         /// Term of the entry.
         term: Term,
     },
-    /// The replica lost leadership first; the entry may be committed by another or be lost.
+    /// The replica lost leadership first; a later leader may commit the entry or drop it.
     Undecided,
 }
 
-/// Fate of a read.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadResult {
     /// A quorum confirmed the leader after the read arrived.
--- a/crates/bramblewheel-replication/src/persistence.rs
+++ b/crates/bramblewheel-replication/src/persistence.rs
@@ -1,9 +1,9 @@
-//! Tracks what was handed out to be synced and what is synced.
+//! Tracks which changes were handed to the driver to be synced and which are synced.
 
 use crate::log::Log;
 use crate::types::{HardState, LogIndex, Snapshot, Write};
 
-/// What was handed out to be synced and what is synced.
+/// Changes handed to the driver to be synced, and changes that are synced.
 ///
 /// Invariant: `synced <= handed_out <= last index of the log`.
 #[derive(Debug)]
@@ -16,7 +16,7 @@
 }
 
 impl Persistence {
-    /// Everything up to `index` is synced, and so is the hard state.
+    /// Starts with the hard state and all entries up to `index` synced.
     pub(crate) fn new(index: LogIndex, hard_state: HardState) -> Self {
         Self {
             synced: index,
@@ -32,8 +32,8 @@
         self.synced
     }
 
-    /// The log lost its entries from `index` on.
-    pub(crate) fn truncated_from(&mut self, index: LogIndex) {
+    /// Records that the log was truncated from `index` on.
+    pub(crate) fn on_truncate(&mut self, index: LogIndex) {
         let last_kept = LogIndex(index.0 - 1);
         if index <= self.handed_out {
             let earlier = self.truncate_from.unwrap_or(index);
@@ -43,15 +43,15 @@
         self.synced = self.synced.min(last_kept);
     }
 
-    /// The log was replaced by a snapshot.
-    pub(crate) fn installed(&mut self, snapshot: Snapshot) {
+    /// Records that the log was replaced by a snapshot.
+    pub(crate) fn on_install(&mut self, snapshot: Snapshot) {
         self.truncate_from = None;
         self.handed_out = snapshot.index;
         self.synced = self.synced.min(snapshot.index);
         self.snapshot = Some(snapshot);
     }
 
-    /// What is to be synced next.
+    /// Takes the changes to be synced next.
     pub(crate) fn take_write(&mut self, log: &Log, hard_state: HardState) -> Write {
         let first = LogIndex(self.handed_out.0 + 1);
         let write = Write {
@@ -65,7 +65,7 @@
         write
     }
 
-    /// All that was handed out is synced.
+    /// Records that all changes handed out so far are synced.
     pub(crate) fn persisted(&mut self) {
         self.synced = self.handed_out;
     }
--- a/crates/bramblewheel-replication/src/progress.rs
+++ b/crates/bramblewheel-replication/src/progress.rs
@@ -1,39 +1,39 @@
-//! What a leader knows of one other replica.
+//! Replication progress of one other replica, tracked by the leader.
 
 use crate::message::ContactToken;
 use crate::types::LogIndex;
 use bramblewheel_types::Timestamp;
 use std::collections::VecDeque;
 
-/// Most messages with entries sent to one follower and not answered; chosen, not measured.
+/// Maximum number of unanswered messages with entries per follower.
 const MAX_IN_FLIGHT: usize = 16;
-/// Rounds that a follower may answer without having a snapshot before it is taken for lost.
-/// Chosen, not measured.
-const SNAPSHOT_PATIENCE: u64 = 10;
+/// Rounds that a follower may answer without having installed a snapshot before the snapshot counts as lost.
+const SNAPSHOT_TIMEOUT_ROUNDS: u64 = 10;
 
 /// How entries are sent to a follower.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Flow {
-    /// Where the logs agree is not known: one message, then wait for its answer or the next round.
+    /// The last matching entry is not known: one message is sent, and the next after its answer or in the
+    /// next round.
     Probe {
-        /// A message is on its way.
+        /// Whether a message is in flight.
         waiting: bool,
     },
-    /// Messages are sent ahead of their answers.
+    /// Messages are pipelined without waiting for answers.
     Replicate {
-        /// Last entry of each message on its way.
+        /// Last entry of each message in flight.
         in_flight: VecDeque<LogIndex>,
     },
-    /// A snapshot is on its way.
+    /// A snapshot is in flight.
     Snapshot {
         /// Its index.
         index: LogIndex,
-        /// Round it was sent in.
+        /// Round in which it was sent.
         round: u64,
     },
 }
 
-/// What a leader knows of one other replica.
+/// Replication progress of one other replica.
 ///
 /// Invariant: `match_index < next_index`.
 #[derive(Debug)]
@@ -44,19 +44,19 @@
     pub(crate) next_index: LogIndex,
     /// How entries are sent.
     pub(crate) flow: Flow,
-    /// Last round the follower answered.
+    /// Last round that the follower answered.
     pub(crate) acked_round: u64,
-    /// When that round began: the follower was there at this time or later.
+    /// Start of that round; the follower was reachable at this time or later.
     pub(crate) last_contact: Option<Timestamp>,
-    /// Last round sent to it.
+    /// Last round sent to the follower.
     pub(crate) sent_round: u64,
-    /// Commit index last sent to it.
+    /// Commit index last sent to the follower.
     pub(crate) sent_commit: LogIndex,
-    /// A token of it and when it came, until a quorum answered a round begun after that.
+    /// A token of the follower and its arrival time, until a quorum answers a round that began later.
     waiting_token: Option<(ContactToken, Timestamp)>,
-    /// Its last token after which a quorum answered; sent back to it.
+    /// The follower's last token after which a quorum answered; sent back to it.
     pub(crate) proven_token: Option<ContactToken>,
-    /// Last entry of the leader when the latest round began.
+    /// Last entry of the leader's log when the latest round began.
     pub(crate) catch_up_target: LogIndex,
 }
 
@@ -85,8 +85,8 @@
         }
     }
 
-    /// A message with entries up to `last` was sent.
-    pub(crate) fn sent_entries(&mut self, last: LogIndex) {
+    /// Records that a message with entries up to `last` was sent.
+    pub(crate) fn on_entries_sent(&mut self, last: LogIndex) {
         match &mut self.flow {
             Flow::Probe { waiting } => *waiting = true,
             Flow::Replicate { in_flight } => {
@@ -97,22 +97,22 @@
         }
     }
 
-    /// A snapshot was sent.
-    pub(crate) fn sent_snapshot(&mut self, index: LogIndex, round: u64) {
+    /// Records that a snapshot was sent.
+    pub(crate) fn on_snapshot_sent(&mut self, index: LogIndex, round: u64) {
         self.flow = Flow::Snapshot { index, round };
         self.next_index = LogIndex(index.0 + 1);
     }
 
-    /// A new round begins: a probe that may be lost is sent again.
-    pub(crate) fn new_round(&mut self, last_index: LogIndex) {
+    /// Prepares a new round, in which a probe that may be lost is sent again.
+    pub(crate) fn on_round_begun(&mut self, last_index: LogIndex) {
         self.catch_up_target = last_index;
         if let Flow::Probe { waiting } = &mut self.flow {
             *waiting = false;
         }
     }
 
-    /// The follower's log agrees up to `index`.
-    pub(crate) fn matched(&mut self, index: LogIndex) {
+    /// Records that the follower's log matches up to `index`.
+    pub(crate) fn on_match(&mut self, index: LogIndex) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(LogIndex(self.match_index.0 + 1));
         match &mut self.flow {
@@ -126,13 +126,13 @@
         }
     }
 
-    /// The follower lacks the entry `previous_index`; the logs agree at most up to `possible`.
-    pub(crate) fn conflicted(&mut self, round: u64, previous_index: LogIndex, possible: LogIndex) {
+    /// Records that the follower lacks the entry `previous_index`; the logs match at most up to `possible`.
+    pub(crate) fn on_conflict(&mut self, round: u64, previous_index: LogIndex, possible: LogIndex) {
         if previous_index <= self.match_index {
             return;
         }
         match &self.flow {
-            Flow::Snapshot { round: sent, .. } if round < sent + SNAPSHOT_PATIENCE => return,
+            Flow::Snapshot { round: sent, .. } if round < sent + SNAPSHOT_TIMEOUT_ROUNDS => return,
             Flow::Probe { .. } if previous_index.0 + 1 != self.next_index.0 => return,
             _ => {}
         }
@@ -141,8 +141,8 @@
         self.next_index = LogIndex(next);
     }
 
-    /// The follower answered at `now` a round that began earlier.
-    pub(crate) fn answered(
+    /// Records an answer at `now` to a round that began at `began`.
+    pub(crate) fn on_answer(
         &mut self,
         round: u64,
         began: Timestamp,
@@ -156,9 +156,12 @@
         }
     }
 
-    /// A quorum answered a round that began at `contact`: what came before is proven.
+    /// Marks the waiting token as proven if it arrived before `contact`, the start of a round that a quorum
+    /// answered.
     pub(crate) fn prove_token(&mut self, contact: Timestamp) {
-        let proven = self.waiting_token.take_if(|(_, came)| *came <= contact);
+        let proven = self
+            .waiting_token
+            .take_if(|(_, arrived)| *arrived <= contact);
         if let Some((token, _)) = proven {
             self.proven_token = Some(token);
         }
--- a/crates/bramblewheel-replication/src/quorum.rs
+++ b/crates/bramblewheel-replication/src/quorum.rs
@@ -1,4 +1,4 @@
-//! Majorities.
+//! Values reached by a majority of voters.
 
 use crate::types::ReplicaId;
 use std::collections::BTreeSet;
--- a/crates/bramblewheel-replication/src/read.rs
+++ b/crates/bramblewheel-replication/src/read.rs
@@ -1,9 +1,9 @@
-//! Reads that wait for a quorum to confirm the leader.
+//! Linearizable reads that wait for a quorum to confirm the leader.
 
 use crate::types::{LogIndex, ReadId};
 use std::collections::VecDeque;
 
-/// A read that waits for its round.
+/// A read that waits for a quorum to answer its round.
 #[derive(Debug)]
 struct ConfirmingRead {
     id: ReadId,
@@ -11,10 +11,10 @@
     round: u64,
 }
 
-/// Reads of a leader that are not answered yet.
+/// Unanswered reads of a leader.
 ///
-/// A read is confirmed by a round that began after it arrived, never by the clock, so a leader
-/// that was frozen can't answer from an old state.
+/// A read is confirmed by a round that began after it arrived, never by the clock, so that a leader that
+/// was frozen can't answer from outdated state.
 #[derive(Debug, Default)]
 pub(crate) struct ReadQueue {
     arrived: Vec<ReadId>,
@@ -27,26 +27,26 @@
         self.arrived.push(id);
     }
 
-    /// Whether a read has no round yet.
+    /// Whether a read waits for a round to begin.
     pub(crate) fn needs_round(&self) -> bool {
         !self.arrived.is_empty()
     }
 
-    /// A round begins at this commit index: all reads that arrived wait for it.
+    /// Assigns all arrived reads to a round that begins at this commit index.
     pub(crate) fn begin_round(&mut self, round: u64, index: LogIndex) {
         let reads = self.arrived.drain(..);
         self.confirming
             .extend(reads.map(|id| ConfirmingRead { id, index, round }));
     }
 
-    /// A quorum has answered this round.
+    /// Confirms the reads of all rounds up to this one, which a quorum has answered.
     pub(crate) fn confirm(&mut self, round: u64) {
         while let Some(read) = self.confirming.pop_front_if(|read| read.round <= round) {
             self.confirmed.push_back((read.id, read.index));
         }
     }
 
-    /// Reads that can be answered once entries up to `applied` are applied.
+    /// Takes the confirmed reads that can be answered once entries up to `applied` are applied.
     pub(crate) fn take_ready(&mut self, applied: LogIndex) -> Vec<(ReadId, LogIndex)> {
         let mut ready = Vec::new();
         while let Some(read) = self.confirmed.pop_front_if(|(_, index)| *index <= applied) {
@@ -55,7 +55,7 @@
         ready
     }
 
-    /// All reads, to be given up.
+    /// Returns all unanswered reads, to report that they can't be completed.
     pub(crate) fn into_pending(self) -> impl Iterator<Item = ReadId> {
         let confirmed = self.confirmed.into_iter().map(|(id, _)| id);
         let confirming = self.confirming.into_iter().map(|read| read.id);
--- a/crates/bramblewheel-replication/src/reconfiguration.rs
+++ b/crates/bramblewheel-replication/src/reconfiguration.rs
@@ -1,7 +1,7 @@
 //! Membership changes at the leader, one at a time.
 
 use crate::error::MembershipError;
-use crate::leadership::Departing;
+use crate::leadership::RemovedReplica;
 use crate::membership::MembershipChange;
 use crate::progress::Progress;
 use crate::replica::Replica;
@@ -11,8 +11,8 @@
 impl Replica {
     /// Proposes to change the membership by one replica.
     ///
-    /// A promoted learner holds the whole log up to the start of the latest round; whether it
-    /// holds the promotion itself is shown by [`match_index`](Self::match_index).
+    /// A promoted learner has synced the log up to the start of the latest round;
+    /// [`match_index`](Self::match_index) tells whether it has synced the promotion itself.
     ///
     /// # Errors
     /// [`MembershipError`] when the change is not possible now; nothing was appended.
@@ -36,7 +36,7 @@
         }
         self.append_proposal(id, Payload::Membership(next));
         if let MembershipChange::Remove(replica) = change {
-            self.keep_departing(replica);
+            self.keep_informing_removed(replica);
         }
         self.sync_peers();
         Ok(())
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Makes the peers those of the membership in force.
+    /// Updates the peers to the membership in force.
     pub(crate) fn sync_peers(&mut self) {
         let own = self.config.id;
         let members: Vec<ReplicaId> = self
@@ -71,23 +71,23 @@
         let Some(leadership) = self.leadership_mut() else {
             return;
         };
-        let departing = leadership.departing.as_ref().map(|gone| gone.replica);
+        let removed = leadership.removed.as_ref().map(|removed| removed.replica);
         leadership
             .peers
-            .retain(|id, _| members.contains(id) || departing == Some(*id));
+            .retain(|id, _| members.contains(id) || removed == Some(*id));
         for member in members {
-            let fresh = || Progress::new(last_index);
-            leadership.peers.entry(member).or_insert_with(fresh);
+            let new_progress = || Progress::new(last_index);
+            leadership.peers.entry(member).or_insert_with(new_progress);
         }
     }
 
-    /// Goes on sending to a removed replica until it has the membership without it, so that it
-    /// does not campaign.
-    fn keep_departing(&mut self, replica: ReplicaId) {
+    /// Continues sending to a removed replica until it has received its removal, so that it does not start
+    /// elections.
+    fn keep_informing_removed(&mut self, replica: ReplicaId) {
         let index = self.log.last_index();
         let deadline = self.now + self.config.election_timeout;
         if let Some(leadership) = self.leadership_mut() {
-            leadership.departing = Some(Departing {
+            leadership.removed = Some(RemovedReplica {
                 replica,
                 index,
                 deadline,
@@ -95,19 +95,19 @@
         }
     }
 
-    /// Forgets a removed replica that is informed of it, or does not answer.
-    pub(crate) fn release_departed(&mut self) {
+    /// Stops sending to a removed replica once it has received its removal, or after the deadline.
+    pub(crate) fn release_removed(&mut self) {
         let now = self.now;
         let Some(leadership) = self.leadership_mut() else {
             return;
         };
-        let Some(departing) = &leadership.departing else {
+        let Some(removed) = &leadership.removed else {
             return;
         };
-        let progress = leadership.peers.get(&departing.replica);
-        let is_informed = progress.is_none_or(|p| p.match_index >= departing.index);
-        if is_informed || departing.deadline <= now {
-            leadership.departing = None;
+        let progress = leadership.peers.get(&removed.replica);
+        let is_informed = progress.is_none_or(|p| p.match_index >= removed.index);
+        if is_informed || removed.deadline <= now {
+            leadership.removed = None;
             self.sync_peers();
         }
     }
--- a/crates/bramblewheel-replication/src/replica.rs
+++ b/crates/bramblewheel-replication/src/replica.rs
@@ -1,8 +1,8 @@
-//! One replica of the log: its state, its start and its outputs.
+//! One replica of the log: state, start and outputs.
 //!
-//! Owns all state of a replica. The reactions to inputs stand in a module each: `step` (messages and
-//! time), `candidate`, `follower`, `leader` and what they use; `status` shows the state to the
-//! driver. Relies on the driver to sync what an [`Output`] holds before it sends its messages.
+//! The handling of inputs is in other modules: `step` (messages and time), `candidate`, `follower`,
+//! `leader` and the modules they use; `status` reports the state to the driver. The driver must sync the
+//! write of an [`Output`] before it sends the messages.
 
 use crate::config::ReplicaConfig;
 use crate::error::NotLeader;
@@ -18,26 +18,26 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// One replica of the log, without any input or output of its own.
+/// One replica of the log, without any I/O of its own.
 ///
-/// The driver feeds any number of inputs ([`tick`](Self::tick), [`receive`](Self::receive),
-/// [`propose`](Self::propose) and the like), then calls [`take_output`](Self::take_output) until
-/// it is empty and carries each [`Output`] out as described there. Inputs in between are batched:
-/// one sync serves them all.
+/// The driver passes any number of inputs ([`tick`](Self::tick), [`receive`](Self::receive),
+/// [`propose`](Self::propose) and others), then calls [`take_output`](Self::take_output) until
+/// it is empty and carries out each [`Output`] as described there. Inputs between outputs are batched
+/// and share one sync.
 ///
 /// Invariants:
 /// - at most one leader per term;
-/// - two logs with an entry of one index and term agree up to it;
+/// - two logs with an entry of the same index and term are identical up to that entry;
 /// - an entry handed out as committed is in the log of every later leader;
 /// - entries are handed out once per start, in order and without gaps;
-/// - nothing is promised to another replica that is not synced first, as long as the driver
+/// - no vote or acknowledgement is sent before the state it depends on is synced, provided that the driver
 ///   sends the messages of an output only after its write;
-/// - the clock is used for liveness only: no vote, commit or read relies on it.
+/// - the clock is used for liveness only: no vote, commit or read depends on it.
 #[derive(Debug)]
 pub struct Replica {
     pub(crate) config: ReplicaConfig,
     pub(crate) random: Pcg64Mcg,
-    /// Distinguishes the tokens of this start from those of earlier ones.
+    /// Distinguishes the tokens of this start from those of earlier starts.
     pub(crate) session: u64,
     pub(crate) now: Timestamp,
     pub(crate) hard_state: HardState,
@@ -48,9 +48,9 @@
     pub(crate) delivered: LogIndex,
     pub(crate) role: RoleState,
     pub(crate) leader: Option<ReplicaId>,
-    /// Last message from a leader of the current term.
+    /// Time of the last message from a leader of the current term.
     pub(crate) leader_contact: Option<Timestamp>,
-    /// Latest moment after which a leader with a quorum is proven to have been there.
+    /// Latest time after which a leader is proven to have had contact with a quorum.
     pub(crate) quorum_contact: Option<Timestamp>,
     pub(crate) election_due: Timestamp,
     pub(crate) messages: Vec<(ReplicaId, Message)>,
@@ -60,11 +60,11 @@
 }
 
 impl Replica {
-    /// Starts a replica from what it had synced.
+    /// Starts a replica from its synced state.
     ///
-    /// With nothing restored and no bootstrap membership the replica neither campaigns nor votes
+    /// Without restored state or a bootstrap membership, the replica neither starts elections nor votes
     /// until a leader sends it a membership that contains it. The state machine starts from
-    /// `restored.snapshot`; entries after it are handed out again as they are known committed.
+    /// `restored.snapshot`; entries after it are handed out again once they are known to be committed.
     pub fn new(config: ReplicaConfig, restored: RestoredState, now: Timestamp) -> Self {
         let is_new = restored == RestoredState::default();
         let bootstrap = config.bootstrap.clone().filter(|_| is_new);
@@ -109,10 +109,10 @@
         self.commit = snapshot.index;
         self.delivered = snapshot.index;
         self.log.install(snapshot.clone());
-        self.persistence.installed(snapshot);
+        self.persistence.on_install(snapshot);
     }
 
-    /// What the driver must do now. Call until it is empty.
+    /// Returns the actions for the driver; to be called until the output is empty.
     pub fn take_output(&mut self) -> Output {
         self.flush_leader();
         let committed = self.log.range(LogIndex(self.delivered.0 + 1), self.commit);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The writes of all outputs taken so far are synced.
+    /// Records that the writes of all outputs taken so far are synced.
     pub fn persisted(&mut self) {
         self.persistence.persisted();
         self.advance_commit();
--- a/crates/bramblewheel-replication/src/role.rs
+++ b/crates/bramblewheel-replication/src/role.rs
@@ -1,7 +1,7 @@
-//! Roles of a replica and the change to follower.
+//! Roles of a replica and the transition to follower.
 //!
-//! Owns what a replica holds only in its role. A higher term, a lost quorum and a lost election all
-//! lead to a follower; the changes to the other roles stand in `candidate`.
+//! A replica becomes a follower on a higher term, a lost quorum or a lost election; the transitions to
+//! the other roles are in `candidate`.
 
 use crate::leadership::Leadership;
 use crate::output::{ProposalResult, ReadResult};
@@ -11,20 +11,20 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What a replica does in its term, for status pages.
+/// Role of a replica in its term, for status pages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Receives the log.
+    /// Receives the log from the leader.
     Follower,
-    /// Asks whether it could win an election.
+    /// Asks the voters for pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Asks the voters for votes.
     Candidate,
-    /// Orders the log.
+    /// Appends entries to the log and replicates them.
     Leader,
 }
 
-/// Role with its state.
+/// Role with its state, which is dropped when the role changes.
 #[derive(Debug)]
 pub(crate) enum RoleState {
     Follower,
@@ -34,7 +34,7 @@
 }
 
 impl Replica {
-    /// Follows in `term`, if it is a higher one, and under `leader` as far as one is known.
+    /// Becomes a follower of `leader`, if known, and adopts `term` if it is higher.
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<ReplicaId>) {
         if term > self.hard_state.term {
             self.hard_state = HardState {
@@ -44,14 +44,14 @@
         }
         let old = std::mem::replace(&mut self.role, RoleState::Follower);
         if let RoleState::Leader(leadership) = old {
-            self.give_up(*leadership);
+            self.abandon_pending(*leadership);
         }
         self.leader = leader;
         self.reset_election_timer();
     }
 
-    /// Reports what a leader had accepted and can't complete.
-    fn give_up(&mut self, leadership: Leadership) {
+    /// Reports the proposals and reads that a former leader had accepted and can't complete.
+    fn abandon_pending(&mut self, leadership: Leadership) {
         let proposals = leadership.proposals.into_values();
         self.proposal_results
             .extend(proposals.map(|id| (id, ProposalResult::Undecided)));
@@ -60,7 +60,7 @@
             .extend(reads.map(|id| (id, ReadResult::LeadershipLost)));
     }
 
-    /// Draws the next election timeout: from one to two times the setting.
+    /// Draws the next election time-out, from one to two times the configured one.
     pub(crate) fn reset_election_timer(&mut self) {
         let shortest = self.config.election_timeout;
         let micros = u64::try_from(shortest.as_micros()).unwrap_or(u64::MAX);
--- a/crates/bramblewheel-replication/src/source.rs
+++ b/crates/bramblewheel-replication/src/source.rs
@@ -1,26 +1,26 @@
-//! What a leader sends to one member next.
+//! Builds the messages that a leader sends to one member.
 
 use crate::log::Log;
 use crate::message::Body;
 use crate::progress::{Flow, Progress};
 use crate::types::{Entry, LogIndex, Payload};
 
-/// Most bytes of commands in one message, unless a single entry has more; chosen, not measured.
+/// Maximum bytes of commands in one message; a single larger entry is sent alone.
 const MAX_BYTES_PER_MESSAGE: usize = 1024 * 1024;
 
-/// What a leader sends from.
-pub(crate) struct Source<'a> {
+/// State of the leader from which messages are built.
+pub(crate) struct MessageSource<'a> {
     pub(crate) log: &'a Log,
     pub(crate) commit: LogIndex,
     pub(crate) round: u64,
     pub(crate) max_entries: usize,
 }
 
-impl Source<'_> {
-    /// Everything the member may be sent now; notes it as sent.
-    pub(crate) fn missing(&self, progress: &mut Progress) -> Vec<Body> {
+impl MessageSource<'_> {
+    /// Returns all messages that the member may be sent now, and records them as sent.
+    pub(crate) fn take_pending(&self, progress: &mut Progress) -> Vec<Body> {
         let mut bodies = Vec::new();
-        while let Some(body) = self.next_with_content(progress) {
+        while let Some(body) = self.next_entries_or_snapshot(progress) {
             bodies.push(body);
         }
         let replicates = matches!(progress.flow, Flow::Replicate { .. });
@@ -35,7 +35,7 @@
         bodies
     }
 
-    fn next_with_content(&self, progress: &mut Progress) -> Option<Body> {
+    fn next_entries_or_snapshot(&self, progress: &mut Progress) -> Option<Body> {
         if !progress.may_send_entries() {
             return None;
         }
@@ -45,13 +45,13 @@
         let entries = self.entries_from(progress.next_index);
         let last = entries.last()?.index;
         let body = self.append_after(progress, entries);
-        progress.sent_entries(last);
+        progress.on_entries_sent(last);
         Some(body)
     }
 
     fn snapshot(&self, progress: &mut Progress) -> Option<Body> {
         let snapshot = self.log.snapshot()?.clone();
-        progress.sent_snapshot(snapshot.index, self.round);
+        progress.on_snapshot_sent(snapshot.index, self.round);
         let round = self.round;
         Some(Body::InstallSnapshot { snapshot, round })
     }
@@ -61,7 +61,7 @@
         let previous_term = self
             .log
             .term_at(previous_index)
-            .expect("entries from the base on are held");
+            .expect("the log holds the term of every entry from its base on");
         Body::Append {
             previous_index,
             previous_term,
--- a/crates/bramblewheel-replication/src/status.rs
+++ b/crates/bramblewheel-replication/src/status.rs
@@ -1,4 +1,4 @@
-//! What a replica shows of itself to its driver, status pages and tests; changes nothing.
+//! Read-only status of a replica, for its driver, status pages and tests.
 
 use crate::replica::Replica;
 use crate::role::{Role, RoleState};
@@ -11,7 +11,7 @@
         self.config.id
     }
 
-    /// What the replica does in its term.
+    /// Role of the replica in its term.
     pub fn role(&self) -> Role {
         match self.role {
             RoleState::Follower => Role::Follower,
@@ -56,16 +56,16 @@
         self.log.membership().0 <= self.commit
     }
 
-    /// Whether the replica knows a membership that contains it.
+    /// Whether the replica has a membership that contains it.
     pub fn is_initialised(&self) -> bool {
         self.membership().contains(self.config.id)
     }
 
     /// Whether contact with a quorum is proven within the lease before `now`.
     ///
-    /// A leader goes by the start of the rounds that a quorum answered, a follower by the tokens
-    /// that the leader sent back after a quorum answered it. Messages that waited while this process was frozen
-    /// prove nothing newer than the freeze.
+    /// A leader uses the start of the rounds that a quorum answered, a follower the tokens that the leader
+    /// sent back after a quorum answered it. Messages that were waiting while this process was frozen prove no
+    /// contact after the start of the freeze.
     pub fn has_quorum(&self, now: Timestamp) -> bool {
         let now = now.max(self.now);
         let contact = match &self.role {
--- a/crates/bramblewheel-replication/src/step.rs
+++ b/crates/bramblewheel-replication/src/step.rs
@@ -1,7 +1,7 @@
-//! Steps of a replica: what it does with a message and as time passes.
+//! Processing of messages and of time.
 //!
-//! Owns the rules on terms that hold for every message, before its kind matters. Relies on the
-//! modules of the roles for the reaction to each kind.
+//! Applies the rules on terms, which hold for every message, and passes the message on to the handler in
+//! the module of the role.
 
 use crate::message::{Body, Message};
 use crate::replica::Replica;
@@ -10,7 +10,7 @@
 use bramblewheel_types::Timestamp;
 
 impl Replica {
-    /// Lets time pass; call at [`next_wakeup`](Self::next_wakeup) or more often.
+    /// Advances the clock and runs what is due; to be called at [`next_wakeup`](Self::next_wakeup) or more often.
     pub fn tick(&mut self, now: Timestamp) {
         self.advance_clock(now);
         if matches!(self.role, RoleState::Leader(_)) {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Takes in a message of another replica.
+    /// Processes a message from another replica.
     pub fn receive(&mut self, now: Timestamp, from: ReplicaId, message: Message) {
         self.advance_clock(now);
         if from == self.config.id {
@@ -29,7 +29,7 @@
         if message.term > self.hard_state.term && !self.accept_term(&message) {
             return;
         }
-        // A replica behind our term may still grant a pre-vote for the next one.
+        // A replica with an older term may still grant a pre-vote for the next term.
         let is_pre_vote = matches!(message.body, Body::PreVoteResponse { .. });
         if message.term < self.hard_state.term && !is_pre_vote {
             self.refuse_old_term(from, message);
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Moves the clock; a leader that lost its quorum meanwhile steps down before anything else,
-    /// also when the process was frozen.
+    /// Advances the clock. A leader that has lost its quorum in the meantime steps down before it does
+    /// anything else, also after the process was frozen.
     pub(crate) fn advance_clock(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
         if self.leader_lost_quorum() {
@@ -77,10 +77,10 @@
         }
     }
 
-    /// Takes over a higher term; `false` if the message must be ignored.
+    /// Adopts the higher term of a message; `false` if the message must be ignored.
     fn accept_term(&mut self, message: &Message) -> bool {
         match &message.body {
-            // Asks only; whoever loses a pre-vote must not raise our term.
+            // A replica that loses a pre-vote must not raise the term of others.
             Body::PreVoteRequest { .. } => true,
             Body::VoteRequest { .. } if !self.is_initialised() => false,
             Body::VoteRequest { transfer, .. } if !transfer && self.has_leader_contact() => false,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Lets the sender of an older term know the current one.
+    /// Refuses a message of an older term, so that its sender learns the current term.
     fn refuse_old_term(&mut self, from: ReplicaId, message: Message) {
         match message.body {
             Body::PreVoteRequest { candidate_term, .. } => {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// When [`tick`](Self::tick) is due at the latest.
+    /// Time at which [`tick`](Self::tick) is due at the latest.
     pub fn next_wakeup(&self) -> Timestamp {
         match &self.role {
             RoleState::Leader(leadership) => leadership.heartbeat_due,
--- a/crates/bramblewheel-replication/src/transfer.rs
+++ b/crates/bramblewheel-replication/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Hand-over of leadership before a planned stop.
+//! Leadership transfer before a planned stop.
 
 use crate::error::TransferError;
 use crate::leadership::Transfer;
@@ -9,18 +9,20 @@
 use bramblewheel_types::Timestamp;
 
 impl Replica {
-    /// Starts to hand leadership to the voter that has most of the log; returns that voter.
+    /// Starts to transfer leadership to the voter with the highest match index; returns that voter.
     ///
-    /// Proposals are refused until it took over or an election timeout passed.
+    /// Proposals are refused until it has taken over or an election time-out has passed.
     ///
     /// # Errors
-    /// [`TransferError`] when this replica does not lead or no other voter answers.
+    /// [`TransferError`] when this replica is not the leader or no other voter answers.
     pub fn transfer_leadership(&mut self, now: Timestamp) -> Result<ReplicaId, TransferError> {
         self.advance_clock(now);
         self.check_accepting()?;
         let target = self.transfer_target().ok_or(TransferError::NoTarget)?;
         let deadline = self.now + self.config.election_timeout;
-        let leadership = self.leadership_mut().expect("checked to be the leader");
+        let leadership = self
+            .leadership_mut()
+            .expect("replica is the leader, as checked above");
         leadership.transfer = Some(Transfer {
             target,
             deadline,
@@ -32,7 +34,7 @@
     fn transfer_target(&self) -> Option<ReplicaId> {
         let leadership = self.leadership()?;
         let voters = &self.membership().voters;
-        let recent = |progress: &Progress| {
+        let match_index_if_reachable = |progress: &Progress| {
             let contact = progress.last_contact?;
             (contact + self.config.election_timeout >= self.now).then_some(progress.match_index)
         };
@@ -41,12 +43,12 @@
             .iter()
             .filter(|(id, _)| voters.contains(id));
         candidates
-            .filter_map(|(id, progress)| Some((recent(progress)?, *id)))
+            .filter_map(|(id, progress)| Some((match_index_if_reachable(progress)?, *id)))
             .max()
             .map(|(_, id)| id)
     }
 
-    /// Asks the replica that takes over to campaign, once it has the whole log.
+    /// Asks the transfer target to start an election once it has synced the whole log.
     pub(crate) fn prompt_transfer_target(&mut self) {
         let last_index = self.log.last_index();
         let Some(leadership) = self.leadership_mut() else {
--- a/crates/bramblewheel-replication/src/types.rs
+++ b/crates/bramblewheel-replication/src/types.rs
@@ -3,10 +3,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Identity of one replica, drawn at random when its data folder is made.
+/// Identity of one replica, drawn at random when its data folder is created.
 ///
-/// A replica that lost its folder comes back under a new identity, so a lost vote or a lost
-/// entry can never be counted twice.
+/// A replica that lost its folder restarts under a new identity, so that a vote or an entry it lost
+/// is never counted for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ReplicaId(pub u64);
@@ -28,9 +28,9 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Term of the leader that made it.
+    /// Term of the leader that appended it.
     pub term: Term,
-    /// Position.
+    /// Index in the log.
     pub index: LogIndex,
     /// Content.
     pub payload: Payload,
@@ -39,26 +39,26 @@
 /// Content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; a new leader commits one to learn what is committed.
+    /// No content; a new leader commits an empty entry to determine the commit index.
     Empty,
-    /// A command of the state machine above.
+    /// A command of the replicated state machine.
     Command(#[serde(with = "serde_bytes")] Vec<u8>),
     /// A new membership, in force from the moment it is appended.
     Membership(Membership),
 }
 
-/// Who votes and who only receives the log.
+/// Voters and learners of a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
     /// Replicas whose votes and acknowledgements make a quorum.
     pub voters: BTreeSet<ReplicaId>,
-    /// Replicas that receive the log and are not counted.
+    /// Replicas that receive the log and don't count for a quorum.
     pub learners: BTreeSet<ReplicaId>,
-    /// Opaque description of each member (addresses), for the shell.
+    /// Description of each member (addresses), opaque to this crate.
     pub descriptions: BTreeMap<ReplicaId, serde_bytes::ByteBuf>,
 }
 
-/// What must be synced besides the log before any message that depends on it is sent.
+/// Term and vote; synced before any message that depends on them is sent, as the log is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// Current term.
@@ -67,21 +67,21 @@
     pub voted_for: Option<ReplicaId>,
 }
 
-/// State of the state machine at one index, in place of the entries up to it.
+/// State of the state machine at one index; replaces the entries up to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// Last entry covered.
     pub index: LogIndex,
-    /// Its term.
+    /// Term of that entry.
     pub term: Term,
     /// Membership at that entry.
     pub membership: Membership,
-    /// State of the state machine above.
+    /// Encoded state of the replicated state machine.
     #[serde(with = "serde_bytes")]
     pub data: Vec<u8>,
 }
 
-/// What a replica had synced when it stopped; read back by the storage crate.
+/// State that a replica had synced when it stopped; read by the storage crate.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RestoredState {
     /// Term and vote.
@@ -92,22 +92,22 @@
     pub entries: Vec<Entry>,
 }
 
-/// Names a proposal so that its fate can be reported.
+/// Identifies a proposal, to report its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId(pub u64);
 
-/// Names a read so that its answer can be matched.
+/// Identifies a read, to report its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReadId(pub u64);
 
-/// What must be on disk, synced, before the messages of the same [`Output`] are sent.
+/// Changes that must be synced to disk before the messages of the same [`Output`] are sent.
 ///
-/// Apply in field order. `Storage::write` of the storage crate takes one of these.
+/// Applied in field order. `Storage::write` of the storage crate takes this type.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Write {
-    /// Snapshot received from the leader: replaces the whole log.
+    /// Snapshot received from the leader; replaces the whole log.
     pub snapshot: Option<Snapshot>,
-    /// Remove entries from this index on before appending.
+    /// Index from which entries are removed before appending.
     pub truncate_from: Option<LogIndex>,
     /// Entries to append.
     pub entries: Vec<Entry>,
@@ -123,7 +123,7 @@
 }
 
 impl RestoredState {
-    /// State of a first voter of a new group: the membership as a snapshot at index 1.
+    /// Initial state of a first voter of a new group: the membership as a snapshot at index 1.
     pub fn bootstrap(membership: Membership) -> Self {
         let term = Term(1);
         let snapshot = Snapshot {
--- a/crates/bramblewheel-replication/tests/cluster/checks.rs
+++ b/crates/bramblewheel-replication/tests/cluster/checks.rs
@@ -1,11 +1,11 @@
-//! Checks at rest: a leader is found, faults are healed, all logs agree.
+//! Checks after a run: a leader exists, and after all faults have ended all logs match.
 
 use super::{Cluster, Faults};
 use bramblewheel_replication::{Entry, ReplicaId};
 use std::time::Duration;
 
 impl Cluster {
-    /// Runs until there is a leader that holds its quorum, for at most ten seconds.
+    /// Runs until there is a leader with a quorum, for at most ten seconds.
     pub fn settle(&mut self) -> ReplicaId {
         for _ in 0..1000 {
             self.run(Duration::from_millis(10));
@@ -17,7 +17,7 @@
         panic!("no leader with a quorum after ten seconds");
     }
 
-    /// Ends all faults and checks that every member ends with the same log.
+    /// Ends all faults and checks that all members reach the same log.
     pub fn heal_and_check(&mut self) {
         self.faults = Faults::default();
         self.cut.clear();
@@ -31,28 +31,31 @@
         self.run(Duration::from_secs(3));
         let leader = self.settle();
         self.propose(leader)
-            .expect("a healthy leader takes proposals");
+            .expect("a healthy leader accepts proposals");
         self.run(Duration::from_secs(1));
         let leader = self.settle();
         let commit = self.replica(leader).commit_index();
         assert_eq!(commit, self.replica(leader).last_index());
         assert!(
             commit >= self.highest_acknowledged,
-            "acknowledged entries last"
+            "acknowledged entries must stay committed"
         );
         for member in self.replica(leader).membership().members() {
             let replica = self.replica(member);
             assert_eq!(
                 replica.commit_index(),
                 commit,
-                "{member:?} has the whole log"
+                "{member:?} must have the whole log"
+            );
+            assert!(
+                replica.has_quorum(self.now),
+                "{member:?} must have a quorum"
             );
-            assert!(replica.has_quorum(self.now), "{member:?} proves its quorum");
         }
         self.check_disks_agree();
     }
 
-    /// Log matching: one index and term means one entry, and the same before it.
+    /// Log matching: logs with an entry of the same index and term are identical up to it.
     fn check_disks_agree(&self) {
         let disks: Vec<_> = self.nodes.values().map(|node| &node.disk.entries).collect();
         for (left, right) in disks.iter().flat_map(|l| disks.iter().map(move |r| (l, r))) {
@@ -62,7 +65,7 @@
             };
             for entry in left.iter().filter(|entry| entry.index <= last) {
                 let other = right.iter().find(|other| other.index == entry.index);
-                assert!(other.is_none_or(|other| other == entry), "logs match");
+                assert!(other.is_none_or(|other| other == entry), "logs differ");
             }
         }
     }
--- a/crates/bramblewheel-replication/tests/cluster/mod.rs
+++ b/crates/bramblewheel-replication/tests/cluster/mod.rs
@@ -1,8 +1,8 @@
-//! A group of replicas on a seeded network with disks that keep only what was written.
+//! A group of replicas on a seeded network, with disks that keep only what was written.
 //!
-//! The checks look at histories only: entries applied, answers given, leaders seen.
+//! The checks use only the history: entries applied, results reported, leaders observed.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 mod checks;
 mod network;
@@ -21,7 +21,7 @@
 pub const ELECTION: Duration = Duration::from_millis(300);
 pub const LEASE: Duration = Duration::from_millis(400);
 
-/// Faults of the network, in parts of a thousand.
+/// Probabilities of faults, per thousand.
 #[derive(Clone, Copy, Default)]
 pub struct Faults {
     pub lost: u32,
@@ -29,8 +29,8 @@
     pub crash_before_sync: u32,
 }
 
-/// State of the state machine: a hash over all applied entries.
-fn fold(hash: u64, entry: &Entry) -> u64 {
+/// Adds an entry to the state machine's state, which is a hash over all applied entries.
+fn hash_entry(hash: u64, entry: &Entry) -> u64 {
     let payload = match &entry.payload {
         Payload::Command(command) => command.as_slice(),
         _ => b"",
@@ -60,7 +60,7 @@
     sequence: u64,
     starts: u64,
     next_id: u64,
-    /// Hash of the state at each index, as first applied anywhere.
+    /// Hash of the state at each index, recorded when the first replica applies it.
     hashes: BTreeMap<LogIndex, u64>,
     committed: BTreeMap<LogIndex, Entry>,
     leaders: BTreeMap<Term, ReplicaId>,
@@ -159,7 +159,7 @@
         self.nodes.get_mut(&id).expect("node exists").frozen = true;
     }
 
-    /// Wakes a frozen node: messages that waited come first, before any tick.
+    /// Unfreezes a node; it processes the waiting messages before any tick.
     pub fn thaw(&mut self, id: ReplicaId) {
         let now = self.now;
         let node = self.nodes.get_mut(&id).expect("node exists");
@@ -172,7 +172,7 @@
         self.drive(id);
     }
 
-    /// Cuts a node off from all others, both ways.
+    /// Partitions a node from all others in both directions.
     pub fn isolate(&mut self, id: ReplicaId) {
         for &other in self.nodes.keys().filter(|other| **other != id) {
             self.cut.insert((id, other));
@@ -189,7 +189,7 @@
         node.replica.as_mut().filter(|_| !node.frozen)
     }
 
-    /// The running leader of the highest term.
+    /// The running leader with the highest term.
     pub fn leader(&self) -> Option<ReplicaId> {
         let running = self.nodes.values().filter_map(|node| node.replica.as_ref());
         let leaders = running.filter(|replica| replica.role() == Role::Leader);
@@ -197,7 +197,7 @@
         newest.map(Replica::id)
     }
 
-    /// Calls one replica and carries out what it asks for.
+    /// Calls a function on one replica and carries out the resulting outputs.
     pub fn with<T>(
         &mut self,
         id: ReplicaId,
@@ -209,7 +209,7 @@
         Some(result)
     }
 
-    /// Proposes a command; `None` if the replica does not take it.
+    /// Proposes a command; `None` if the replica refuses it.
     pub fn propose(&mut self, at: ReplicaId) -> Option<ProposalId> {
         self.next_id += 1;
         let proposal = ProposalId(self.next_id);
@@ -227,7 +227,7 @@
         result.ok().map(|()| read)
     }
 
-    /// Takes a snapshot of a node's state at all it has applied.
+    /// Compacts a node's log up to its last applied entry.
     pub fn compact(&mut self, id: ReplicaId) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&id) else {
@@ -243,7 +243,7 @@
         }
     }
 
-    /// The driver's loop, as the crate's documentation asks for.
+    /// Carries out a replica's outputs in the order that the crate's documentation requires.
     pub fn drive(&mut self, id: ReplicaId) {
         loop {
             let now = self.now;
@@ -252,7 +252,7 @@
             };
             let output = replica.take_output();
             if output.is_empty() {
-                self.note_leader(id);
+                self.check_single_leader(id);
                 return;
             }
             if self.chance(self.faults.crash_before_sync) {
@@ -284,13 +284,21 @@
 
     fn apply(&mut self, id: ReplicaId, entry: Entry) {
         let node = self.nodes.get_mut(&id).expect("node exists");
-        assert_eq!(entry.index.0, node.applied.0 + 1, "entries come in order");
+        assert_eq!(
+            entry.index.0,
+            node.applied.0 + 1,
+            "entries must be applied in order"
+        );
         node.applied = entry.index;
-        node.hash = fold(node.hash, &entry);
+        node.hash = hash_entry(node.hash, &entry);
         let hash = *self.hashes.entry(entry.index).or_insert(node.hash);
-        assert_eq!(hash, node.hash, "state machines agree at {:?}", entry.index);
+        assert_eq!(
+            hash, node.hash,
+            "state machines differ at {:?}",
+            entry.index
+        );
         let first = self.committed.entry(entry.index).or_insert(entry.clone());
-        assert_eq!(*first, entry, "one entry per index is committed");
+        assert_eq!(*first, entry, "two entries committed at one index");
     }
 
     fn acknowledge(&mut self, proposal: ProposalId, result: ProposalResult) {
@@ -302,34 +310,37 @@
             self.highest_acknowledged = self.highest_acknowledged.max(index);
         }
         let earlier = self.proposal_results.insert(proposal, result);
-        assert_eq!(earlier, None, "a proposal has one fate");
+        assert_eq!(earlier, None, "a proposal must have one result");
     }
 
     fn answer_read(&mut self, id: ReplicaId, read: ReadId, result: ReadResult) {
         if let ReadResult::Ready { index } = result {
-            let floor = self.reads[&read];
-            assert!(index >= floor, "read at {index:?} misses {floor:?}");
+            let acknowledged = self.reads[&read];
+            assert!(
+                index >= acknowledged,
+                "read at {index:?} misses the acknowledged entry {acknowledged:?}"
+            );
             assert!(
                 self.nodes[&id].applied >= index,
-                "read before it is applied"
+                "read answered before its entry is applied"
             );
         }
         let earlier = self.read_results.insert(read, result);
-        assert_eq!(earlier, None, "a read has one answer");
+        assert_eq!(earlier, None, "a read must have one result");
     }
 
-    fn note_leader(&mut self, id: ReplicaId) {
+    fn check_single_leader(&mut self, id: ReplicaId) {
         let Some(replica) = self.replica_mut(id) else {
             return;
         };
         if replica.role() == Role::Leader {
             let term = replica.term();
             let leader = *self.leaders.entry(term).or_insert(id);
-            assert_eq!(leader, id, "one leader per term");
+            assert_eq!(leader, id, "two leaders in one term");
         }
     }
 
-    /// Lets time pass, one event after the other.
+    /// Advances the clock by `duration` and processes the events that are due, in order.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         loop {
@@ -345,7 +356,7 @@
             };
             self.now = next;
             if message_at == Some(next) {
-                let (_, (from, to, message)) = self.network.pop_first().expect("one is due");
+                let (_, (from, to, message)) = self.network.pop_first().expect("a message is due");
                 self.deliver(from, to, message);
             } else if let Some((_, id)) = wakeup {
                 self.with(id, |replica, now| replica.tick(now));
@@ -370,7 +381,7 @@
     let start = disk.snapshot.as_ref().map_or(0, |s| s.index.0);
     for entry in write.entries {
         let last = disk.entries.last().map_or(start, |last| last.index.0);
-        assert_eq!(entry.index.0, last + 1, "writes have no gaps");
+        assert_eq!(entry.index.0, last + 1, "write leaves a gap in the log");
         disk.entries.push(entry);
     }
     disk.hard_state = write.hard_state.unwrap_or(disk.hard_state);
--- a/crates/bramblewheel-replication/tests/cluster/network.rs
+++ b/crates/bramblewheel-replication/tests/cluster/network.rs
@@ -1,4 +1,4 @@
-//! The seeded network between the replicas: delay, loss, duplication, cuts.
+//! Seeded network between the replicas, with delay, loss, duplication and partitions.
 
 use super::Cluster;
 use bramblewheel_replication::{Message, ReplicaId};
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 impl Cluster {
-    /// Draws whether something happens that does in so many of a thousand cases.
-    pub fn chance(&mut self, in_a_thousand: u32) -> bool {
-        self.random.random_range(0..1000) < in_a_thousand
+    /// Returns `true` with a probability given per thousand.
+    pub fn chance(&mut self, per_thousand: u32) -> bool {
+        self.random.random_range(0..1000) < per_thousand
     }
 
     pub(super) fn transmit(
--- a/crates/bramblewheel-replication/tests/faults.rs
+++ b/crates/bramblewheel-replication/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Seeded runs with losses, duplicates, reordering, cuts, freezes, crashes and membership changes.
-//! The checks are in the harness and run all the time.
+//! Seeded runs with message loss, duplication, reordering, partitions, freezes, crashes and membership
+//! changes. The harness checks the invariants throughout each run.
 
 mod cluster;
 
@@ -16,7 +16,7 @@
     ids[cluster.random.random_range(0..ids.len())]
 }
 
-/// Changes the membership at random; refusals are fine.
+/// Proposes a random membership change, which may be refused.
 fn change_membership(cluster: &mut Cluster, at: ReplicaId, step: u32) {
     let replica = any_node(cluster);
     let change = match cluster.random.random_range(0..3) {
@@ -29,7 +29,7 @@
     };
     let proposal = ProposalId(u64::MAX - u64::from(step));
     cluster.with(at, |leader, now| {
-        // Three voters stay, so that the faults below leave a quorum in the end.
+        // At least three voters remain, so that the group has a quorum after the faults end.
         let is_removal = matches!(change, MembershipChange::Remove(_));
         if !is_removal || leader.membership().voters.len() > 3 {
             let _refused = leader.propose_membership(now, proposal, change);
@@ -37,7 +37,7 @@
     });
 }
 
-fn disturb(cluster: &mut Cluster, step: u32) {
+fn inject_fault_or_load(cluster: &mut Cluster, step: u32) {
     let node = any_node(cluster);
     let target = cluster.leader().unwrap_or(node);
     match cluster.random.random_range(0..24) {
@@ -78,7 +78,7 @@
     };
     cluster.settle();
     for step in 0..STEPS {
-        disturb(&mut cluster, step);
+        inject_fault_or_load(&mut cluster, step);
         let pause = cluster.random.random_range(1..120);
         cluster.run(Duration::from_millis(pause));
     }
--- a/crates/bramblewheel-replication/tests/scenarios.rs
+++ b/crates/bramblewheel-replication/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Faults that replicas must survive, one at a time.
+//! Scenarios with a single fault each, which a group of replicas must survive.
 
 mod cluster;
 
@@ -23,7 +23,10 @@
     }
 }
 
-fn change(cluster: &mut Cluster, change: MembershipChange) -> Result<ProposalId, MembershipError> {
+fn commit_change(
+    cluster: &mut Cluster,
+    change: MembershipChange,
+) -> Result<ProposalId, MembershipError> {
     let leader = cluster.settle();
     let proposal = ProposalId(1 << 40 | cluster.now.0);
     let propose = |replica: &mut Replica, now| replica.propose_membership(now, proposal, change);
@@ -65,16 +68,16 @@
 }
 
 #[test]
-fn a_frozen_leader_answers_no_read_from_its_old_state() {
+fn a_leader_that_was_frozen_refuses_reads_from_outdated_state() {
     let mut cluster = Cluster::new(3, 1);
     let old = cluster.settle();
     cluster.freeze(old);
     cluster.run(Duration::from_secs(60));
     let new = cluster.settle();
     assert_ne!(old, new);
-    cluster.propose(new).expect("leader takes it");
+    cluster.propose(new).expect("leader accepts proposals");
     cluster.run(Duration::from_millis(100));
-    // The read comes before any tick or message, as a request waiting in a socket does.
+    // The read arrives before any tick or message, like a request waiting in a socket.
     let node = cluster.nodes.get_mut(&old).expect("node exists");
     node.frozen = false;
     assert!(cluster.read(old).is_none());
@@ -83,7 +86,7 @@
 }
 
 #[test]
-fn messages_that_waited_for_a_frozen_follower_prove_no_quorum() {
+fn messages_that_waited_while_a_follower_was_frozen_prove_no_quorum() {
     let mut cluster = Cluster::new(3, 2);
     let leader = cluster.settle();
     cluster.run(Duration::from_secs(1));
@@ -97,7 +100,7 @@
 }
 
 #[test]
-fn a_leader_cut_off_steps_down_and_its_follower_knows() {
+fn a_leader_in_a_minority_partition_steps_down_and_its_follower_loses_the_quorum() {
     let mut cluster = Cluster::new(5, 3);
     let leader = cluster.settle();
     let minority = followers(&cluster, leader)[0];
@@ -113,18 +116,18 @@
 }
 
 #[test]
-fn a_read_of_a_leader_cut_off_is_given_up() {
+fn a_pending_read_of_an_isolated_leader_fails_with_leadership_lost() {
     let mut cluster = Cluster::new(3, 4);
     let leader = cluster.settle();
     cluster.isolate(leader);
-    let read = cluster.read(leader).expect("it still leads");
+    let read = cluster.read(leader).expect("replica still leads");
     cluster.run(Duration::from_secs(1));
     let result = cluster.read_results.get(&read);
     assert_eq!(result, Some(&ReadResult::LeadershipLost));
 }
 
 #[test]
-fn a_replica_that_returns_does_not_depose_the_leader() {
+fn a_replica_that_reconnects_does_not_depose_the_leader() {
     let mut cluster = Cluster::new(3, 5);
     let leader = cluster.settle();
     let term = cluster.replica(leader).term();
@@ -139,7 +142,7 @@
 }
 
 #[test]
-fn a_cut_in_one_direction_does_not_depose_the_leader() {
+fn a_one_way_partition_does_not_depose_the_leader() {
     let mut cluster = Cluster::new(3, 6);
     let leader = cluster.settle();
     let term = cluster.replica(leader).term();
@@ -181,13 +184,14 @@
     cluster.nodes.remove(&lost);
     cluster.add(id(4), RestoredState::default());
     let learner = add_learner(id(4));
-    change(&mut cluster, learner).expect("no other change");
-    change(&mut cluster, MembershipChange::PromoteLearner(id(4))).expect("caught up");
-    change(&mut cluster, MembershipChange::Remove(lost)).expect("one at a time");
+    commit_change(&mut cluster, learner).expect("no change is pending");
+    commit_change(&mut cluster, MembershipChange::PromoteLearner(id(4)))
+        .expect("learner has caught up");
+    commit_change(&mut cluster, MembershipChange::Remove(lost)).expect("no change is pending");
     let leader = cluster.settle();
     let last = cluster.replica(leader).last_index();
     assert_eq!(cluster.replica(leader).match_index(id(4)), Some(last));
-    // A second loss right after the repair: the new voter has what was acknowledged.
+    // After a second loss directly after the repair, the new voter has all acknowledged entries.
     cluster.crash(other);
     cluster.run(Duration::from_secs(2));
     let leader = cluster.settle();
@@ -196,23 +200,24 @@
 }
 
 #[test]
-fn a_learner_behind_is_not_promoted() {
+fn a_learner_that_has_not_caught_up_is_not_promoted() {
     let mut cluster = Cluster::new(3, 8);
     cluster.settle();
-    change(&mut cluster, add_learner(id(4))).expect("no other change");
-    let promotion = change(&mut cluster, MembershipChange::PromoteLearner(id(4)));
+    commit_change(&mut cluster, add_learner(id(4))).expect("no change is pending");
+    let promotion = commit_change(&mut cluster, MembershipChange::PromoteLearner(id(4)));
     assert!(matches!(
         promotion,
         Err(MembershipError::NotCaughtUp { .. })
     ));
     cluster.add(id(4), RestoredState::default());
     cluster.run(Duration::from_secs(1));
-    change(&mut cluster, MembershipChange::PromoteLearner(id(4))).expect("caught up");
+    commit_change(&mut cluster, MembershipChange::PromoteLearner(id(4)))
+        .expect("learner has caught up");
     cluster.heal_and_check();
 }
 
 #[test]
-fn one_membership_change_at_a_time() {
+fn a_second_membership_change_is_refused_while_one_is_pending() {
     let mut cluster = Cluster::new(3, 9);
     let leader = cluster.settle();
     let results = cluster.with(leader, |replica, now| {
@@ -227,21 +232,25 @@
 }
 
 #[test]
-fn a_removed_leader_steps_down_once_that_is_committed() {
+fn a_removed_leader_steps_down_once_its_removal_is_committed() {
     let mut cluster = Cluster::new(3, 10);
     let leader = cluster.settle();
-    change(&mut cluster, MembershipChange::Remove(leader)).expect("two voters stay");
+    commit_change(&mut cluster, MembershipChange::Remove(leader)).expect("two voters remain");
     assert_eq!(cluster.replica(leader).role(), Role::Follower);
     cluster.run(Duration::from_secs(2));
     let next = cluster.settle();
     assert_ne!(next, leader);
     let term = cluster.replica(next).term();
     cluster.run(Duration::from_secs(5));
-    assert_eq!(cluster.replica(next).term(), term, "it stays quiet");
+    assert_eq!(
+        cluster.replica(next).term(),
+        term,
+        "removed replica starts no election"
+    );
 }
 
 #[test]
-fn leadership_is_handed_over_without_waiting_for_a_timeout() {
+fn leadership_transfer_does_not_wait_for_an_election_timeout() {
     let mut cluster = Cluster::new(3, 11);
     let leader = cluster.settle();
     cluster.run(Duration::from_millis(200));
@@ -251,13 +260,13 @@
     assert!(cluster.propose(leader).is_none());
     cluster.run(ELECTION / 3);
     assert_eq!(cluster.leader(), Some(target));
-    let refused = cluster.with(leader, transfer).expect("it runs");
+    let refused = cluster.with(leader, transfer).expect("replica runs");
     assert!(matches!(refused, Err(TransferError::NotLeader(_))));
     cluster.heal_and_check();
 }
 
 #[test]
-fn a_follower_far_behind_gets_the_snapshot() {
+fn a_follower_far_behind_receives_a_snapshot() {
     let mut cluster = Cluster::new(3, 12);
     let leader = cluster.settle();
     let follower = followers(&cluster, leader)[0];
@@ -275,7 +284,7 @@
 }
 
 #[test]
-fn a_token_of_an_earlier_start_proves_nothing() {
+fn a_token_of_an_earlier_start_does_not_prove_a_quorum() {
     let restored = RestoredState::bootstrap(membership([1, 2, 3]));
     let mut replica = Replica::new(config(1), restored, Timestamp::ZERO);
     let now = Timestamp::from_millis(10);
--- a/crates/bramblewheel-storage/src/storage.rs
+++ b/crates/bramblewheel-storage/src/storage.rs
@@ -10,7 +10,7 @@
 use bramblewheel_replication::{HardState, LogIndex, RestoredState, Snapshot, Write};
 use std::path::PathBuf;
 
-/// Size above which a segment is closed, in bytes, unless the settings give another. Chosen, not measured.
+/// Size above which a segment is closed, in bytes, unless the settings give another.
 const DEFAULT_SEGMENT_SIZE: u64 = 8 * 1024 * 1024;
 
 /// Settings of storage.
--- a/crates/bramblewheel-types/src/criticality.rs
+++ b/crates/bramblewheel-types/src/criticality.rs
@@ -1,4 +1,4 @@
-//! How important a request is, from the bundle, carried from the root to every sub-call.
+//! Importance class of a request, set by the bundle and passed from the root to every sub-call.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -7,7 +7,7 @@
 
 /// Importance class of a request; a larger value is more important.
 ///
-/// The derived order is the shedding order: under overload the smallest is shed first.
+/// The derived order is the shedding order: under overload the smallest class is shed first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,10 +17,10 @@
     Sheddable,
     /// Work that can be repeated later, such as a nightly report.
     Low,
-    /// Work somebody waits for. The default where a bundle states nothing.
+    /// Interactive work, and the default where a bundle sets no class.
     #[default]
     Normal,
-    /// Work that must be the last to go, such as a payment or a rights clearance.
+    /// Work that is shed last, such as a payment or a rights clearance.
     Critical,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// The text names no criticality class.
+/// The text is not the name of a criticality class.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("unknown criticality `{0}`: expected sheddable, low, normal or critical")]
 pub struct UnknownCriticality(pub String);
--- a/crates/bramblewheel-types/src/endpoint_id.rs
+++ b/crates/bramblewheel-types/src/endpoint_id.rs
@@ -1,4 +1,4 @@
-//! Names one start of an endpoint.
+//! Identifier of one start of an endpoint.
 
 use crate::ids::{InvalidName, check_name};
 use serde::{Deserialize, Serialize};
@@ -7,16 +7,16 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Stands between the name and the start in an id's text; no name holds it.
+/// Separates the name from the start time in an id's text; not allowed in names.
 const SEPARATOR: char = '@';
 
-/// One start of an endpoint: the name that it says, and the time of the start if it says that too.
+/// One start of an endpoint: the name it reports, and its start time if it reports one.
 ///
-/// An endpoint that starts again under its name knows nothing of before, so that it is another one: its order of
-/// words begins anew, and what its former start acknowledged, ran or was taken for does not bind it. Of one
-/// name the later start is the greater id; one that does not say when it started comes before all that do.
+/// A restarted endpoint has no state of its earlier start and counts as another endpoint: its heartbeat sequence
+/// begins anew, and what the earlier start acknowledged, ran or was quarantined for does not apply to it. Among ids
+/// with one name the later start is the greater; an id without a start time is less than all that have one.
 ///
-/// As text: `kassa-1`, or `kassa-1@1796256413478` for one that started at that Unix millisecond.
+/// As text: `kassa-1`, or `kassa-1@1796256413478` with the start time in Unix milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct EndpointId {
@@ -24,19 +24,19 @@
     started: Option<u64>,
 }
 
-/// A text names no start of an endpoint.
+/// The text is not a valid endpoint id.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum InvalidEndpointId {
     /// The name breaks the rules for names.
     #[error(transparent)]
     Name(#[from] InvalidName),
-    /// What follows the separator is no time.
+    /// The part after the separator is not a start time.
     #[error("the start is no whole number of milliseconds")]
     Start,
 }
 
 impl EndpointId {
-    /// An endpoint that does not say when it started: its name stands for one start.
+    /// Creates the id of an endpoint that reports no start time.
     ///
     /// # Errors
     /// [`InvalidName`] when the name is empty, too long or holds a forbidden character.
@@ -48,22 +48,22 @@
         })
     }
 
-    /// The start of this name at a time in Unix milliseconds, or one that is not told.
+    /// Sets the start time in Unix milliseconds; `None` if the endpoint reports none.
     pub fn started_at(self, started: Option<u64>) -> Self {
         Self { started, ..self }
     }
 
-    /// The name that the endpoint says, the same at each of its starts.
+    /// The name that the endpoint reports, the same at every start.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// When it started, in Unix milliseconds, if it says.
+    /// Start time in Unix milliseconds, if the endpoint reports it.
     pub fn started(&self) -> Option<u64> {
         self.started
     }
 
-    /// Whether both are starts of one endpoint, and this one is the earlier.
+    /// Whether both ids have the same name and this one started earlier.
     pub fn is_earlier_start_of(&self, other: &Self) -> bool {
         self.name == other.name && self.started < other.started
     }
--- a/crates/bramblewheel-types/src/ids.rs
+++ b/crates/bramblewheel-types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each with its own type so that one cannot be passed for another.
+//! Identifiers, each with its own type so that they can't be confused.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -113,12 +113,12 @@
     RegionName
 );
 name_type!(
-    /// One daemon process's stable name, such as `kassa-1` or `gateway-bergen-1`.
+    /// Stable name of a daemon, such as `kassa-1` or `gateway-bergen-1`.
     DaemonId
 );
 
 name_type!(
-    /// Whom a caller's key belongs to, such as `pulo780`.
+    /// The tenant that a caller's API key belongs to, such as `pulo780`.
     TenantName
 );
 
@@ -161,25 +161,25 @@
 }
 
 hex_id!(
-    /// The original request at the root of a call tree. Kept across the caller's own resends.
+    /// The original request at the root of a call tree; unchanged when the caller resends it.
     RequestId,
     u128,
     32
 );
 hex_id!(
-    /// One call in the tree: one caller asking one service once, whatever attempts that takes.
+    /// One call in the tree from a caller to a service; covers all of its attempts.
     CallId,
     u64,
     16
 );
 hex_id!(
-    /// One try of a call at one endpoint.
+    /// One attempt of a call at one endpoint.
     AttemptId,
     u64,
     16
 );
 
-/// Names a non-repeatable operation; two requests with one key are the same operation.
+/// Identifies an operation that must run at most once; requests with the same key are the same operation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct OperationKey(Arc<str>);
@@ -232,7 +232,7 @@
     }
 }
 
-/// Version of a configuration bundle; chosen by operators, strictly rising.
+/// Version of a configuration bundle; set by operators, strictly increasing.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/bramblewheel-types/src/lib.rs
+++ b/crates/bramblewheel-types/src/lib.rs
@@ -1,7 +1,7 @@
 //! Identifiers, criticality, outcomes, deadlines and time shared by every crate.
 //!
-//! Nothing here reads a clock, opens a socket or draws a random number: the pure
-//! decision crates depend on this one and must stay free of side effects.
+//! Nothing here reads a clock, opens a socket or draws a random number, because the pure decision crates
+//! that depend on this one must stay free of side effects.
 
 pub mod criticality;
 pub mod endpoint_id;
--- a/crates/bramblewheel-types/src/outcome.rs
+++ b/crates/bramblewheel-types/src/outcome.rs
@@ -1,11 +1,11 @@
-//! What a caller is told about its request.
+//! Outcome of a request as reported to its caller.
 
 use crate::time::Millis;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// Final answer to a call. Derived from what provably happened, never guessed.
+/// Final outcome of a call. States only what is certain; `Unknown` where that can't be decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// The endpoint answered; the whole answer is passed on.
@@ -14,7 +14,7 @@
     NotRun {
         /// Why it was not run.
         reason: NotRunReason,
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         retry_after: Millis,
     },
     /// The request ran and the endpoint reported an error.
@@ -46,7 +46,7 @@
 pub enum NotRunReason {
     /// Shed by admission control.
     Overloaded,
-    /// The endpoint or its daemon is leaving; another endpoint may take the request.
+    /// The endpoint or its daemon is draining; another endpoint may take the request.
     Draining,
     /// The deadline passed, or could not be met, before the request was dispatched.
     DeadlineExceeded,
--- a/crates/bramblewheel-types/src/time.rs
+++ b/crates/bramblewheel-types/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as a value, so that pure state machines take it as an argument.
+//! Monotonic time as a value that pure state machines take as an argument.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Sub};
@@ -6,8 +6,8 @@
 
 /// A point on one process's monotonic clock, in microseconds since an arbitrary origin.
 ///
-/// Timestamps of different processes must never be compared: clocks differ. What crosses
-/// a process boundary is always a remaining duration ([`Millis`]).
+/// Timestamps of different processes can't be compared, because their clocks differ. Messages between
+/// processes carry remaining durations ([`Millis`]) instead.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,7 +16,7 @@
 impl Timestamp {
     /// The origin of the clock.
     pub const ZERO: Self = Self(0);
-    /// A point that is never reached.
+    /// A timestamp that is never reached.
     pub const NEVER: Self = Self(u64::MAX);
 
     /// Builds a timestamp from whole milliseconds since the origin.
@@ -60,7 +60,7 @@
     }
 }
 
-/// A duration in whole milliseconds, as settings, bundles and headers carry it.
+/// A duration in whole milliseconds, as written in settings, bundles and headers.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -68,7 +68,7 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// A time in whole milliseconds; what is longer than they can count is cut.
+    /// Converts a duration to whole milliseconds, rounded down; saturates at `u64::MAX`.
     pub fn of(duration: Duration) -> Self {
         Self(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
     }
--- a/crates/bramblewheel-types/tests/endpoint_id.rs
+++ b/crates/bramblewheel-types/tests/endpoint_id.rs
@@ -1,13 +1,15 @@
-//! Ids of endpoints' starts: their text, and their order.
+//! Text form and order of endpoint ids.
 
 use bramblewheel_types::{EndpointId, InvalidEndpointId};
 
 fn id(name: &str, started: Option<u64>) -> EndpointId {
-    EndpointId::new(name).expect("a name").started_at(started)
+    EndpointId::new(name)
+        .expect("a valid name")
+        .started_at(started)
 }
 
 #[test]
-fn the_text_of_an_id_reads_back() {
+fn an_id_written_as_text_parses_to_the_same_id() {
     for started in [None, Some(0), Some(9), Some(10), Some(u64::MAX)] {
         let id = id("kassa-1", started);
         assert_eq!(id.to_string().parse(), Ok(id.clone()));
@@ -18,7 +20,7 @@
 }
 
 #[test]
-fn a_text_that_names_no_start_is_refused() {
+fn an_invalid_start_or_name_is_refused() {
     for text in [
         "kassa@",
         "kassa@x",
@@ -34,13 +36,13 @@
         );
     }
     for text in ["", "@1", "Kassa@1"] {
-        let read = text.parse::<EndpointId>();
-        assert!(matches!(read, Err(InvalidEndpointId::Name(_))), "{text}");
+        let parsed = text.parse::<EndpointId>();
+        assert!(matches!(parsed, Err(InvalidEndpointId::Name(_))), "{text}");
     }
 }
 
 #[test]
-fn starts_are_ordered_by_their_time_and_not_by_their_text() {
+fn ids_of_one_name_are_ordered_by_start_time_not_by_text() {
     let (first, second) = (id("e", Some(9)), id("e", Some(10)));
     assert!(first < second);
     assert!(id("e", None) < first);
