--- a/crates/bramblewheel-http/src/body.rs
+++ b/crates/bramblewheel-http/src/body.rs
@@ -1,22 +1,22 @@
-//! Reading a body whole, up to a limit.
+//! Reading of a whole body, up to a limit.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// A body as far as it was read.
+/// Result of reading a body.
 #[derive(Debug)]
 pub enum Collected {
-    /// All of it.
+    /// The whole body.
     Whole(Bytes),
-    /// More than the limit; this much was read so far.
+    /// The part read so far of a body that exceeds the limit.
     OverLimit(Bytes),
 }
 
-/// Reads a body until its end or until it passes `limit` bytes.
+/// Reads a body until its end or until it exceeds `limit` bytes.
 ///
 /// # Errors
-/// The connection's error when the body broke or was shorter than announced.
+/// The connection's error when the body is interrupted or shorter than announced.
 pub async fn collect(body: &mut Incoming, limit: usize) -> Result<Collected, hyper::Error> {
     let mut first: Option<Bytes> = None;
     let mut rest = BytesMut::new();
@@ -24,7 +24,7 @@
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        // Most bodies arrive in one piece, which is then passed on without a copy.
+        // Most bodies arrive in one frame, which is returned without a copy.
         if first.is_none() && rest.is_empty() {
             first = Some(data);
         } else {
--- a/crates/bramblewheel-http/src/connection.rs
+++ b/crates/bramblewheel-http/src/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: its request sender, and the task that drives it.
+//! A client connection: its request sender and the task that drives it.
 
 use bytes::Bytes;
 use http_body::Body;
@@ -8,8 +8,7 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// An open connection. Dropping it closes it, which also tells the other side that its answer isn't
-/// wanted.
+/// An open connection. Dropping it closes it, which also cancels a request in progress at the server.
 #[derive(Debug)]
 pub struct Connection<B> {
     /// Sends requests, one at a time.
@@ -22,14 +21,14 @@
     B: Body<Data = Bytes> + Send + 'static,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    /// Prepares a stream for requests, with the library's settings in `builder`.
+    /// Performs the HTTP handshake on a stream, with the library's settings in `builder`.
     ///
     /// # Errors
-    /// The library's; nothing was sent.
+    /// The library's error; no request was sent.
     pub async fn open(stream: TcpStream, builder: &Builder) -> Result<Self, hyper::Error> {
         let (sender, connection) = builder.handshake(TokioIo::new(stream)).await?;
         let task = tokio::spawn(async move {
-            // How the connection ended is seen by whoever waits for its answer.
+            // The task that waits for the answer gets the connection's error.
             let _ = connection.await;
         });
         let task = task.abort_handle();
--- a/crates/bramblewheel-http/src/fields.rs
+++ b/crates/bramblewheel-http/src/fields.rs
@@ -1,13 +1,13 @@
-//! Header fields that concern one connection only, and therefore end at each hop (RFC 9110, 7.6.1).
+//! Hop-by-hop header fields, which concern one connection only and are not forwarded (RFC 9110, 7.6.1).
 
 use http::header::{self, HeaderMap, HeaderName};
 
-/// How long a side keeps an idle connection; no constant of the library names it.
+/// The `Keep-Alive` field, for which the library has no constant.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Fields that end at each hop, besides those that `Connection` names. The length is among them: it
-/// is written anew from the body.
+/// Hop-by-hop fields besides those named by `Connection`. Includes the content length, which is set
+/// again from the forwarded body.
 pub const HOP_BY_HOP: [HeaderName; 11] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -22,13 +22,13 @@
     PROXY_CONNECTION,
 ];
 
-/// The fields that `Connection` names. What is no name of a field is left out.
+/// Fields named by `Connection`; values that are not valid field names are ignored.
 pub fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let listed = connection_options(headers);
     listed.filter_map(|name| name.parse().ok()).collect()
 }
 
-/// What `Connection` lists, in all its values; a value that is no text is left out.
+/// Options listed in all `Connection` fields; values that are not text are ignored.
 pub fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = &str> {
     headers
         .get_all(header::CONNECTION)
--- a/crates/bramblewheel-http/src/lib.rs
+++ b/crates/bramblewheel-http/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the two data paths, that of signed bundles and that of route tables, need of HTTP/1.1 alike.
+//! HTTP/1.1 code shared by the two data paths, for signed bundles and for route tables.
 //!
-//! Owns nothing that lasts: the pools, listeners and limits belong to the data paths, since they
-//! differ for a reason. Relies on hyper for the protocol itself.
+//! Stateless; the data paths have their own pools, listeners and limits, whose requirements differ. The
+//! protocol itself is implemented by hyper.
 
 pub mod body;
 pub mod connection;
--- a/crates/bramblewheel-http/src/stop.rs
+++ b/crates/bramblewheel-http/src/stop.rs
@@ -1,9 +1,9 @@
-//! The order to listeners and connections to end.
+//! Stop signal for listeners and connections.
 
 use tokio::sync::watch;
 
-/// Ends once the listeners are told to stop.
+/// Waits until the listeners are requested to stop.
 pub async fn told_to_stop(stop: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the listeners; when it is gone, so is the daemon.
+    // The sender lives as long as the listeners; if it is dropped, the daemon has ended.
     let _ = stop.wait_for(|stop| *stop).await;
 }
--- a/crates/bramblewheel-ports/src/lib.rs
+++ b/crates/bramblewheel-ports/src/lib.rs
@@ -1,13 +1,12 @@
-//! Loopback addresses for listeners whose settings must name them before they are open.
+//! Loopback addresses for listeners whose address must be in the settings before they are opened.
 //!
-//! A test that asks the system for a free port, closes it and has a program open it later races
-//! with every connection and listener that is opened in between. An address from here is claimed:
-//! no other process that asks here is given it, and the system gives it to nobody by itself.
+//! A test that asks the system for a free port, closes it and has a program open it later races with all
+//! connections and listeners opened in between. An address from this crate is claimed instead: no other
+//! process that uses this crate gets it, and the system does not assign it by itself.
 //!
-//! Owns the claims of this process; they last as long as the process. Relies on the system's own
-//! choice of ports staying above [`PORTS`]. Where a listener can be bound to port 0 and its address
-//! read afterwards, that is the better way; this is for tests and the lab, not for programs of
-//! users.
+//! Claims last as long as the process. The crate depends on the system assigning its own ports above
+//! [`PORTS`]. Where possible, bind a listener to port 0 and read its address instead. The crate is for tests
+//! and the lab, not for the released programs.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
@@ -15,25 +14,25 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// Ports that are given. Below the range from which systems take ports for outgoing connections and
-/// for port 0: it begins at 32,768 on Linux (`net.ipv4.ip_local_port_range`) and higher elsewhere.
+/// Ports that can be claimed. They are below the ephemeral range, from which systems assign ports for outgoing
+/// connections and for port 0; it begins at 32,768 on Linux (`net.ipv4.ip_local_port_range`) and higher on
+/// other systems.
 pub const PORTS: Range<u16> = 12_000..32_000;
 
-/// Ports between the first ones that two processes with consecutive ids try, so that they seldom
-/// meet. It has no divisor in common with the number of ports.
+/// Distance between the first ports that two processes with consecutive ids try, so that they rarely try the
+/// same ports. It has no common divisor with the number of ports.
 const PORTS_PER_PROCESS: u64 = 101;
 
-/// Ports tried so far by this process.
+/// Number of ports tried so far by this process.
 static TRIED: AtomicU16 = AtomicU16::new(0);
 
-/// Sockets that hold the claims. UDP, so that the TCP port itself stays free for the listener.
+/// Sockets that hold the claims. They are UDP sockets, so that the TCP port stays free for the listener.
 static CLAIMS: Mutex<Vec<UdpSocket>> = Mutex::new(Vec::new());
 
-/// A loopback address that nothing listens on and that is given to nobody else while this process
-/// runs.
+/// Claims a loopback address without a listener, which no other caller gets while this process runs.
 ///
 /// # Errors
-/// [`io::ErrorKind::AddrInUse`] when each port of [`PORTS`] has been tried.
+/// [`io::ErrorKind::AddrInUse`] when all of [`PORTS`] have been tried.
 ///
 /// # Panics
 /// When another thread panicked while it claimed a port.
@@ -44,7 +43,9 @@
             continue;
         };
         if TcpListener::bind(address).is_ok() {
-            let mut claims = CLAIMS.lock().expect("nothing panics under the lock");
+            let mut claims = CLAIMS
+                .lock()
+                .expect("no thread panicked while holding the lock");
             claims.push(claim);
             return Ok(address);
         }
@@ -55,9 +56,9 @@
 /// The next port that this process has not tried yet.
 fn next_port() -> Option<u16> {
     let count = PORTS.end - PORTS.start;
-    let is_left = |tried: u16| (tried < count).then_some(tried + 1);
-    let tried = TRIED.fetch_update(Ordering::Relaxed, Ordering::Relaxed, is_left);
+    let increment = |tried: u16| (tried < count).then_some(tried + 1);
+    let tried = TRIED.fetch_update(Ordering::Relaxed, Ordering::Relaxed, increment);
     let first = u64::from(std::process::id()) * PORTS_PER_PROCESS;
     let offset = (first + u64::from(tried.ok()?)) % u64::from(count);
-    Some(PORTS.start + u16::try_from(offset).expect("fewer than the ports"))
+    Some(PORTS.start + u16::try_from(offset).expect("offset is below the number of ports"))
 }
--- a/crates/bramblewheel-process/src/clock.rs
+++ b/crates/bramblewheel-process/src/clock.rs
@@ -1,9 +1,9 @@
-//! The process's clock, as timestamps for the pure decisions.
+//! The process's clock, which provides the timestamps for the pure decision crates.
 //!
-//! It counts all time that passes, also while the process is paused and while its machine is suspended. The
-//! operating system's steady clock, on which the runtime's timers go, stands still on a suspended machine:
-//! by it a lease of five seconds is valid after an hour. So no decision goes by the runtime's instants, and
-//! each wait looks at this clock before it goes on.
+//! It also advances while the process is paused or the machine is suspended. The monotonic clock of the
+//! operating system, which the runtime's timers use, stops while the machine is suspended, so that a lease of
+//! five seconds could still be valid after an hour. Decisions therefore never use the runtime's `Instant`, and
+//! each wait reads this clock before it continues.
 
 use bramblewheel_types::Timestamp;
 use rustix::time::{ClockId, clock_gettime};
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest sleep between two readings of the clock: a wait that a suspended machine has overslept is found to
-/// be over within this time of waking. Most requests are answered sooner, and cost no second reading.
-const LONGEST_SLEEP: Duration = Duration::from_millis(500);
+/// Maximum sleep between two readings of the clock. A wait that expired while the machine was suspended ends
+/// within this time after resume. Most requests are answered sooner and need no second reading.
+const MAX_SLEEP: Duration = Duration::from_millis(500);
 
-/// Reads the time since some moment before the start of the process.
+/// Returns the time since a fixed point before the start of the process.
 pub type ReadTime = fn() -> Duration;
 
-/// The time for which something was waited has passed.
+/// A wait reached its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the time is over")]
+#[error("timed out")]
 pub struct TimeIsOver;
 
-/// Clock whose origin is its start, and which only goes forward.
+/// Monotonic clock that starts at zero.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     read: ReadTime,
@@ -31,12 +31,12 @@
 }
 
 impl Clock {
-    /// Starts a clock at zero that goes on while the machine is suspended.
+    /// Starts a clock at zero that also advances while the machine is suspended.
     pub fn start() -> Self {
         Self::reading(time_since_boot)
     }
 
-    /// Starts a clock at zero on another source of time, which must go on while the machine is suspended.
+    /// Starts a clock at zero with another time source, which must also advance while the machine is suspended.
     pub fn reading(read: ReadTime) -> Self {
         Self {
             read,
@@ -44,36 +44,36 @@
         }
     }
 
-    /// Time since the origin, in microseconds.
+    /// Current time.
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO + (self.read)().saturating_sub(self.origin)
     }
 
-    /// Time until a moment; zero once it has passed.
+    /// Remaining time until `at`; zero once it has passed.
     pub fn left_until(&self, at: Timestamp) -> Duration {
         at.since(self.now())
     }
 
-    /// Time since a moment.
+    /// Time since `at`; zero if it is in the future.
     pub fn since(&self, at: Timestamp) -> Duration {
         self.now().since(at)
     }
 
-    /// Waits until a moment.
+    /// Waits until `at`.
     pub async fn sleep_until(&self, at: Timestamp) {
         loop {
-            let left = self.left_until(at);
-            if left.is_zero() {
+            let remaining = self.left_until(at);
+            if remaining.is_zero() {
                 return;
             }
-            tokio::time::sleep(left.min(LONGEST_SLEEP)).await;
+            tokio::time::sleep(remaining.min(MAX_SLEEP)).await;
         }
     }
 
-    /// Waits for a future until a moment at the latest.
+    /// Waits for a future until `at` at the latest.
     ///
     /// # Errors
-    /// [`TimeIsOver`] if it was not ready by then.
+    /// [`TimeIsOver`] if the future was not ready by then.
     pub async fn timeout_at<F: Future>(
         &self,
         at: Timestamp,
@@ -87,7 +87,7 @@
     }
 }
 
-/// `CLOCK_BOOTTIME`, which Linux has had since 2.6.39: like the steady clock, and on while suspended.
+/// Reads `CLOCK_BOOTTIME` (Linux 2.6.39 or later), which also advances while the machine is suspended.
 fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
--- a/crates/bramblewheel-process/src/invariants.rs
+++ b/crates/bramblewheel-process/src/invariants.rs
@@ -1,9 +1,9 @@
-//! What a process does when an invariant is broken.
+//! Termination of the process when an invariant is violated.
 
 use std::sync::{Mutex, MutexGuard};
 
-/// Makes a panic of any thread end the process, after its report: a panic is a broken invariant,
-/// and the process ends rather than go on with state it can't trust.
+/// Makes a panic in any thread abort the process after the panic is reported. A panic is a violated
+/// invariant, after which the process's state can't be trusted.
 pub fn abort_on_panic() {
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
@@ -12,12 +12,12 @@
     }));
 }
 
-/// Locks a mutex of a process that ends on a panic.
+/// Locks a mutex in a process that aborts on a panic.
 ///
 /// # Panics
-/// When it is poisoned, which [`abort_on_panic`] rules out.
+/// When the mutex is poisoned, which can't occur after [`abort_on_panic`].
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
-        .expect("a panic under the lock ends the process, so the lock is never poisoned")
+        .expect("mutex is poisoned, although a panic aborts the process")
 }
--- a/crates/bramblewheel-process/src/lib.rs
+++ b/crates/bramblewheel-process/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the server programs share: settings file, log, clock, listeners, and the end of the process
-//! on a broken invariant.
+//! Code shared by the server programs: settings file, log, clock, listeners, and termination of the process
+//! on a violated invariant.
 
 pub mod clock;
 pub mod invariants;
--- a/crates/bramblewheel-process/src/listener.rs
+++ b/crates/bramblewheel-process/src/listener.rs
@@ -1,6 +1,6 @@
-//! Opening of listeners, with an error that says which one failed.
+//! Opening of listeners, with an error that names the listener that failed.
 //!
-//! Owns nothing. Who serves a listener, and what it does above its cap, is the program's own matter.
+//! The programs themselves serve the listeners and limit their connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,19 +11,19 @@
 #[derive(Debug, Error)]
 #[error("listener {listener} at {address}: {error}")]
 pub struct BindError {
-    /// Which listener, by its key in the settings.
+    /// Key of the listener in the settings.
     pub listener: &'static str,
     /// Its address.
     pub address: SocketAddr,
-    /// What the operating system says.
+    /// Error of the operating system.
     pub error: io::Error,
 }
 
-/// Opens a listener; returns it with the address that it got, which differs from the one asked for
-/// when that has port 0.
+/// Opens a listener; returns it with its actual address, which differs from the requested one if that
+/// has port 0.
 ///
 /// # Errors
-/// [`BindError`] when the address can't be had.
+/// [`BindError`] when the address can't be bound.
 pub async fn bind(
     listener: &'static str,
     address: SocketAddr,
--- a/crates/bramblewheel-process/src/program.rs
+++ b/crates/bramblewheel-process/src/program.rs
@@ -1,16 +1,16 @@
-//! The start of a server program: its settings, or the code with which it ends.
+//! Start of a server program: loads its settings.
 
 use crate::settings::SettingsFile;
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Exit code for settings that can't be used.
+/// Exit code for invalid or unreadable settings.
 const BAD_SETTINGS: u8 = 2;
 
 /// Reads and checks a program's settings.
 ///
 /// # Errors
-/// The exit code of a program whose settings can't be used; why is said on standard error.
+/// The exit code of the program when the settings can't be used; the reason is written to standard error.
 pub fn settings<S: SettingsFile>(
     program: &str,
     file: &Path,
--- a/crates/bramblewheel-process/src/settings/addresses.rs
+++ b/crates/bramblewheel-process/src/settings/addresses.rs
@@ -1,10 +1,10 @@
-//! Addresses that can't be used together.
+//! Detection of listener addresses that conflict.
 
 use std::net::SocketAddr;
 
-/// The first address that another one before it takes already: its key and the reason.
+/// Finds the first address that conflicts with an earlier one; returns its key and the reason.
 ///
-/// Port 0 clashes with nothing, because the system chooses.
+/// Port 0 conflicts with nothing, because the system assigns a free port.
 pub fn address_clash(named: &[(&'static str, SocketAddr)]) -> Option<(&'static str, String)> {
     for (index, &(key, address)) in named.iter().enumerate() {
         let clash = named[..index].iter().find(|(_, a)| clashes(*a, address));
--- a/crates/bramblewheel-process/src/settings/error.rs
+++ b/crates/bramblewheel-process/src/settings/error.rs
@@ -1,9 +1,9 @@
-//! Why settings can't be used.
+//! Errors of settings files.
 
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// The settings can't be used; the text is one line.
+/// Why settings can't be used; displayed as one line.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -11,15 +11,15 @@
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// What the operating system says.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// A line of the file is wrong.
+    /// A line of the file is invalid.
     #[error("{file}:{line}: {key}: {reason}")]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// Line, counted from 1.
+        /// Line number, starting at 1.
         line: usize,
         /// Key on that line.
         key: String,
--- a/crates/bramblewheel-process/src/settings/file.rs
+++ b/crates/bramblewheel-process/src/settings/file.rs
@@ -1,21 +1,21 @@
-//! A settings file as a whole: read, changed by the command line, checked.
+//! Loading of a settings file: read, overridden by the command line, validated.
 
 use super::{SettingsError, SettingsSource, read};
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// Settings that a program reads from a file; values from the command line win over it.
+/// Settings that a program reads from a file; values from the command line take precedence.
 pub trait SettingsFile: DeserializeOwned {
     /// Values from the command line.
     type Overrides;
 
-    /// Puts the values from the command line in place of the file's.
+    /// Replaces values of the file by those from the command line.
     fn apply(&mut self, overrides: Self::Overrides);
 
-    /// The first fault that the types can't express: key and reason.
+    /// The first fault that deserialization doesn't detect: key and reason.
     fn fault(&self) -> Option<(&'static str, String)>;
 
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     /// [`SettingsError`] with the file, line and key at fault.
@@ -23,7 +23,7 @@
         Self::parse(file, &read(file)?, overrides)
     }
 
-    /// Checks the text of a settings file; `file` is only named in errors.
+    /// Parses and validates the text of a settings file; `file` is used in errors only.
     ///
     /// # Errors
     /// [`SettingsError::Invalid`] with the line and key at fault.
--- a/crates/bramblewheel-process/src/settings/log.rs
+++ b/crates/bramblewheel-process/src/settings/log.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Least level written: error, warning, info, debug or trace.
+    /// Lowest level written: error, warning, info, debug or trace.
     pub level: LogLevel,
 }
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Least level written.
+/// Lowest level written.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)]
--- a/crates/bramblewheel-process/src/settings/mod.rs
+++ b/crates/bramblewheel-process/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file of a server program: its text, its errors, and the parts that all have.
+//! Settings files of the server programs: parsing, errors, and the sections that all of them share.
 
 mod addresses;
 mod error;
--- a/crates/bramblewheel-process/src/settings/source.rs
+++ b/crates/bramblewheel-process/src/settings/source.rs
@@ -1,4 +1,4 @@
-//! The text of a settings file, to say where a fault is.
+//! Text of a settings file, used to locate faults.
 
 use super::SettingsError;
 use serde::de::DeserializeOwned;
@@ -8,7 +8,7 @@
 /// Reads the text of a settings file.
 ///
 /// # Errors
-/// [`SettingsError::Unreadable`] with what the operating system says.
+/// [`SettingsError::Unreadable`] with the error of the operating system.
 pub fn read(file: &Path) -> Result<String, SettingsError> {
     fs::read_to_string(file).map_err(|error| SettingsError::Unreadable {
         file: file.to_owned(),
@@ -16,7 +16,7 @@
     })
 }
 
-/// The text being checked, with the name of its file.
+/// Text of a settings file, with the name of the file.
 #[derive(Clone, Copy, Debug)]
 pub struct SettingsSource<'a> {
     file: &'a Path,
@@ -24,12 +24,12 @@
 }
 
 impl<'a> SettingsSource<'a> {
-    /// A text; `file` is only named in errors.
+    /// Creates a source from a text; `file` is used in errors only.
     pub fn new(file: &'a Path, text: &'a str) -> Self {
         Self { file, text }
     }
 
-    /// Reads the text as TOML of a shape.
+    /// Deserializes the text from TOML.
     ///
     /// # Errors
     /// [`SettingsError::Invalid`] with the line and key at fault.
@@ -37,7 +37,7 @@
         toml::from_str(self.text).map_err(|error| self.syntax(&error))
     }
 
-    /// An error about a key of the file; the first line if the key is on none.
+    /// Creates an error about a key of the file, with the key's line or, if it is missing, the first line.
     pub fn fault(&self, key: &str, reason: &str) -> SettingsError {
         let names_key = |line: &str| line.split('=').next().unwrap_or_default().trim() == key;
         let line = self.text.lines().position(names_key).unwrap_or(0);
@@ -49,7 +49,7 @@
         let line = 1 + self.text[..at].matches('\n').count();
         let content = self.text.lines().nth(line - 1).unwrap_or_default();
         let key = content.split('=').next().unwrap_or_default().trim();
-        // A missing key stands on no line; the message names it.
+        // A missing key has no line of its own; the message contains its name.
         let message = error.message();
         let missing = message.strip_prefix("missing field `");
         let key = missing.map_or(key, |rest| rest.trim_end_matches('`'));
--- a/crates/bramblewheel-process/tests/logging.rs
+++ b/crates/bramblewheel-process/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Logs stay bounded under a flood and never wait for their reader.
+//! Log output stays bounded under a flood, and logging never blocks on a slow reader.
 
 use bramblewheel_process::logging::bounded_logger_to;
 use slog::Level;
@@ -8,11 +8,11 @@
 const LINES_PER_SECOND: u32 = 50;
 const FLOOD: usize = 50_000;
 
-/// Keeps what is written.
+/// Writer that stores its input in memory.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct MemoryWriter(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for MemoryWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0
             .lock()
@@ -26,21 +26,24 @@
     }
 }
 
-/// Takes nothing until it is let go, like a pipe that nobody reads.
+/// Writer that blocks until it is released, like a pipe without a reader.
 #[derive(Clone, Default)]
-struct Stalled(Arc<(Mutex<bool>, Condvar)>);
+struct StalledWriter(Arc<(Mutex<bool>, Condvar)>);
 
-impl Stalled {
-    fn let_go(&self) {
+impl StalledWriter {
+    fn release(&self) {
         *self.0.0.lock().expect("not poisoned") = true;
         self.0.1.notify_all();
     }
 }
 
-impl Write for Stalled {
+impl Write for StalledWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let is_free = self.0.0.lock().expect("not poisoned");
-        let waited = self.0.1.wait_while(is_free, |is_free| !*is_free);
+        let is_released = self.0.0.lock().expect("not poisoned");
+        let waited = self
+            .0
+            .1
+            .wait_while(is_released, |is_released| !*is_released);
         drop(waited.expect("not poisoned"));
         Ok(bytes.len())
     }
@@ -51,17 +54,17 @@
 }
 
 #[test]
-fn a_flood_is_bounded_and_says_what_was_left_out() {
-    let kept = Kept::default();
-    let log = bounded_logger_to(kept.clone(), Level::Info, LINES_PER_SECOND);
+fn a_flood_of_lines_is_rate_limited_and_the_dropped_lines_are_counted() {
+    let output = MemoryWriter::default();
+    let log = bounded_logger_to(output.clone(), Level::Info, LINES_PER_SECOND);
     for number in 0..FLOOD {
         slog::info!(log, "flood"; "number" => number);
     }
-    // After a second the next line says how many were left out.
+    // After a second the next line is preceded by the number of dropped lines.
     std::thread::sleep(std::time::Duration::from_millis(1_100));
     slog::info!(log, "after");
     drop(log);
-    let text = String::from_utf8(kept.0.lock().expect("not poisoned").clone()).expect("text");
+    let text = String::from_utf8(output.0.lock().expect("not poisoned").clone()).expect("UTF-8");
     let written = text
         .lines()
         .filter(|line| line.contains("msg=flood"))
@@ -70,19 +73,19 @@
     assert!(text.contains("lines left out"), "{text}");
     assert!(
         text.lines().all(|line| line.contains(" at=")),
-        "each line has its time"
+        "a line has no time"
     );
 }
 
 #[test]
-fn warnings_are_written_whatever_the_rate_is() {
-    let kept = Kept::default();
-    let log = bounded_logger_to(kept.clone(), Level::Info, 1);
+fn warnings_are_written_regardless_of_the_rate_limit() {
+    let output = MemoryWriter::default();
+    let log = bounded_logger_to(output.clone(), Level::Info, 1);
     for number in 0..40 {
         slog::warn!(log, "important"; "number" => number);
     }
     drop(log);
-    let text = String::from_utf8(kept.0.lock().expect("not poisoned").clone()).expect("text");
+    let text = String::from_utf8(output.0.lock().expect("not poisoned").clone()).expect("UTF-8");
     assert_eq!(
         text.lines()
             .filter(|line| line.contains("important"))
@@ -91,14 +94,14 @@
     );
 }
 
-/// If logging waited for the reader, this would never end.
+/// The test would never end if logging waited for the reader.
 #[test]
-fn a_reader_that_stalls_costs_lines_and_no_time() {
-    let stalled = Stalled::default();
-    let log = bounded_logger_to(stalled.clone(), Level::Info, 1_000_000);
+fn a_stalled_reader_causes_dropped_lines_and_does_not_block_logging() {
+    let writer = StalledWriter::default();
+    let log = bounded_logger_to(writer.clone(), Level::Info, 1_000_000);
     for number in 0..FLOOD {
         slog::info!(log, "flood"; "number" => number);
     }
-    stalled.let_go();
+    writer.release();
     drop(log);
 }
--- a/crates/bramblewheel-storage/src/atomic.rs
+++ b/crates/bramblewheel-storage/src/atomic.rs
@@ -1,16 +1,16 @@
-//! Files that appear whole or not at all.
+//! Atomic writing of files.
 
 use crate::error::{IoContext, StorageError};
 use crate::file_system::{AppendFile, FileSystem};
 use std::path::Path;
 
-/// Ending of names of files that are not whole yet.
+/// Suffix of the names of files that are still being written.
 pub(crate) const TEMPORARY: &str = ".tmp";
 
-/// Writes a file under another name, syncs it, renames it and syncs the folder.
+/// Writes a file atomically: writes and syncs a temporary file, renames it and syncs the folder.
 ///
 /// # Errors
-/// [`StorageError::Io`] when any step fails; the file then has its old or its new content, whole.
+/// [`StorageError::Io`] when any step fails; the file then has either its old or its new content.
 pub fn write<F: FileSystem>(
     files: &F,
     folder: &Path,
--- a/crates/bramblewheel-storage/src/error.rs
+++ b/crates/bramblewheel-storage/src/error.rs
@@ -1,23 +1,23 @@
-//! Why storage can't go on.
+//! Errors of storage.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Storage can't go on. None of these is to be retried within the process.
+/// An error of storage. None of these can be retried within the process.
 #[derive(Debug, Error)]
 pub enum StorageError {
     /// The file system refused an operation.
     #[error("{operation} {}: {source}", path.display())]
     Io {
-        /// What was tried.
+        /// Operation that failed.
         operation: &'static str,
         /// File or folder.
         path: PathBuf,
-        /// Answer of the file system.
+        /// Error of the file system.
         source: io::Error,
     },
-    /// A file holds bytes that were never written so; operators must replace the replica.
+    /// A file has content that was never written to it; the operators must replace the replica.
     #[error("{} is damaged at byte {offset}: {reason}", path.display())]
     Damaged {
         /// File.
@@ -27,16 +27,16 @@
         /// What is wrong.
         reason: String,
     },
-    /// A file that must be there is gone; operators must replace the replica.
+    /// A required file is missing; the operators must replace the replica.
     #[error("{} is missing: {reason}", path.display())]
     Missing {
         /// File or folder.
         path: PathBuf,
-        /// Why it must be there.
+        /// Why it is required.
         reason: &'static str,
     },
-    /// A write or sync failed before, so what is on the disk is not known any more.
-    #[error("an earlier write or sync failed; restart the process to read back what is on disk")]
+    /// An earlier write or sync failed, so the content of the disk is not known any more.
+    #[error("an earlier write or sync failed; restart the process to recover from disk")]
     Poisoned,
     /// The folder has an identity already.
     #[error("the folder has an identity already")]
@@ -44,8 +44,8 @@
     /// The folder has no identity yet.
     #[error("the folder has no identity yet")]
     IdentityAbsent,
-    /// One write is too large for a frame.
-    #[error("a write of {length} bytes is too large")]
+    /// A record is too large for a frame.
+    #[error("a record of {length} bytes is too large for a frame")]
     TooLarge {
         /// Its length.
         length: usize,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Names the operation and the file in an error of the file system.
+/// Adds the operation and the file to an error of the file system.
 pub(crate) trait IoContext<T> {
     fn during(self, operation: &'static str, path: &Path) -> Result<T, StorageError>;
 }
--- a/crates/bramblewheel-storage/src/file_system/disk.rs
+++ b/crates/bramblewheel-storage/src/file_system/disk.rs
@@ -1,4 +1,4 @@
-//! Files of the operating system.
+//! File system of the operating system.
 
 use super::{AppendFile, FileSystem};
 use std::fs::{self, File, OpenOptions};
@@ -6,10 +6,10 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
 
-/// Mode of the files: read and written by their owner.
+/// Mode of the files: readable and writable by their owner only.
 const OWNER_ONLY: u32 = 0o600;
 
-/// Files of the operating system.
+/// File system of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DiskFileSystem;
 
@@ -21,7 +21,7 @@
     type File = DiskFile;
 
     fn create(&self, path: &Path) -> io::Result<DiskFile> {
-        // Route tables hold the keys of tenants: nobody but the process's own user may read them.
+        // Route tables contain the keys of tenants, so only the process's own user may read them.
         let mut options = OpenOptions::new();
         options.write(true).create(true).truncate(true);
         options.mode(OWNER_ONLY).open(path).map(DiskFile)
@@ -66,9 +66,9 @@
     }
 
     fn sync_folder(&self, folder: &Path) -> io::Result<()> {
-        let here = Path::new(".");
+        let current = Path::new(".");
         let folder = if folder.as_os_str().is_empty() {
-            here
+            current
         } else {
             folder
         };
--- a/crates/bramblewheel-storage/src/file_system/memory.rs
+++ b/crates/bramblewheel-storage/src/file_system/memory.rs
@@ -1,4 +1,4 @@
-//! Files in memory that lose what was not synced, with faults on demand.
+//! In-memory file system that loses unsynced data in a crash and can inject faults.
 
 use super::{AppendFile, FileSystem};
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,19 +6,19 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Bytes that a disk writes as a whole.
+/// Bytes that a disk writes atomically.
 const SECTOR: usize = 512;
 
-/// Files in memory that lose what was not synced, with faults on demand.
+/// In-memory file system that loses unsynced data in a crash and can inject faults.
 ///
-/// Clones share the files, so a simulator keeps a disk across the death of a process. Folders
-/// last at once; names in them last when the folder is synced.
+/// Clones share the files, so that a simulator can keep a disk when a process is killed. Folders are
+/// durable at once; names in them are durable once the folder is synced.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryFileSystem {
     state: Arc<Mutex<State>>,
 }
 
-/// A file of a [`MemoryFileSystem`]; useless after a [`crash`](MemoryFileSystem::crash).
+/// A file of a [`MemoryFileSystem`]; fails all operations after a [`crash`](MemoryFileSystem::crash).
 #[derive(Debug)]
 pub struct MemoryFile {
     state: Arc<Mutex<State>>,
@@ -30,7 +30,7 @@
 struct State {
     inodes: Vec<Inode>,
     names: BTreeMap<PathBuf, usize>,
-    lasting_names: BTreeMap<PathBuf, usize>,
+    durable_names: BTreeMap<PathBuf, usize>,
     unsynced_names: Vec<NameChange>,
     folders: BTreeSet<PathBuf>,
     generation: u64,
@@ -40,17 +40,17 @@
     capacity: Option<usize>,
 }
 
-/// Content of a file, whatever its name.
+/// Content of a file, independent of its name.
 #[derive(Clone, Debug, Default)]
 struct Inode {
     content: Vec<u8>,
-    /// Bytes at the front that last.
+    /// Number of durable bytes from the start.
     synced: usize,
-    /// Bytes that a failed sync dropped: still readable, but never written by a later sync.
+    /// Range of bytes that a failed sync dropped: still readable, but never written by a later sync.
     dropped: Option<(usize, usize)>,
 }
 
-/// A change of names that does not last yet.
+/// A change of names that is not durable yet.
 #[derive(Clone, Debug)]
 enum NameChange {
     Link(PathBuf, usize),
@@ -59,59 +59,59 @@
 }
 
 impl MemoryFileSystem {
-    /// An empty file system without faults.
+    /// Creates an empty file system without faults.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Power is lost: what was not synced is lost, torn or kept, as the seed decides.
+    /// Simulates a power loss: unsynced data is lost, torn or kept, depending on the seed.
     ///
-    /// Files opened before are useless afterwards; all injected faults end.
+    /// Files opened before fail afterwards; all injected faults end.
     pub fn crash(&self, seed: u64) {
         let mut state = self.lock();
-        let mut chance = Chance(seed);
+        let mut random = SplitMix64(seed);
         let changes = std::mem::take(&mut state.unsynced_names);
         for change in changes {
-            if chance.below(2) == 0 {
-                change.apply(&mut state.lasting_names);
+            if random.below(2) == 0 {
+                change.apply(&mut state.durable_names);
             }
         }
-        state.names = state.lasting_names.clone();
+        state.names = state.durable_names.clone();
         for inode in &mut state.inodes {
-            inode.tear(&mut chance);
+            inode.tear(&mut random);
         }
         state.generation += 1;
         state.clear_faults();
     }
 
-    /// The process dies but the machine goes on: all that was written stays readable.
+    /// Simulates a killed process on a machine that keeps running: all written data stays readable.
     pub fn kill_process(&self) {
         let mut state = self.lock();
         state.generation += 1;
         state.clear_faults();
     }
 
-    /// Count of changing operations (create, append, sync, rename, remove) so far.
+    /// Number of changing operations (create, append, sync, rename, remove) so far.
     pub fn operations(&self) -> u64 {
         self.lock().operations
     }
 
-    /// Every operation after the next `count` fails, as if power were lost there.
+    /// Makes every operation after the next `count` fail, as if power were lost at that point.
     pub fn stop_after(&self, count: u64) {
         self.lock().operations_left = Some(count);
     }
 
-    /// The sync after the next `count` fails; what it should have written is dropped.
+    /// Makes the sync after the next `count` fail and drop the data it should have written.
     pub fn fail_sync_after(&self, count: u64) {
         self.lock().syncs_until_failure = Some(count);
     }
 
-    /// Limits the bytes of all files; `None` for no limit.
+    /// Limits the total size of all files, in bytes; `None` for no limit.
     pub fn set_capacity(&self, bytes: Option<usize>) {
         self.lock().capacity = bytes;
     }
 
-    /// Flips one bit of a file, on disk as well. `false` if there is no such byte.
+    /// Flips one bit of a file, also on disk; `false` if there is no such byte.
     pub fn flip_bit(&self, path: &Path, offset: usize, bit: u8) -> bool {
         let mut state = self.lock();
         let Some(&inode) = state.names.get(path) else {
@@ -124,7 +124,7 @@
         true
     }
 
-    /// Removes every file at once, as a replaced disk does.
+    /// Removes all files at once, as when the disk is replaced.
     pub fn wipe(&self) {
         let mut state = self.lock();
         let generation = state.generation + 1;
@@ -152,8 +152,8 @@
 }
 
 impl State {
-    /// Counts a changing operation; fails it when power is off.
-    fn operate(&mut self) -> io::Result<()> {
+    /// Counts a changing operation; fails it after a simulated power loss.
+    fn count_operation(&mut self) -> io::Result<()> {
         match &mut self.operations_left {
             Some(0) => return Err(io::Error::other("power is off")),
             Some(left) => *left -= 1,
@@ -187,7 +187,7 @@
     }
 
     fn append(&mut self, inode: usize, bytes: &[u8]) -> io::Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         let used = self.bytes_used();
         let free = self
             .capacity
@@ -202,7 +202,8 @@
         Ok(())
     }
 
-    fn sync_fails(&mut self) -> bool {
+    /// Counts a sync; `true` if it must fail.
+    fn sync_must_fail(&mut self) -> bool {
         match &mut self.syncs_until_failure {
             Some(0) => {
                 self.syncs_until_failure = None;
@@ -231,16 +232,16 @@
         self.synced = self.content.len();
     }
 
-    /// Keeps the synced bytes and, by chance, part of the others, some sectors of them as zeros.
-    fn tear(&mut self, chance: &mut Chance) {
+    /// Keeps the synced bytes and a random part of the others, in which a sector may be zeroed.
+    fn tear(&mut self, random: &mut SplitMix64) {
         if let Some((from, _)) = self.dropped.take() {
             self.synced = from;
         }
         let unsynced = self.content.len() - self.synced;
-        let kept = chance.below(unsynced as u64 + 1) as usize;
+        let kept = random.below(unsynced as u64 + 1) as usize;
         self.content.truncate(self.synced + kept);
-        if kept > 0 && chance.below(2) == 0 {
-            let hole = self.synced + chance.below(kept as u64) as usize;
+        if kept > 0 && random.below(2) == 0 {
+            let hole = self.synced + random.below(kept as u64) as usize;
             let from = (hole / SECTOR * SECTOR).max(self.synced);
             let to = (hole / SECTOR * SECTOR + SECTOR).min(self.content.len());
             self.content[from..to].fill(0);
@@ -276,7 +277,7 @@
 
     fn create(&self, path: &Path) -> io::Result<MemoryFile> {
         let mut state = self.lock();
-        state.operate()?;
+        state.count_operation()?;
         let inode = state.inodes.len();
         state.inodes.push(Inode::default());
         state.change_name(NameChange::Link(path.to_owned(), inode));
@@ -297,7 +298,7 @@
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
         let mut state = self.lock();
-        state.operate()?;
+        state.count_operation()?;
         let inode = state.find(from)?;
         state.change_name(NameChange::Rename(from.to_owned(), to.to_owned(), inode));
         Ok(())
@@ -305,7 +306,7 @@
 
     fn remove(&self, path: &Path) -> io::Result<()> {
         let mut state = self.lock();
-        state.operate()?;
+        state.count_operation()?;
         state.find(path)?;
         state.change_name(NameChange::Unlink(path.to_owned()));
         Ok(())
@@ -330,14 +331,14 @@
 
     fn sync_folder(&self, folder: &Path) -> io::Result<()> {
         let mut state = self.lock();
-        state.operate()?;
-        if state.sync_fails() {
+        state.count_operation()?;
+        if state.sync_must_fail() {
             return Err(io::Error::other("folder sync failed"));
         }
         let changes = std::mem::take(&mut state.unsynced_names);
         for change in changes {
             if change.is_in(folder) {
-                change.apply(&mut state.lasting_names);
+                change.apply(&mut state.durable_names);
             } else {
                 state.unsynced_names.push(change);
             }
@@ -360,8 +361,8 @@
         if state.generation != self.generation {
             return Err(io::Error::other("opened before a crash"));
         }
-        state.operate()?;
-        if state.sync_fails() {
+        state.count_operation()?;
+        if state.sync_must_fail() {
             state.inodes[self.inode].drop_unsynced();
             return Err(io::Error::other("sync failed"));
         }
@@ -370,10 +371,10 @@
     }
 }
 
-/// Small seeded generator (splitmix64), so that a crash is the same for the same seed.
-struct Chance(u64);
+/// Small seeded generator, so that a crash with the same seed has the same result.
+struct SplitMix64(u64);
 
-impl Chance {
+impl SplitMix64 {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut mixed = self.0;
--- a/crates/bramblewheel-storage/src/file_system/mod.rs
+++ b/crates/bramblewheel-storage/src/file_system/mod.rs
@@ -1,4 +1,4 @@
-//! The few file operations that storage needs.
+//! File operations used by storage.
 
 mod disk;
 mod memory;
@@ -9,60 +9,60 @@
 use std::io;
 use std::path::Path;
 
-/// The few file operations that storage needs.
+/// File operations used by storage.
 ///
-/// A file's content lasts once the file is synced; its name, a rename or a removal lasts once
+/// A file's content is durable once the file is synced; its name, a rename or a removal is durable once
 /// the folder is synced.
 pub trait FileSystem {
     /// A file open for appending.
     type File: AppendFile;
 
-    /// Creates an empty file, in place of one of that name.
+    /// Creates an empty file; replaces an existing one of that name.
     ///
     /// # Errors
-    /// Whatever the file system answers.
+    /// The error of the file system.
     fn create(&self, path: &Path) -> io::Result<Self::File>;
 
-    /// Opens a file that exists, to append to its end.
+    /// Opens an existing file for appending.
     ///
     /// # Errors
-    /// Whatever the file system answers.
+    /// The error of the file system.
     fn open_append(&self, path: &Path) -> io::Result<Self::File>;
 
     /// Reads a whole file.
     ///
     /// # Errors
-    /// Whatever the file system answers.
+    /// The error of the file system.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
-    /// Renames a file, in place of one of the new name.
+    /// Renames a file; replaces an existing one of the new name.
     ///
     /// # Errors
-    /// Whatever the file system answers.
+    /// The error of the file system.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// Whatever the file system answers.
+    /// The error of the file system.
     fn remove(&self, path: &Path) -> io::Result<()>;
 
     /// Names of the files in a folder, sorted.
     ///
     /// # Errors
-    /// Whatever the file system answers.
+    /// The error of the file system.
     fn list(&self, folder: &Path) -> io::Result<Vec<String>>;
 
-    /// Creates a folder that lasts, with those above it, unless it exists.
+    /// Creates a durable folder and its parents, unless it exists.
     ///
     /// # Errors
-    /// Whatever the file system answers.
+    /// The error of the file system.
     fn create_folder(&self, folder: &Path) -> io::Result<()>;
 
-    /// Makes the names in a folder last.
+    /// Makes the names in a folder durable.
     ///
     /// # Errors
-    /// Whatever the file system answers.
+    /// The error of the file system.
     fn sync_folder(&self, folder: &Path) -> io::Result<()>;
 }
 
@@ -71,12 +71,12 @@
     /// Appends bytes; they may be lost until synced.
     ///
     /// # Errors
-    /// Whatever the file system answers; part of the bytes may have been appended.
+    /// The error of the file system; part of the bytes may have been appended.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes all bytes appended so far last.
+    /// Makes all bytes appended so far durable.
     ///
     /// # Errors
-    /// Whatever the file system answers; which bytes last is not known then.
+    /// The error of the file system; it is then unknown which bytes are durable.
     fn sync(&mut self) -> io::Result<()>;
 }
--- a/crates/bramblewheel-storage/src/frame.rs
+++ b/crates/bramblewheel-storage/src/frame.rs
@@ -1,21 +1,21 @@
-//! Frames: a checked header and a checked payload.
+//! Frames with a checksummed header and a checksummed payload.
 //!
-//! Layout, least significant byte first: start mark (1 byte), payload length (4), sequence (8),
-//! CRC32C of the payload (4), CRC32C of the header before (4), payload, end mark (1). One frame is
-//! synced before the next is begun, so only the last frame of a file can be torn.
+//! Layout, little-endian: start mark (1 byte), payload length (4), sequence (8), CRC32C of the payload
+//! (4), CRC32C of the preceding header bytes (4), payload, end mark (1). Each frame is synced before the
+//! next one is written, so only the last frame of a file can be torn.
 
 use crate::error::StorageError;
 
-/// Bytes of a header.
+/// Size of a header, in bytes.
 const HEADER: usize = 21;
-/// First byte of a frame; not zero, so that a sector with the start of a frame is never blank.
+/// First byte of a frame; not zero, so that a sector with the start of a frame is never all zeros.
 const START_MARK: u8 = 0xB7;
-/// Last byte of a frame; not zero, so that a sector with the end of a frame is never blank.
+/// Last byte of a frame; not zero, so that a sector with the end of a frame is never all zeros.
 const END_MARK: u8 = 0xE5;
-/// Bytes that a disk writes as a whole.
+/// Bytes that a disk writes atomically.
 const SECTOR: usize = 512;
 
-/// A frame read back.
+/// A decoded frame.
 pub(crate) struct Frame<'a> {
     pub(crate) sequence: u64,
     pub(crate) payload: &'a [u8],
@@ -23,12 +23,12 @@
     pub(crate) end: usize,
 }
 
-/// Why a frame can't be read.
+/// Why a frame can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FrameFault {
-    /// It was being written when power was lost; nothing depends on it.
+    /// The write was interrupted before its sync, so nothing depends on the frame.
     Torn,
-    /// It was whole once.
+    /// The frame was written and synced, and its content has changed since.
     Damaged(&'static str),
 }
 
@@ -48,7 +48,7 @@
     Ok(bytes)
 }
 
-/// Reads the frame at `offset`; `None` at the end of the file.
+/// Decodes the frame at `offset`; `None` at the end of the file.
 pub(crate) fn decode(file: &[u8], offset: usize) -> Result<Option<Frame<'_>>, FrameFault> {
     let rest = &file[offset..];
     if rest.is_empty() {
@@ -103,8 +103,8 @@
 
 /// Distinguishes a torn frame from a damaged one.
 ///
-/// A torn frame is the last one and lacks bytes at its end or whole sectors. A frame that is all
-/// there and merely wrong was synced once: cutting it would forget a promise.
+/// A torn frame is the last one of the file and lacks bytes at its end or whole sectors. A complete frame
+/// with wrong content was synced once; truncating it would lose acknowledged state.
 fn classify(file: &[u8], offset: usize) -> FrameFault {
     let rest = &file[offset..];
     if (1..rest.len()).any(|start| parse(&rest[start..]).is_some()) {
@@ -121,13 +121,13 @@
     } else if rest.len() < HEADER {
         return FrameFault::Torn;
     }
-    if has_blank_sector(file, offset) {
+    if has_zeroed_sector(file, offset) {
         return FrameFault::Torn;
     }
     FrameFault::Damaged("checksum mismatch")
 }
 
-fn has_blank_sector(file: &[u8], offset: usize) -> bool {
+fn has_zeroed_sector(file: &[u8], offset: usize) -> bool {
     let mut start = offset;
     while start < file.len() {
         let end = (start / SECTOR * SECTOR + SECTOR).min(file.len());
--- a/crates/bramblewheel-storage/src/identity.rs
+++ b/crates/bramblewheel-storage/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a replica is; lasts as long as its folder.
+//! Identity of a replica, stored in its data folder.
 
 use crate::atomic;
 use crate::error::{IoContext, StorageError};
@@ -11,13 +11,13 @@
 /// Name of the identity file.
 pub(crate) const IDENTITY: &str = "identity";
 
-/// Who a replica is. A folder that was lost comes back without one, so that the replica can't
-/// pass for its old self, whose votes and entries are gone.
+/// Identity of a replica. A replica that lost its folder has no identity and must get a new one, because
+/// the votes and entries given under the old one are lost.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Drawn at random when the folder was made.
+    /// Drawn at random when the folder is created.
     pub replica: ReplicaId,
-    /// Group the replica belongs to, none before it joins one.
+    /// Group the replica belongs to; `None` before it joins one.
     pub group: Option<u64>,
     /// Stable name from the settings.
     pub name: String,
--- a/crates/bramblewheel-storage/src/lib.rs
+++ b/crates/bramblewheel-storage/src/lib.rs
@@ -1,7 +1,7 @@
 //! Synced, checksummed log segments, snapshots and the identity file of one replica.
 //!
-//! All access goes through [`FileSystem`], so that tests and the simulator run the same code on
-//! [`MemoryFileSystem`], which loses what was not synced.
+//! All file access goes through [`FileSystem`], so that tests and the simulator run the same code on
+//! [`MemoryFileSystem`], which loses unsynced data in a crash.
 
 mod atomic;
 pub mod error;
--- a/crates/bramblewheel-storage/src/records.rs
+++ b/crates/bramblewheel-storage/src/records.rs
@@ -1,4 +1,4 @@
-//! What frames hold, in CBOR.
+//! Payloads of frames, encoded in CBOR.
 
 use crate::error::StorageError;
 use crate::frame;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// One synced group of changes of the log. Applied in field order.
+/// A group of log changes that is synced at once. Applied in field order.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct LogRecord {
     pub(crate) truncate_from: Option<LogIndex>,
@@ -18,11 +18,11 @@
 /// Content of a snapshot file.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct SnapshotRecord {
-    /// Sequence of the first log record after it.
+    /// Sequence of the first log record after the snapshot.
     pub(crate) sequence: u64,
-    /// Whether entries recorded before it are void: it came from the leader.
+    /// Whether the snapshot came from the leader and invalidates all earlier log records.
     pub(crate) replaces_log: bool,
-    /// Term and vote when it was written, since segments with older ones are removed.
+    /// Term and vote when the snapshot was written, because the segments that contain them may be removed.
     pub(crate) hard_state: HardState,
     pub(crate) snapshot: Snapshot,
 }
@@ -44,7 +44,7 @@
         .map_err(|error| StorageError::damaged(path, offset, error.to_string()))
 }
 
-/// Decodes a file that is exactly one frame.
+/// Decodes a file that consists of exactly one frame.
 pub(crate) fn decode_file<T: DeserializeOwned>(
     file: &[u8],
     path: &Path,
@@ -59,7 +59,7 @@
             ));
         }
         Ok(None) => return Err(StorageError::damaged(path, 0, "empty")),
-        // The file was synced before it got its name, so it can't be torn.
+        // The file was synced before it was renamed, so it can't be torn.
         Err(_) => return Err(StorageError::damaged(path, 0, "not a whole record")),
     };
     decode(frame.payload, path, 0)
--- a/crates/bramblewheel-storage/src/recovery.rs
+++ b/crates/bramblewheel-storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads back what was synced.
+//! Recovery of the synced state from a folder.
 
 use crate::atomic;
 use crate::error::{IoContext, StorageError};
@@ -9,21 +9,21 @@
 use bramblewheel_replication::{Entry, LogIndex, RestoredState};
 use std::path::Path;
 
-/// What was read back.
+/// State recovered from a folder.
 pub(crate) struct Recovered {
     pub(crate) state: RestoredState,
     pub(crate) segments: Vec<Segment>,
-    /// Name of the snapshot file in force.
+    /// Name of the latest snapshot file.
     pub(crate) snapshot_name: Option<String>,
     /// Sequence of the next record.
     pub(crate) next_sequence: u64,
     /// Content of the last segment.
     pub(crate) last: Option<SegmentContent>,
-    /// Sequence before which all records are void: a snapshot from the leader replaced them.
-    pub(crate) void_before: Option<u64>,
+    /// Sequence before which all records are invalid, because a snapshot from the leader replaced them.
+    pub(crate) invalid_before: Option<u64>,
 }
 
-/// Reads the snapshot in force and all segments.
+/// Reads the latest snapshot and all segments.
 pub(crate) fn recover<F: FileSystem>(
     files: &F,
     folder: &Path,
@@ -41,12 +41,12 @@
     }
     let mut starts: Vec<u64> = names.iter().filter_map(|n| segment::start_of(n)).collect();
     starts.sort_unstable();
-    check_first(folder, &starts, replay.sequence_of_snapshot)?;
+    check_first_segment(folder, &starts, replay.sequence_of_snapshot)?;
     let mut segments = Vec::new();
     let mut last = None;
     let mut next_sequence = starts.first().copied().unwrap_or(0);
     for (position, &start) in starts.iter().enumerate() {
-        check_follows(folder, next_sequence, start)?;
+        check_no_gap(folder, next_sequence, start)?;
         let is_last = position + 1 == starts.len();
         let mut content = segment::read(files, folder, start, is_last)?;
         let path = folder.join(segment::name(start));
@@ -57,9 +57,9 @@
         segments.push(content.segment);
         last = Some(content);
     }
-    check_reaches(folder, next_sequence, &replay)?;
+    check_reaches_snapshot(folder, next_sequence, &replay)?;
     Ok(Recovered {
-        void_before: replay.replaces_log.then_some(replay.sequence_of_snapshot),
+        invalid_before: replay.replaces_log.then_some(replay.sequence_of_snapshot),
         state: replay.finish(folder)?,
         segments,
         snapshot_name,
@@ -68,16 +68,16 @@
     })
 }
 
-/// Removes what a crash left half done, and snapshots no longer in force.
+/// Removes temporary files left by a crash, and superseded snapshots.
 pub(crate) fn remove_leftovers<F: FileSystem>(
     files: &F,
     folder: &Path,
     names: &[String],
     snapshot_name: Option<&str>,
 ) -> Result<(), StorageError> {
-    let in_force = |name: &str| Some(name) == snapshot_name;
+    let is_latest = |name: &str| Some(name) == snapshot_name;
     for name in names {
-        let is_old_snapshot = snapshot_file::is_snapshot(name) && !in_force(name);
+        let is_old_snapshot = snapshot_file::is_snapshot(name) && !is_latest(name);
         if name.ends_with(atomic::TEMPORARY) || is_old_snapshot {
             let path = folder.join(name);
             files.remove(&path).during("remove", &path)?;
@@ -86,37 +86,41 @@
     Ok(())
 }
 
-fn check_first(folder: &Path, starts: &[u64], of_snapshot: u64) -> Result<(), StorageError> {
+fn check_first_segment(
+    folder: &Path,
+    starts: &[u64],
+    sequence_of_snapshot: u64,
+) -> Result<(), StorageError> {
     match starts.first() {
-        Some(&first) if first > of_snapshot => Err(StorageError::Missing {
-            path: folder.join(segment::name(of_snapshot)),
-            reason: "the segments left start after the snapshot",
+        Some(&first) if first > sequence_of_snapshot => Err(StorageError::Missing {
+            path: folder.join(segment::name(sequence_of_snapshot)),
+            reason: "the first segment starts after the snapshot",
         }),
         _ => Ok(()),
     }
 }
 
-fn check_follows(folder: &Path, expected: u64, start: u64) -> Result<(), StorageError> {
+fn check_no_gap(folder: &Path, expected: u64, start: u64) -> Result<(), StorageError> {
     if start == expected {
         return Ok(());
     }
     Err(StorageError::Missing {
         path: folder.join(segment::name(expected)),
-        reason: "a later segment is there",
+        reason: "a later segment exists",
     })
 }
 
-fn check_reaches(folder: &Path, next: u64, replay: &Replay) -> Result<(), StorageError> {
+fn check_reaches_snapshot(folder: &Path, next: u64, replay: &Replay) -> Result<(), StorageError> {
     if next >= replay.sequence_of_snapshot {
         return Ok(());
     }
     Err(StorageError::Missing {
         path: folder.join(segment::name(next)),
-        reason: "records before the snapshot's are lost",
+        reason: "records before the snapshot are lost",
     })
 }
 
-/// Rebuilds the state from the records in order.
+/// Rebuilds the state from the records, in order.
 #[derive(Default)]
 struct Replay {
     state: RestoredState,
--- a/crates/bramblewheel-storage/src/segment.rs
+++ b/crates/bramblewheel-storage/src/segment.rs
@@ -10,17 +10,17 @@
 
 const PREFIX: &str = "log-";
 
-/// Name of the segment that starts with a sequence.
+/// Name of the segment whose first record has this sequence.
 pub(crate) fn name(start: u64) -> String {
     format!("{PREFIX}{start:020}")
 }
 
-/// First sequence of a segment; `None` if the name is not that of a segment.
+/// Sequence of a segment's first record; `None` if the file name is not that of a segment.
 pub(crate) fn start_of(name: &str) -> Option<u64> {
     name.strip_prefix(PREFIX)?.parse().ok()
 }
 
-/// A segment that exists.
+/// An existing segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Segment {
     /// Sequence of its first record.
@@ -37,23 +37,23 @@
         }
     }
 
-    pub(crate) fn note(&mut self, record: &LogRecord) {
+    pub(crate) fn add(&mut self, record: &LogRecord) {
         for entry in &record.entries {
             self.highest = self.highest.max(entry.index);
         }
     }
 }
 
-/// What a segment holds.
+/// Content of a segment.
 pub(crate) struct SegmentContent {
     pub(crate) segment: Segment,
     /// Records with their offsets.
     pub(crate) records: Vec<(usize, LogRecord)>,
-    /// Bytes of whole frames.
+    /// Bytes of the complete frames.
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Reads a segment. Only the last one may end in a torn frame, which is left out.
+/// Reads a segment. Only the last one may end with a torn frame, which is ignored.
 pub(crate) fn read<F: FileSystem>(
     files: &F,
     folder: &Path,
@@ -71,7 +71,7 @@
             Ok(None) => break,
             Err(FrameFault::Torn) if is_last => break,
             Err(FrameFault::Torn) => {
-                let reason = "cut off, and another segment follows";
+                let reason = "the last frame is torn, but another segment follows";
                 return Err(StorageError::damaged(&path, offset, reason));
             }
             Err(FrameFault::Damaged(reason)) => {
@@ -80,7 +80,7 @@
         };
         check_sequence(frame.sequence, start + records.len() as u64, &path, offset)?;
         let record: LogRecord = records::decode(frame.payload, &path, offset)?;
-        segment.note(&record);
+        segment.add(&record);
         records.push((offset, record));
         offset += frame.end;
     }
@@ -101,21 +101,21 @@
     if found == expected {
         return Ok(());
     }
-    let reason = format!("record {found} where {expected} belongs");
+    let reason = format!("found record {found}, expected record {expected}");
     Err(StorageError::damaged(path, offset, reason))
 }
 
-/// The segment being written.
+/// Writer of the last segment.
 #[derive(Debug)]
 pub(crate) struct SegmentWriter<A> {
     file: A,
     path: PathBuf,
-    /// Bytes in it.
+    /// Size of the segment, in bytes.
     pub(crate) size: u64,
 }
 
 impl<A: AppendFile> SegmentWriter<A> {
-    /// Starts an empty segment whose name lasts.
+    /// Creates an empty segment and makes its name durable.
     pub(crate) fn create<F: FileSystem<File = A>>(
         files: &F,
         folder: &Path,
@@ -132,10 +132,10 @@
         })
     }
 
-    /// Goes on with a segment that was read back.
+    /// Continues a segment that was read in recovery.
     ///
-    /// Its bytes are written anew: after a failed sync or a killed process, what was read may
-    /// be in the memory of the system only, and a sync would not write it again.
+    /// Rewrites its content: after a failed sync or a killed process, the bytes read may be only in the
+    /// page cache, and a later sync would not write them to disk.
     pub(crate) fn rewrite<F: FileSystem<File = A>>(
         files: &F,
         folder: &Path,
--- a/crates/bramblewheel-storage/src/snapshot_file.rs
+++ b/crates/bramblewheel-storage/src/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! Snapshot files, named by the sequence of the next log record and the index they cover.
+//! Snapshot files, named by the sequence of the next log record and the last index they cover.
 
 use crate::atomic;
 use crate::error::{IoContext, StorageError};
@@ -8,12 +8,12 @@
 
 const PREFIX: &str = "snapshot-";
 
-/// Whether a file name is that of a snapshot.
+/// Whether a file name is that of a complete snapshot file.
 pub(crate) fn is_snapshot(name: &str) -> bool {
     name.starts_with(PREFIX) && !name.ends_with(atomic::TEMPORARY)
 }
 
-/// Writes a snapshot file and returns its name. Later snapshots have greater names.
+/// Writes a snapshot file and returns its name. Names sort in the order of snapshots.
 pub(crate) fn write<F: FileSystem>(
     files: &F,
     folder: &Path,
--- a/crates/bramblewheel-storage/src/storage.rs
+++ b/crates/bramblewheel-storage/src/storage.rs
@@ -10,13 +10,13 @@
 use bramblewheel_replication::{HardState, LogIndex, RestoredState, Snapshot, Write};
 use std::path::PathBuf;
 
-/// Size above which a segment is closed, in bytes, unless the settings give another.
+/// Default size above which a segment is closed, in bytes.
 const DEFAULT_SEGMENT_SIZE: u64 = 8 * 1024 * 1024;
 
 /// Settings of storage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StorageConfig {
-    /// Folder that belongs to this replica alone.
+    /// Folder, used by this replica only.
     pub folder: PathBuf,
     /// Size above which a segment is closed, in bytes.
     pub segment_size: u64,
@@ -35,12 +35,12 @@
 /// Storage of one replica in one folder.
 ///
 /// Invariants:
-/// - what [`write`](Self::write) or [`compact`](Self::compact) reported as done is restored by
-///   the next [`open`](Self::open), whatever crash comes between;
-/// - a write that was not reported as done is restored wholly or not at all, except that its
+/// - changes that [`write`](Self::write) or [`compact`](Self::compact) reported as done are restored by
+///   the next [`open`](Self::open), whatever crash occurs in between;
+/// - a write that was not reported as done is restored completely or not at all, except that its
 ///   snapshot may be restored without its entries;
-/// - after one failed operation nothing is written any more: what is on the disk is not known
-///   until it is read back by a new start.
+/// - after a failed operation nothing is written any more, because the content of the disk is unknown
+///   until a new start reads it.
 #[derive(Debug)]
 pub struct Storage<F: FileSystem> {
     files: F,
@@ -55,14 +55,14 @@
 }
 
 impl<F: FileSystem> Storage<F> {
-    /// Opens a folder, creating it if needed, and reads back what was synced.
+    /// Opens a folder, creating it if needed, and reads the synced state.
     ///
     /// A folder without an identity is new: call [`create_identity`](Self::create_identity)
     /// before the first write.
     ///
     /// # Errors
-    /// [`StorageError::Damaged`] or [`StorageError::Missing`] when something that was synced is
-    /// not there any more; [`StorageError::Io`] when the file system refuses.
+    /// [`StorageError::Damaged`] or [`StorageError::Missing`] when synced data is lost;
+    /// [`StorageError::Io`] when an operation of the file system fails.
     pub fn open(
         files: F,
         config: StorageConfig,
@@ -78,8 +78,8 @@
             None
         };
         check_identity(&config, has_identity, &recovered)?;
-        let kept = recovered.snapshot_name.as_deref();
-        recovery::remove_leftovers(&files, &folder, &names, kept)?;
+        let latest_snapshot = recovered.snapshot_name.as_deref();
+        recovery::remove_leftovers(&files, &folder, &names, latest_snapshot)?;
         files.sync_folder(&folder).during("sync", &folder)?;
         let last = recovered.last.filter(|_| has_identity);
         let writer = last.map(|content| SegmentWriter::rewrite(&files, &folder, &content));
@@ -94,7 +94,7 @@
             next_sequence: recovered.next_sequence,
             poisoned: false,
         };
-        if let Some(start) = recovered.void_before {
+        if let Some(start) = recovered.invalid_before {
             storage.finish_replacement(start)?;
         }
         Ok((storage, identity, recovered.state))
@@ -114,14 +114,14 @@
             return Err(StorageError::IdentityExists);
         }
         self.guarded(|storage| {
-            // The segment comes first, so that an identity without one shows that files were lost.
+            // The segment is created first, so that an identity without a segment shows that files were lost.
             storage.segments.clear();
             storage.start_segment()?;
             storage.store_identity(identity)
         })
     }
 
-    /// Changes the identity, such as when the replica joins a group.
+    /// Changes the identity, for example when the replica joins a group.
     ///
     /// # Errors
     /// [`StorageError`]; [`StorageError::IdentityAbsent`] when the folder is new.
@@ -132,7 +132,7 @@
         self.guarded(|storage| storage.store_identity(identity))
     }
 
-    /// Writes and syncs the output of a replica: one sync, two more with a snapshot.
+    /// Writes and syncs the output of a replica, with one sync of the log and two more with a snapshot.
     ///
     /// # Errors
     /// [`StorageError`]; the replica must stop.
@@ -146,7 +146,7 @@
         self.guarded(|storage| storage.write_parts(write))
     }
 
-    /// Stores a snapshot of the own state machine and removes the segments it covers.
+    /// Stores a snapshot of the replica's own state machine and removes the segments that it covers.
     ///
     /// # Errors
     /// [`StorageError`]; the replica must stop.
@@ -162,7 +162,7 @@
 
     fn write_parts(&mut self, write: &Write) -> Result<(), StorageError> {
         if let Some(snapshot) = &write.snapshot {
-            // The term and vote go along: they may not lag behind a snapshot of their term.
+            // The snapshot file includes term and vote, which must not be older than the snapshot.
             self.hard_state = write.hard_state.unwrap_or(self.hard_state);
             self.store_snapshot(snapshot, true)?;
             self.start_segment()?;
@@ -178,10 +178,10 @@
         Ok(())
     }
 
-    /// Removes the segments that a snapshot from the leader made void, where a crash came between.
+    /// Removes the segments that a snapshot from the leader replaced, if a crash prevented it before.
     ///
-    /// No segment holds records of both sides: a new one is started before the first record after
-    /// such a snapshot.
+    /// No segment contains records from both before and after such a snapshot, because a new segment is
+    /// started before the first record after it.
     fn finish_replacement(&mut self, start: u64) -> Result<(), StorageError> {
         if self.next_sequence == start {
             self.start_segment()?;
@@ -197,13 +197,16 @@
         }
         let writer = self.writer.as_mut().expect("a segment was started");
         writer.write(&frame)?;
-        let segment = self.segments.last_mut().expect("the writer has a segment");
-        segment.note(record);
+        let segment = self
+            .segments
+            .last_mut()
+            .expect("an open writer has a segment");
+        segment.add(record);
         self.next_sequence += 1;
         Ok(())
     }
 
-    /// Starts a segment, unless the last one is still empty.
+    /// Starts a segment unless the last one is still empty.
     fn start_segment(&mut self) -> Result<(), StorageError> {
         let start = self.next_sequence;
         if self.writer.is_some() && self.segments.last().map(|last| last.start) == Some(start) {
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Removes the oldest segments as long as the next one goes beyond what they hold.
+    /// Removes the oldest segments whose entries are all covered by a snapshot at `index`; keeps the last segment.
     fn remove_covered_segments(&mut self, index: LogIndex) -> Result<(), StorageError> {
         let covered = self.segments.iter().take_while(|s| s.highest <= index);
         let count = covered.count().min(self.segments.len() - 1);
@@ -253,7 +256,7 @@
         while let Some(first) = self.segments.first().filter(|first| first.start < start) {
             let name = segment::name(first.start);
             self.remove(&name)?;
-            // One by one, so that a crash never leaves a gap between segments.
+            // Synced one by one, so that a crash never leaves a gap between segments.
             self.files.sync_folder(&folder).during("sync", &folder)?;
             self.segments.remove(0);
         }
@@ -272,7 +275,7 @@
         Ok(())
     }
 
-    /// Runs an operation; after one that failed, all others are refused.
+    /// Runs an operation; once one has failed, refuses all further ones.
     fn guarded(
         &mut self,
         operation: impl FnOnce(&mut Self) -> Result<(), StorageError>,
@@ -284,7 +287,7 @@
     }
 }
 
-/// An identity and the log come and go together.
+/// Checks that a folder has either both an identity and a log or neither.
 fn check_identity(
     config: &StorageConfig,
     has_identity: bool,
@@ -293,13 +296,13 @@
     if has_identity && recovered.segments.is_empty() {
         return Err(StorageError::Missing {
             path: config.folder.join(segment::name(0)),
-            reason: "the folder has an identity, so it had a log",
+            reason: "the folder has an identity but no log",
         });
     }
     if !has_identity && recovered.state != RestoredState::default() {
         return Err(StorageError::Missing {
             path: config.folder.join(IDENTITY),
-            reason: "the folder has a log, so it had an identity",
+            reason: "the folder has a log but no identity",
         });
     }
     Ok(())
