--- a/crates/bramblewheel-daemon/src/http/server.rs
+++ b/crates/bramblewheel-daemon/src/http/server.rs
@@ -5,7 +5,7 @@
 
 use crate::http::answer::HttpAnswer;
 use crate::settings::LimitSettings;
-use bramblewheel_http::stop::told_to_stop;
+use bramblewheel_http::stop::stop_requested;
 use http::Request;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -63,7 +63,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = told_to_stop(&mut stop) => break,
+            () = stop_requested(&mut stop) => break,
             Some(_) = connections.join_next() => continue,
         };
         let (stream, peer) = match accepted {
@@ -118,7 +118,7 @@
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = told_to_stop(&mut config.stop) => {
+        () = stop_requested(&mut config.stop) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
--- a/crates/bramblewheel-http/src/stop.rs
+++ b/crates/bramblewheel-http/src/stop.rs
@@ -3,7 +3,7 @@
 use tokio::sync::watch;
 
 /// Waits until the listeners are requested to stop.
-pub async fn told_to_stop(stop: &mut watch::Receiver<bool>) {
+pub async fn stop_requested(stop: &mut watch::Receiver<bool>) {
     // The sender lives as long as the listeners; if it is dropped, the daemon has ended.
     let _ = stop.wait_for(|stop| *stop).await;
 }
--- a/crates/bramblewheel-process/src/clock.rs
+++ b/crates/bramblewheel-process/src/clock.rs
@@ -16,28 +16,28 @@
 const MAX_SLEEP: Duration = Duration::from_millis(500);
 
 /// Returns the time since a fixed point before the start of the process.
-pub type ReadTime = fn() -> Duration;
+pub type TimeSource = fn() -> Duration;
 
 /// A wait reached its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("timed out")]
-pub struct TimeIsOver;
+pub struct TimedOut;
 
 /// Monotonic clock that starts at zero.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    read: ReadTime,
+    read: TimeSource,
     origin: Duration,
 }
 
 impl Clock {
     /// Starts a clock at zero that also advances while the machine is suspended.
     pub fn start() -> Self {
-        Self::reading(time_since_boot)
+        Self::with_source(time_since_boot)
     }
 
     /// Starts a clock at zero with another time source, which must also advance while the machine is suspended.
-    pub fn reading(read: ReadTime) -> Self {
+    pub fn with_source(read: TimeSource) -> Self {
         Self {
             read,
             origin: read(),
@@ -50,7 +50,7 @@
     }
 
     /// Remaining time until `at`; zero once it has passed.
-    pub fn left_until(&self, at: Timestamp) -> Duration {
+    pub fn remaining_until(&self, at: Timestamp) -> Duration {
         at.since(self.now())
     }
 
@@ -62,7 +62,7 @@
     /// Waits until `at`.
     pub async fn sleep_until(&self, at: Timestamp) {
         loop {
-            let remaining = self.left_until(at);
+            let remaining = self.remaining_until(at);
             if remaining.is_zero() {
                 return;
             }
@@ -73,16 +73,16 @@
     /// Waits for a future until `at` at the latest.
     ///
     /// # Errors
-    /// [`TimeIsOver`] if the future was not ready by then.
+    /// [`TimedOut`] if the future was not ready by then.
     pub async fn timeout_at<F: Future>(
         &self,
         at: Timestamp,
         future: F,
-    ) -> Result<F::Output, TimeIsOver> {
+    ) -> Result<F::Output, TimedOut> {
         tokio::select! {
             biased;
             output = future => Ok(output),
-            () = self.sleep_until(at) => Err(TimeIsOver),
+            () = self.sleep_until(at) => Err(TimedOut),
         }
     }
 }
--- a/crates/bramblewheel-process/tests/clock.rs
+++ b/crates/bramblewheel-process/tests/clock.rs
@@ -3,7 +3,7 @@
 //! The runtime's paused clock stands for the monotonic clock here; the process's clock adds a counter of the
 //! suspended time, which the tests increase.
 
-use bramblewheel_process::clock::{Clock, TimeIsOver};
+use bramblewheel_process::clock::{Clock, TimedOut};
 use bramblewheel_types::Timestamp;
 use std::cell::Cell;
 use std::fs;
@@ -46,7 +46,7 @@
 #[tokio::test]
 async fn a_wait_that_expired_during_suspension_ends_soon_after_resume() {
     run(async {
-        let clock = Clock::reading(time_with_suspension);
+        let clock = Clock::with_source(time_with_suspension);
         let until = clock.now() + LONG;
         let waiting = tokio::spawn(async move { clock.sleep_until(until).await });
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -61,14 +61,14 @@
 #[tokio::test]
 async fn a_time_out_includes_the_time_of_suspension() {
     run(async {
-        let clock = Clock::reading(time_with_suspension);
+        let clock = Clock::with_source(time_with_suspension);
         let until = clock.now() + LONG;
         let never_ready = std::future::pending::<()>();
         let waiting = tokio::spawn(async move { clock.timeout_at(until, never_ready).await });
         tokio::time::sleep(Duration::from_millis(10)).await;
         suspend_for(LONG);
-        assert_eq!(waiting.await.expect("no panic"), Err(TimeIsOver));
-        assert_eq!(clock.left_until(until), Duration::ZERO);
+        assert_eq!(waiting.await.expect("no panic"), Err(TimedOut));
+        assert_eq!(clock.remaining_until(until), Duration::ZERO);
     })
     .await;
 }
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn without_suspension_a_wait_ends_at_its_deadline() {
     run(async {
-        let clock = Clock::reading(time_with_suspension);
+        let clock = Clock::with_source(time_with_suspension);
         let started = clock.now();
         clock.sleep_until(started + LONG).await;
         let waited = clock.since(started);
@@ -95,7 +95,7 @@
 #[tokio::test]
 async fn a_clock_that_stops_during_suspension_keeps_an_expired_lease_valid() {
     run(async {
-        let clock = Clock::reading(time_without_suspension);
+        let clock = Clock::with_source(time_without_suspension);
         let lease_ends = clock.now() + Duration::from_secs(5);
         suspend_for(LONG);
         let is_valid = clock.now() < lease_ends;
--- a/crates/bramblewheel-protocol/src/packed.rs
+++ b/crates/bramblewheel-protocol/src/packed.rs
@@ -9,7 +9,7 @@
 /// Compression level; low, since operators' texts are repetitive and replicas have little processor time.
 const LEVEL: u32 = 3;
 /// Maximum length of a text that is unpacked, in bytes.
-pub const LONGEST_TEXT: usize = 16 * 1024 * 1024;
+pub const MAX_TEXT_LENGTH: usize = 16 * 1024 * 1024;
 
 /// Why a packed text can't be unpacked.
 #[derive(Debug, Error)]
@@ -17,8 +17,8 @@
     /// The bytes are damaged, or were not made by [`PackedText::pack`].
     #[error("not unpackable: {0}")]
     Damaged(#[from] std::io::Error),
-    /// The text is longer than [`LONGEST_TEXT`].
-    #[error("longer than {LONGEST_TEXT} bytes")]
+    /// The text is longer than [`MAX_TEXT_LENGTH`].
+    #[error("longer than {MAX_TEXT_LENGTH} bytes")]
     TooLong,
 }
 
@@ -51,10 +51,10 @@
     /// [`UnpackError`] when it is damaged or too long.
     pub fn unpack(&self) -> Result<Vec<u8>, UnpackError> {
         let mut text = Vec::new();
-        let read_limit = LONGEST_TEXT as u64 + 1;
+        let read_limit = MAX_TEXT_LENGTH as u64 + 1;
         let decoder = DeflateDecoder::new(self.0.as_slice());
         decoder.take(read_limit).read_to_end(&mut text)?;
-        if text.len() > LONGEST_TEXT {
+        if text.len() > MAX_TEXT_LENGTH {
             return Err(UnpackError::TooLong);
         }
         Ok(text)
--- a/crates/bramblewheel-protocol/src/socket.rs
+++ b/crates/bramblewheel-protocol/src/socket.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// Error of the operating system.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
@@ -30,7 +30,7 @@
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
-/// Connects and sets the options as [`tune`] does.
+/// Connects and sets the options as [`set_options`] does.
 ///
 /// # Errors
 /// Error of the operating system, or [`io::ErrorKind::TimedOut`] after `connect_timeout`.
@@ -38,6 +38,6 @@
     let stream = tokio::time::timeout(connect_timeout, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    tune(&stream)?;
+    set_options(&stream)?;
     Ok(stream)
 }
--- a/crates/bramblewheel-protocol/tests/packed.rs
+++ b/crates/bramblewheel-protocol/tests/packed.rs
@@ -1,6 +1,6 @@
 //! Packed texts: unpacked byte for byte, much shorter for configurations, limited in length.
 
-use bramblewheel_protocol::packed::{LONGEST_TEXT, PackedText, UnpackError};
+use bramblewheel_protocol::packed::{MAX_TEXT_LENGTH, PackedText, UnpackError};
 
 #[test]
 fn a_packed_text_unpacks_byte_for_byte() {
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_damaged_or_too_long_text_is_an_error() {
-    let too_long = PackedText::pack(&vec![b' '; LONGEST_TEXT + 1]);
+    let too_long = PackedText::pack(&vec![b' '; MAX_TEXT_LENGTH + 1]);
     assert!(matches!(too_long.unpack(), Err(UnpackError::TooLong)));
     let damaged: PackedText = ciborium::from_reader(&b"\x43\xff\xff\xff"[..]).expect("three bytes");
     assert!(matches!(damaged.unpack(), Err(UnpackError::Damaged(_))));
--- a/crates/bramblewheel-proxy/src/http/server.rs
+++ b/crates/bramblewheel-proxy/src/http/server.rs
@@ -8,7 +8,7 @@
 use crate::http::body::AnswerBody;
 use crate::http::open_connections::OpenConnections;
 use bramblewheel_http::fields::KEEP_ALIVE;
-use bramblewheel_http::stop::told_to_stop;
+use bramblewheel_http::stop::stop_requested;
 use bramblewheel_process::invariants::lock;
 use http::header::CONNECTION;
 use http::{HeaderValue, Request, Response};
@@ -151,7 +151,7 @@
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = told_to_stop(&mut stop) => break,
+            () = stop_requested(&mut stop) => break,
         };
         match accepted {
             Ok((stream, _)) => connections.add(stream, permit),
@@ -206,7 +206,7 @@
 
 /// Ends once the listener closes and the first request on the connection has had time to be read.
 async fn may_close(stop: &mut watch::Receiver<bool>, activity: &Activity) {
-    told_to_stop(stop).await;
+    stop_requested(stop).await;
     if !activity.has_begun() {
         tokio::time::sleep(FIRST_REQUEST_TIME).await;
     }
--- a/crates/bramblewheel-proxy/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-proxy/src/inbound/dispatch.rs
@@ -164,7 +164,7 @@
     if is_quarantined(shared, &id, handover.content) {
         return Dispatched::Without(AttemptResult::Quarantined).into();
     }
-    if shared.clock.left_until(deadline) < LEAST_TIME_TO_SEND {
+    if shared.clock.remaining_until(deadline) < LEAST_TIME_TO_SEND {
         return Dispatched::Without(AttemptResult::Full).into();
     }
     let run = AdmittedRun {
@@ -222,7 +222,7 @@
     /// Addresses the request to the endpoint, with the time that is left at the moment of sending.
     fn address(&self, headers: &mut HeaderMap) {
         let handover = self.handover;
-        let left = self.shared.clock.left_until(self.deadline);
+        let left = self.shared.clock.remaining_until(self.deadline);
         let caller = handover.caller.as_ref();
         let dialect = &self.shared.settings.dialect;
         let tenant = handover.tenant.as_ref();
--- a/crates/bramblewheel-proxy/src/outbound/attempts.rs
+++ b/crates/bramblewheel-proxy/src/outbound/attempts.rs
@@ -136,7 +136,7 @@
             "attempt" => attempts.tried.len(), "again" => decision.is_again(),
             "reason" => decision.as_str(), "content" => %self.content,
             "caller" => self.caller().as_ref().map_or("", text),
-            "left_ms" => Millis::of(self.shared.clock.left_until(self.deadline)).0);
+            "left_ms" => Millis::of(self.shared.clock.remaining_until(self.deadline)).0);
     }
 
     /// Whether the bound on retries lets the request be sent at all: not always where a run makes it that was itself
--- a/crates/bramblewheel-proxy/src/outbound/hand_over.rs
+++ b/crates/bramblewheel-proxy/src/outbound/hand_over.rs
@@ -68,7 +68,7 @@
     // The time that is left is that of the moment of sending.
     let write = |headers: &mut HeaderMap| {
         let handover = Handover {
-            remaining: clock.left_until(deadline),
+            remaining: clock.remaining_until(deadline),
             ..handover.clone()
         };
         handover.write(headers);
--- a/crates/bramblewheel-proxy/src/outbound/stopping.rs
+++ b/crates/bramblewheel-proxy/src/outbound/stopping.rs
@@ -57,6 +57,6 @@
         if self.is_likely_nested {
             return usual;
         }
-        usual.min(self.shared.clock.left_until(schedule.latest_send))
+        usual.min(self.shared.clock.remaining_until(schedule.latest_send))
     }
 }
