--- a/crates/bramblewheel-soak/src/endpoint/mod.rs
+++ b/crates/bramblewheel-soak/src/endpoint/mod.rs
@@ -218,7 +218,7 @@
         endpoint_interface::post(
             self.admin,
             &path,
-            wire::leaving_body(self.started_unix_millis),
+            wire::deregistration_body(self.started_unix_millis),
         )
         .await;
     }
--- a/crates/bramblewheel-soak/src/endpoint/serving.rs
+++ b/crates/bramblewheel-soak/src/endpoint/serving.rs
@@ -62,7 +62,7 @@
     };
     let id = text(wire::REQUEST_ID).unwrap_or_default();
     let empty = |status: StatusCode| answered(status, &id, Body::empty());
-    if text(wire::EXPECTED).is_some_and(|expected| *expected != *serving.id) {
+    if text(wire::EXPECTED_ENDPOINT).is_some_and(|expected| *expected != *serving.id) {
         return empty(StatusCode::MISDIRECTED_REQUEST);
     }
     let act = serving.draw_act();
--- a/crates/bramblewheel-soak/src/foreign.rs
+++ b/crates/bramblewheel-soak/src/foreign.rs
@@ -141,7 +141,7 @@
                 is_deregistration: true,
                 form: "deregistration of an endpoint elsewhere".to_owned(),
                 path: wire::deregister_path(&elsewhere.id),
-                body: wire::leaving_body(elsewhere.started_unix_millis),
+                body: wire::deregistration_body(elsewhere.started_unix_millis),
             };
         }
         let form = Form::draw(random, other_service);
