--- a/crates/bramblewheel-replication/src/types.rs
+++ b/crates/bramblewheel-replication/src/types.rs
@@ -100,7 +100,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReadId(pub u64);
 
-/// Changes that must be synced to disk before the messages of the same [`Output`] are sent.
+/// Changes that must be synced to disk before the messages of the same [`Output`](crate::Output) are sent.
 ///
 /// Applied in field order. `Storage::write` of the storage crate takes this type.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
