--- a/crates/bramblewheel-proxy/src/control/content_reports.rs
+++ b/crates/bramblewheel-proxy/src/control/content_reports.rs
@@ -13,11 +13,11 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Reports that wait while the control group can't take them; chosen, not measured.
+/// Reports that wait while the control group can't take them.
 const MAX_WAITING: usize = 256;
-/// Longest time for one attempt to send a report to the group; chosen, not measured.
+/// Longest time for one attempt to send a report to the group.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before the next attempt; chosen, not measured.
+/// Pause before the next attempt.
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// What a daemon saw.
--- a/crates/bramblewheel-proxy/src/control/group.rs
+++ b/crates/bramblewheel-proxy/src/control/group.rs
@@ -11,9 +11,9 @@
 use thiserror::Error;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Longest wait for one replica's answer; chosen, not measured.
+/// Longest wait for one replica's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause after no replica could answer; chosen, not measured.
+/// Pause after no replica could answer.
 const PAUSE: Duration = Duration::from_millis(60);
 
 /// No replica settled the request in time.
--- a/crates/bramblewheel-proxy/src/control/registrar.rs
+++ b/crates/bramblewheel-proxy/src/control/registrar.rs
@@ -262,7 +262,7 @@
         if !matches!(reply, Ok(ReplyBody::Rejected(_))) {
             return RecordError::Unsettled;
         }
-        self.local.was_replaced(&record.endpoint);
+        self.local.record_replaced(&record.endpoint);
         RecordError::Rejected
     }
 
--- a/crates/bramblewheel-proxy/src/control/renewal.rs
+++ b/crates/bramblewheel-proxy/src/control/renewal.rs
@@ -17,19 +17,17 @@
 /// two of them, within which it uses less than what the window has left.
 const INTERVAL: Duration = Duration::from_millis(250);
 /// The interval grows by this for each daemon, beyond those that fit [`INTERVAL`]: the replicas' work
-/// does not grow with the daemons from there on. Chosen, not measured.
+/// does not grow with the daemons from there on.
 const INTERVAL_PER_DAEMON: Duration = Duration::from_micros(1_700);
-/// Longest interval: a lease must outlast the loss of some renewals; chosen, not measured.
+/// Longest interval: a lease must outlast the loss of some renewals.
 const LONGEST_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval where the table has no tenants: only the lease is kept ready for the first that come.
-/// Chosen, not measured.
 const INTERVAL_WITHOUT_TENANTS: Duration = Duration::from_secs(1);
 /// Longest wait for an answer; replicas gather renewals for less than a tenth of a second.
-/// Chosen, not measured.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest wait for a connection; chosen, not measured.
+/// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Pause after a replica that could not answer; chosen, not measured.
+/// Pause after a replica that could not answer.
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// Why a renewal failed.
--- a/crates/bramblewheel-proxy/src/control/watch.rs
+++ b/crates/bramblewheel-proxy/src/control/watch.rs
@@ -19,13 +19,13 @@
 use tokio::time::{sleep, timeout};
 
 /// How long a replica may hold a watch. A replica that is cut off answers within its lease; one
-/// that is silent is noticed after this and [`SILENCE`]. Chosen, not measured.
+/// that is silent is noticed after this and [`SILENCE`].
 const WAIT: Duration = Duration::from_millis(600);
-/// Silence beyond the wait after which another replica is asked; chosen, not measured.
+/// Silence beyond the wait after which another replica is asked.
 const SILENCE: Duration = Duration::from_millis(300);
-/// Longest wait for a connection; chosen, not measured.
+/// Longest wait for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Pause after a replica that could not answer; chosen, not measured.
+/// Pause after a replica that could not answer.
 const PAUSE: Duration = Duration::from_millis(40);
 
 /// Reads a route table from its text, as this deployment's operators write it.
--- a/crates/bramblewheel-proxy/src/daemon/listeners.rs
+++ b/crates/bramblewheel-proxy/src/daemon/listeners.rs
@@ -4,7 +4,7 @@
 
 use crate::http::server::{KeepPolicy, serve};
 use crate::inbound::Inbound;
-use crate::outbound::{Outbound, caller_rest};
+use crate::outbound::{Outbound, caller_idle_timeout};
 use crate::settings::Settings;
 use crate::shared::Shared;
 use bramblewheel_process::listener::{BindError, bind};
@@ -14,8 +14,7 @@
 use tokio::sync::watch;
 
 /// Rest after which a connection of another daemon is closed: twice as long as the other keeps it
-/// ([`super::parts::IDLE_DAEMON_CONNECTIONS`]), so that no request crosses the close. Chosen, not
-/// measured.
+/// ([`super::parts::IDLE_DAEMON_CONNECTIONS`]), so that no request crosses the close.
 const DAEMON_CONNECTION_REST: Duration = Duration::from_secs(8);
 /// Callers' connections at rest beyond which new ones are closed after their first answer. Guards
 /// against callers that open a connection for each request and leave it open: without it daemons of
@@ -58,7 +57,7 @@
     let log = shared.log.clone();
     let handler = Arc::new(Outbound::new(Arc::clone(&shared)));
     let keep = KeepPolicy {
-        longest_rest: Arc::new(move || caller_rest(&shared)),
+        longest_rest: Arc::new(move || caller_idle_timeout(&shared)),
         most_at_rest: CALLER_CONNECTIONS_AT_REST,
     };
     serve(listener, handler, keep, stop, log).await;
--- a/crates/bramblewheel-proxy/src/daemon/parts.rs
+++ b/crates/bramblewheel-proxy/src/daemon/parts.rs
@@ -42,7 +42,7 @@
     longest: Duration::from_secs(7),
     most: 256,
 };
-/// Time between two checks for connections that were idle for too long; chosen, not measured.
+/// Time between two checks for connections that were idle for too long.
 const POOL_CHECK_PERIOD: Duration = Duration::from_secs(2);
 
 /// A daemon's shared state, and what its tasks are made from.
--- a/crates/bramblewheel-proxy/src/dialect.rs
+++ b/crates/bramblewheel-proxy/src/dialect.rs
@@ -77,8 +77,8 @@
         headers.remove(&self.tenant);
     }
 
-    /// Sets what an endpoint expects on a request.
-    pub fn address(
+    /// Sets the headers that an endpoint expects on a request.
+    pub fn set_headers(
         &self,
         headers: &mut HeaderMap,
         endpoint: &EndpointId,
--- a/crates/bramblewheel-proxy/src/http/body.rs
+++ b/crates/bramblewheel-proxy/src/http/body.rs
@@ -4,7 +4,7 @@
 //! its connection and its slot until the last byte.
 
 use crate::http::pool::Lease;
-use crate::in_progress::InProgress;
+use crate::in_progress::InProgressGuard;
 use crate::local::Permit;
 use bramblewheel_decisions::request_content::COUNTED_BODY_BYTES;
 use bramblewheel_http::body::{Collected, collect};
@@ -142,7 +142,7 @@
 pub struct AnswerBody {
     first: Option<Bytes>,
     rest: Option<(Incoming, Held)>,
-    _open: Option<InProgress>,
+    _open: Option<InProgressGuard>,
 }
 
 impl AnswerBody {
@@ -166,7 +166,7 @@
     }
 
     /// Counts as in progress until the body is dropped.
-    pub fn guard(&mut self, open: InProgress) {
+    pub fn guard(&mut self, open: InProgressGuard) {
         self._open = Some(open);
     }
 }
--- a/crates/bramblewheel-proxy/src/http/exchange.rs
+++ b/crates/bramblewheel-proxy/src/http/exchange.rs
@@ -14,7 +14,7 @@
 use hyper::body::Incoming;
 use std::sync::Arc;
 
-/// Reused connections that may turn out to be closed before a new one is opened; chosen, not measured.
+/// Reused connections that may turn out to be closed before a new one is opened.
 const REUSED_TRIES: usize = 2;
 
 /// Why there is no answer.
--- a/crates/bramblewheel-proxy/src/http/fields.rs
+++ b/crates/bramblewheel-proxy/src/http/fields.rs
@@ -33,7 +33,7 @@
 
 /// Value of `Keep-Alive` for a connection that is closed here after `rest`: less than that, so that no request crosses the close, in whole seconds as the field wants it; nothing below one.
 pub fn keep_alive(rest: Duration) -> Option<HeaderValue> {
-    /// Share of the time that is stated, 0 to 1; chosen, not measured.
+    /// Share of the time that is stated, 0 to 1.
     const STATED_SHARE: f64 = 0.6;
     let seconds = rest.mul_f64(STATED_SHARE).as_secs();
     let value = || HeaderValue::try_from(format!("timeout={seconds}"));
--- a/crates/bramblewheel-proxy/src/http/pool.rs
+++ b/crates/bramblewheel-proxy/src/http/pool.rs
@@ -19,9 +19,9 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest wait for a connection; a machine that is cut off does not answer. Chosen, not measured.
+/// Longest wait for a connection; a machine that is cut off does not answer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Bytes read ahead on a connection; a reader that is slow holds the writer up. Chosen, not measured.
+/// Bytes read ahead on a connection; a reader that is slow holds the writer up.
 const READ_AHEAD: usize = 64 * 1024;
 /// Time for which a pool remembers that the other side closes idle connections early. Without that, 81
 /// answers were lost in three seconds when all endpoints closed connections idle for 150 ms. The time
--- a/crates/bramblewheel-proxy/src/http/server.rs
+++ b/crates/bramblewheel-proxy/src/http/server.rs
@@ -28,19 +28,18 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Time for the head of a request to arrive; also the longest rest between two requests. Chosen, not
-/// measured.
+/// Time for the head of a request to arrive; also the longest rest between two requests.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(120);
-/// Bytes read ahead on a connection, which is also the longest head. Chosen, not measured.
+/// Bytes read ahead on a connection, which is also the longest head.
 const READ_AHEAD: usize = 64 * 1024;
-/// Connections of one listener; beyond it they wait to be accepted. Chosen, not measured.
+/// Connections of one listener; beyond it they wait to be accepted.
 const MAX_CONNECTIONS: usize = 1_800;
-/// Least time between two checks whether a connection rests; chosen, not measured.
+/// Least time between two checks whether a connection rests.
 const LEAST_LOOK: Duration = Duration::from_millis(500);
 /// Time in which the first request on a connection that was opened shortly before the listener closed
-/// is read; chosen, not measured.
+/// is read.
 const FIRST_REQUEST_TIME: Duration = Duration::from_millis(100);
-/// Wait after a failed accept, such as when no file descriptor is left; chosen, not measured.
+/// Wait after a failed accept, such as when no file descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// A handler of requests.
--- a/crates/bramblewheel-proxy/src/in_progress.rs
+++ b/crates/bramblewheel-proxy/src/in_progress.rs
@@ -74,13 +74,13 @@
 
 impl Progress {
     /// Notes the id once it is read.
-    pub fn note_id(&self, id: &HeaderValue) {
+    pub fn set_id(&self, id: &HeaderValue) {
         // The id of a request is read once.
         let _ = self.id.set(id.clone());
     }
 
     /// Notes how far the request is.
-    pub fn enters(&self, stage: Stage) {
+    pub fn set_stage(&self, stage: Stage) {
         self.stage.store(stage as u8, Ordering::Relaxed);
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Notes that the local endpoint likely makes the request for one that it runs.
-    pub fn note_likely_nested(&self) {
+    pub fn mark_likely_nested(&self) {
         self.is_likely_nested.store(true, Ordering::Relaxed);
     }
 }
@@ -122,7 +122,7 @@
 
 impl RequestsInProgress {
     /// Counts one more until the guard is dropped.
-    pub fn begin(&self, sender: Sender, arrived: Timestamp) -> InProgress {
+    pub fn begin(&self, sender: Sender, arrived: Timestamp) -> InProgressGuard {
         let progress = Arc::new(Progress {
             sender,
             arrived,
@@ -134,7 +134,7 @@
         open.next_number += 1;
         let number = open.next_number;
         open.requests.insert(number, Arc::clone(&progress));
-        InProgress {
+        InProgressGuard {
             all: self.clone(),
             number,
             progress,
@@ -163,20 +163,20 @@
 
 /// One request that is not answered to its last byte.
 #[derive(Debug)]
-pub struct InProgress {
+pub struct InProgressGuard {
     all: RequestsInProgress,
     number: u64,
     progress: Arc<Progress>,
 }
 
-impl InProgress {
+impl InProgressGuard {
     /// How far it is.
     pub fn progress(&self) -> &Arc<Progress> {
         &self.progress
     }
 }
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         lock(&self.all.0).requests.remove(&self.number);
     }
--- a/crates/bramblewheel-proxy/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-proxy/src/inbound/dispatch.rs
@@ -1,7 +1,7 @@
-//! One request at the endpoint beside the daemon: the wait for a slot, the send, and what the answer proves.
+//! Runs one request at the endpoint beside the daemon: waits for a slot, sends it and interprets the answer.
 //!
-//! Relies on [`crate::local`] for slots and for which start of the endpoint is there, and on the dialect for what the
-//! endpoint's answer says. Owns nothing.
+//! [`crate::local`] gives slots and knows the current incarnation of the endpoint; the dialect classifies the endpoint's
+//! answer.
 
 use crate::dialect::AnswerKind;
 use crate::http::exchange::{self, Answer, NoAnswer, Outgoing, Received};
@@ -17,57 +17,57 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Least time with which a request is sent to the endpoint: less would be stated to it as none. One millisecond is
-/// the unit of the header that states it.
-const LEAST_TIME_TO_SEND: Duration = Duration::from_millis(1);
+/// Least remaining time with which a request is sent to the endpoint. The header that states it has a unit of one
+/// millisecond, so that less would be stated as zero.
+const MIN_REMAINING: Duration = Duration::from_millis(1);
 
 /// How a request ended at the endpoint.
 #[derive(Debug)]
-pub enum Dispatched {
+pub enum DispatchOutcome {
     /// The endpoint ran it.
     Answered(Box<Answer>),
     /// There is no answer to pass on.
-    Without(AttemptResult),
+    Unanswered(AttemptResult),
 }
 
-impl Dispatched {
-    /// Whether the endpoint answered with an error of its own.
+impl DispatchOutcome {
+    /// Whether the endpoint answered with a server error.
     pub fn has_failed(&self) -> bool {
         match self {
             Self::Answered(answer) => answer.status().is_server_error(),
-            Self::Without(_) => false,
+            Self::Unanswered(_) => false,
         }
     }
 
-    /// The result without the answer.
+    /// Result of the attempt.
     pub fn result(&self) -> AttemptResult {
         match self {
             Self::Answered(_) => AttemptResult::Answered,
-            Self::Without(result) => *result,
+            Self::Unanswered(result) => *result,
         }
     }
 }
 
-/// How an attempt ended, with what the daemon beside the endpoint reports besides.
+/// How an attempt ended, with the report of the daemon beside the endpoint.
 #[derive(Debug)]
-pub struct Attempted {
+pub struct AttemptOutcome {
     /// How it ended.
-    pub dispatched: Dispatched,
-    /// What is reported besides.
+    pub dispatched: DispatchOutcome,
+    /// Report of the daemon beside the endpoint.
     pub report: AnswerReport,
 }
 
-/// Waits for a slot at the endpoint and sends it a request.
+/// Waits for a slot at the endpoint, sends it the request and reports on the attempt.
 pub async fn dispatch(
     shared: &Arc<Shared>,
     handover: &Handover,
     arrived: Timestamp,
     outgoing: &mut Outgoing,
     progress: &Progress,
-) -> Attempted {
+) -> AttemptOutcome {
     let id = shared.settings.dialect.id(&outgoing.headers);
-    let is_likely_nested = note_caller(shared, handover, id) || handover.is_likely_nested;
-    let Ran {
+    let is_likely_nested = record_caller(shared, handover, id) || handover.is_likely_nested;
+    let RunOutcome {
         dispatched,
         short_downstream,
     } = run(
@@ -88,18 +88,18 @@
         short_downstream,
         bound_used_percent: whole_percent(used),
     };
-    Attempted { dispatched, report }
+    AttemptOutcome { dispatched, report }
 }
 
 /// How a request ended at the endpoint.
-struct Ran {
-    dispatched: Dispatched,
-    /// Where a call of the endpoint had found no capacity right before it failed the request.
+struct RunOutcome {
+    dispatched: DispatchOutcome,
+    /// Service at which a call of the endpoint found no capacity right before the endpoint failed the request.
     short_downstream: Option<ServiceName>,
 }
 
-impl From<Dispatched> for Ran {
-    fn from(dispatched: Dispatched) -> Self {
+impl From<DispatchOutcome> for RunOutcome {
+    fn from(dispatched: DispatchOutcome) -> Self {
         Self {
             dispatched,
             short_downstream: None,
@@ -107,8 +107,8 @@
     }
 }
 
-/// Logs and counts a request that is said to come from a service which the table in force does not name.
-fn note_unknown_caller(
+/// Logs and counts a request whose stated caller is a service that the route table in force does not contain.
+fn record_unknown_caller(
     shared: &Shared,
     handover: &Handover,
     id: Option<&HeaderValue>,
@@ -119,17 +119,17 @@
         return;
     };
     shared.metrics.unknown_callers.inc();
-    slog::info!(shared.log, "caller is of no known service"; "id" => id.map_or("", text),
+    slog::info!(shared.log, "caller is of no known service"; "id" => id.map_or("", id_text),
         "caller" => %caller, "endpoint" => %handover.endpoint, "table" => router.version().0);
 }
 
-/// Counts where the request came from; returns whether its class is likely called by endpoints only.
-fn note_caller(shared: &Shared, handover: &Handover, id: Option<&HeaderValue>) -> bool {
+/// Records the caller of the request; returns whether its class is likely called by endpoints only.
+fn record_caller(shared: &Shared, handover: &Handover, id: Option<&HeaderValue>) -> bool {
     let caller = handover.caller.as_ref().and_then(|name| name.to_str().ok());
     let Some(caller) = caller.and_then(|name| ServiceName::new(name).ok()) else {
         return false;
     };
-    note_unknown_caller(shared, handover, id, &caller);
+    record_unknown_caller(shared, handover, id, &caller);
     let mut routing = shared.routing();
     let routing = &mut *routing;
     routing.nested_routes.record(handover.class, &caller);
@@ -138,7 +138,7 @@
         .is_likely_nested(handover.class, &routing.directory)
 }
 
-/// Runs a request at the endpoint once it has a slot.
+/// Waits for a slot and runs a request at the endpoint.
 async fn run(
     shared: &Arc<Shared>,
     handover: &Handover,
@@ -146,7 +146,7 @@
     arrived: Timestamp,
     outgoing: &mut Outgoing,
     progress: &Progress,
-) -> Ran {
+) -> RunOutcome {
     let deadline = arrived + handover.remaining;
     let until = deadline.min(arrived + handover.wait);
     let admitted = shared
@@ -158,14 +158,14 @@
         Err(refusal) => return refused(shared, handover, outgoing, refusal).into(),
     };
     let Some(id) = shared.settings.dialect.id(&outgoing.headers).cloned() else {
-        return Dispatched::Without(AttemptResult::Leaving).into();
+        return DispatchOutcome::Unanswered(AttemptResult::Leaving).into();
     };
-    // After the wait for a slot, in which the content may have been quarantined.
+    // Checked after the wait for a slot, during which the content may have been quarantined.
     if is_quarantined(shared, &id, handover.content) {
-        return Dispatched::Without(AttemptResult::Quarantined).into();
+        return DispatchOutcome::Unanswered(AttemptResult::Quarantined).into();
     }
-    if shared.clock.left_until(deadline) < LEAST_TIME_TO_SEND {
-        return Dispatched::Without(AttemptResult::Full).into();
+    if shared.clock.left_until(deadline) < MIN_REMAINING {
+        return DispatchOutcome::Unanswered(AttemptResult::Full).into();
     }
     let run = AdmittedRun {
         shared,
@@ -175,7 +175,7 @@
     };
     match run.send(&mut permit, outgoing, progress).await {
         Ok(received) => run.read(permit, received).await,
-        Err(result) => Dispatched::Without(result).into(),
+        Err(result) => DispatchOutcome::Unanswered(result).into(),
     }
 }
 
@@ -188,7 +188,10 @@
 }
 
 impl AdmittedRun<'_> {
-    /// Sends the request to the endpoint; the result of the attempt if no answer comes.
+    /// Sends the request to the endpoint.
+    ///
+    /// # Errors
+    /// The result of the attempt if no answer comes.
     async fn send(
         &self,
         permit: &mut Permit,
@@ -199,119 +202,121 @@
             shared, handover, ..
         } = self;
         let pool = shared.endpoint_pools.get(permit.address);
-        permit.sent();
-        progress.enters(Stage::Sent);
+        permit.mark_sent();
+        progress.set_stage(Stage::Sent);
         if handover.retried_share > 0.0 {
             shared.metrics.retried_runs.inc();
         }
         let sent = tokio::select! {
             biased;
-            sent = exchange::send(&pool, outgoing, |headers| self.address(headers)) => sent,
-            // Where the earlier start fell silent, its connections stay open and nothing will come on them.
-            () = shared.local.until_started_again(&handover.endpoint) => Err(NoAnswer::Lost),
+            sent = exchange::send(&pool, outgoing, |headers| self.set_headers(headers)) => sent,
+            // Connections to an earlier incarnation that fell silent may stay open without ever carrying an answer.
+            () = shared.local.until_later_start(&handover.endpoint) => Err(NoAnswer::Lost),
         };
         sent.map_err(|error| match error {
-            NoAnswer::NotSent => self.not_reached(permit),
+            NoAnswer::NotSent => self.endpoint_unreachable(permit),
             NoAnswer::Lost => {
                 probe_for_crash(shared, &handover.endpoint, permit.address);
-                self.lost("connection")
+                self.answer_lost("connection")
             }
         })
     }
 
-    /// Addresses the request to the endpoint, with the time that is left at the moment of sending.
-    fn address(&self, headers: &mut HeaderMap) {
+    /// Sets the headers that the endpoint expects, with the remaining time as of now.
+    fn set_headers(&self, headers: &mut HeaderMap) {
         let handover = self.handover;
         let left = self.shared.clock.left_until(self.deadline);
         let caller = handover.caller.as_ref();
         let dialect = &self.shared.settings.dialect;
         let tenant = handover.tenant.as_ref();
-        dialect.address(headers, &handover.endpoint, left, caller, tenant);
+        dialect.set_headers(headers, &handover.endpoint, left, caller, tenant);
     }
 
-    /// The endpoint got nothing.
-    fn not_reached(&self, permit: &mut Permit) -> AttemptResult {
-        permit.not_sent();
+    /// Records that the endpoint could not be reached and got nothing.
+    fn endpoint_unreachable(&self, permit: &mut Permit) -> AttemptResult {
+        permit.mark_not_sent();
         let shared = self.shared;
-        shared.local.was_unreachable(shared.clock.now());
-        slog::info!(shared.log, "endpoint not reached"; "id" => text(&self.id),
+        shared.local.record_unreachable(shared.clock.now());
+        slog::info!(shared.log, "endpoint not reached"; "id" => id_text(&self.id),
             "endpoint" => %self.handover.endpoint, "address" => %permit.address);
         AttemptResult::Unreachable
     }
 
-    /// Reads the endpoint's answer, which says whether it ran the request.
-    async fn read(&self, mut permit: Permit, received: Received) -> Ran {
-        let short_downstream = permit.answered(received.head.status.is_server_error());
+    /// Reads the endpoint's answer, which tells whether it ran the request.
+    async fn read(&self, mut permit: Permit, received: Received) -> RunOutcome {
+        let short_downstream = permit.mark_answered(received.head.status.is_server_error());
         let head = &received.head;
         let dialect = &self.shared.settings.dialect;
         let dispatched = match dialect.kind(head.status, &head.headers, &self.id) {
             AnswerKind::Ran => match received.read(Some(permit)).await {
                 Ok(answer) => {
-                    self.note_ended_well(&answer);
-                    Dispatched::Answered(Box::new(answer))
+                    self.record_success(&answer);
+                    DispatchOutcome::Answered(Box::new(answer))
                 }
-                Err(_) => Dispatched::Without(self.lost("body")),
+                Err(_) => DispatchOutcome::Unanswered(self.answer_lost("body")),
             },
             AnswerKind::NotRun => {
-                slog::info!(self.shared.log, "endpoint refused"; "id" => text(&self.id),
+                slog::info!(self.shared.log, "endpoint refused"; "id" => id_text(&self.id),
                     "endpoint" => %self.handover.endpoint, "status" => head.status.as_u16());
-                // Read to its end, so that the connection can be kept.
+                // Read to its end, so that the connection can be reused.
                 let _ = received.read(None).await;
-                Dispatched::Without(AttemptResult::Rejected)
+                DispatchOutcome::Unanswered(AttemptResult::Rejected)
             }
-            AnswerKind::OtherEndpoint => Dispatched::Without(self.replaced(&permit)),
-            AnswerKind::Foreign => Dispatched::Without(self.lost("foreign")),
+            AnswerKind::OtherEndpoint => {
+                DispatchOutcome::Unanswered(self.endpoint_replaced(&permit))
+            }
+            AnswerKind::Foreign => DispatchOutcome::Unanswered(self.answer_lost("foreign")),
         };
-        Ran {
+        RunOutcome {
             dispatched,
             short_downstream,
         }
     }
 
-    /// Another endpoint has the address.
-    fn replaced(&self, permit: &Permit) -> AttemptResult {
-        slog::info!(self.shared.log, "endpoint was replaced"; "id" => text(&self.id),
+    /// Records that another endpoint answers at the address.
+    fn endpoint_replaced(&self, permit: &Permit) -> AttemptResult {
+        slog::info!(self.shared.log, "endpoint was replaced"; "id" => id_text(&self.id),
             "endpoint" => %self.handover.endpoint, "address" => %permit.address);
-        self.shared.local.was_replaced(&self.handover.endpoint);
+        self.shared.local.record_replaced(&self.handover.endpoint);
         AttemptResult::OtherEndpoint
     }
 
-    /// The endpoint may have run the request; `what` broke.
-    fn lost(&self, what: &'static str) -> AttemptResult {
+    /// Records an answer that is lost because of `broken`; the endpoint may have run the request.
+    fn answer_lost(&self, broken: &'static str) -> AttemptResult {
         let (shared, handover) = (self.shared, self.handover);
-        shared.local.note_failure(shared.clock.now());
-        slog::info!(shared.log, "answer lost"; "id" => text(&self.id),
-            "endpoint" => %handover.endpoint, "broken" => what,
+        shared.local.record_failure(shared.clock.now());
+        slog::info!(shared.log, "answer lost"; "id" => id_text(&self.id),
+            "endpoint" => %handover.endpoint, "broken" => broken,
             "content" => handover.content.map(|content| content.to_string()));
         AttemptResult::Lost
     }
 
-    /// An endpoint that has answered with success did not crash under the request.
-    fn note_ended_well(&self, answer: &Answer) {
+    /// Records that the endpoint answered with success, so that it did not crash on this content.
+    fn record_success(&self, answer: &Answer) {
         let content = self.handover.content;
         let Some(content) = content.filter(|_| answer.status().is_success()) else {
             return;
         };
         let now = self.shared.clock.now();
-        let is_to_be_reported = self.shared.quarantine().ended_well(now, content);
-        if is_to_be_reported {
+        let must_report = self.shared.quarantine().ended_well(now, content);
+        if must_report {
             self.shared.reporter.succeeded(vec![content]);
         }
     }
 }
 
-/// Whether a request is refused since endpoints crash under its content; logs and counts it then.
+/// Whether a request is refused because its content is quarantined; logs and counts a refusal.
 pub fn is_quarantined(shared: &Shared, id: &HeaderValue, content: Option<ContentDigest>) -> bool {
     let quarantine = shared.quarantine();
-    let known = content.and_then(|content| quarantine.quarantine_of(content));
+    let entry = content.and_then(|content| quarantine.quarantine_of(content));
     let revision = quarantine.revision();
     drop(quarantine);
-    let Some(known) = known else {
+    let Some(entry) = entry else {
         return false;
     };
     shared.metrics.quarantined.inc();
-    slog::info!(shared.log, "quarantined"; "id" => text(id), "content" => %known.content,
-        "ends" => known.crashes, "revision" => revision);
+    slog::info!(shared.log, "quarantined"; "id" => id_text(id), "content" => %entry.content,
+        "ends" => entry.crashes, "revision" => revision);
     true
 }
 
@@ -320,7 +325,7 @@
     handover: &Handover,
     outgoing: &Outgoing,
     refusal: Refusal,
-) -> Dispatched {
+) -> DispatchOutcome {
     let result = match refusal {
         Refusal::Full => AttemptResult::Full,
         Refusal::Leaving => AttemptResult::Leaving,
@@ -328,14 +333,14 @@
     };
     let id = shared.settings.dialect.id(&outgoing.headers);
     let load = shared.local.load(shared.clock.now());
-    slog::info!(shared.log, "not admitted"; "id" => id.map_or("", text),
+    slog::info!(shared.log, "not admitted"; "id" => id.map_or("", id_text),
         "endpoint" => %handover.endpoint, "reason" => result.as_str(), "rank" => handover.rank,
         "busy" => load.busy, "limit" => load.limit,
         "route_limit" => shared.local.class_limit(handover.class));
-    Dispatched::Without(result)
+    DispatchOutcome::Unanswered(result)
 }
 
-/// An id for the log.
-pub fn text(id: &HeaderValue) -> &str {
+/// A request id as id_text for log lines; `?` if it is not visible ASCII.
+pub fn id_text(id: &HeaderValue) -> &str {
     id.to_str().unwrap_or("?")
 }
--- a/crates/bramblewheel-proxy/src/inbound/mod.rs
+++ b/crates/bramblewheel-proxy/src/inbound/mod.rs
@@ -1,7 +1,7 @@
-//! Requests that other daemons hand over for the endpoint beside this one.
+//! Serves requests that other daemons hand over for the endpoint beside this one.
 //!
-//! Reads the handover and the body, has [`dispatch`](dispatch::dispatch) run the request, and reports how the attempt
-//! ended with its answer. Owns the connections of other daemons. Shown by the metric `bramblewheel_inbound_total`.
+//! Reads the handover and the body, lets [`dispatch`](dispatch::dispatch) run the request, and reports the result of the
+//! attempt in the answer. Results appear in the metric `bramblewheel_inbound_total`.
 
 pub mod dispatch;
 
@@ -15,7 +15,7 @@
 use crate::wire::{AnswerReport, AttemptResult, Handover};
 use bramblewheel_types::Timestamp;
 use bytes::Bytes;
-use dispatch::{Dispatched, dispatch};
+use dispatch::{DispatchOutcome, dispatch};
 use http::request::Parts;
 use http::{Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -28,7 +28,7 @@
 }
 
 impl Inbound {
-    /// A handler over the daemon's shared parts.
+    /// Creates a handler on the daemon's shared state.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
@@ -50,31 +50,31 @@
                 return self.without_attempt(AttemptResult::Leaving);
             }
         };
-        // The daemon that sends it went away, or its caller did.
+        // The sending daemon or its caller closed the connection.
         let Ok(read) = body::read(incoming).await else {
             return self.without_attempt(AttemptResult::Unreachable);
         };
-        // The caller's daemon bounds the body.
+        // The caller's daemon has already bounded the length of the body.
         let body = OutgoingBody::new(read, usize::MAX);
         let mut outgoing = outgoing(head, body);
         let shared = &self.shared;
         if let Some(id) = shared.settings.dialect.id(&outgoing.headers) {
-            progress.note_id(id);
+            progress.set_id(id);
         }
-        progress.enters(Stage::Waiting);
+        progress.set_stage(Stage::Waiting);
         let attempted = tokio::select! {
             biased;
             attempted = dispatch(shared, &handover, arrived, &mut outgoing, progress) => attempted,
-            () = shared.stop.answers_due(shared.clock) => return self.without_attempt(at_the_end(progress)),
+            () = shared.stop.answers_due(shared.clock) => return self.without_attempt(result_at_stop(progress)),
         };
         shared.metrics.inbound(attempted.dispatched.result());
         match attempted.dispatched {
-            Dispatched::Answered(answer) => pass_on(*answer, &attempted.report),
-            Dispatched::Without(result) => without_answer(result, &attempted.report),
+            DispatchOutcome::Answered(answer) => answered(*answer, &attempted.report),
+            DispatchOutcome::Unanswered(result) => without_answer(result, &attempted.report),
         }
     }
 
-    /// An answer to a request that is not passed to the endpoint.
+    /// Answers a request that is not passed on to the endpoint.
     fn without_attempt(&self, result: AttemptResult) -> Response<AnswerBody> {
         let load = self.shared.local.load(self.shared.clock.now());
         let report = AnswerReport {
@@ -85,13 +85,13 @@
     }
 }
 
-/// Whether another daemon only wants to know whether this one answers.
+/// Whether a request is a liveness probe of another daemon.
 fn is_probe(head: &Parts) -> bool {
     let is_handed_over = Handover::is_on(&head.headers);
     head.uri.path() == PROBE_PATH && head.method == Method::GET && !is_handed_over
 }
 
-/// The request as it goes on: without what concerns one connection.
+/// Builds the request to be sent on, without hop-by-hop headers.
 fn outgoing(mut head: Parts, body: OutgoingBody) -> Outgoing {
     fields::keep_end_to_end(&mut head.headers);
     Outgoing {
@@ -102,15 +102,15 @@
     }
 }
 
-/// How an attempt ends that the daemon can't wait for.
-fn at_the_end(progress: &Progress) -> AttemptResult {
+/// Result of an attempt that the daemon can't wait for because it is stopping.
+fn result_at_stop(progress: &Progress) -> AttemptResult {
     match progress.stage() {
         Stage::Reading | Stage::Waiting => AttemptResult::Leaving,
         Stage::Sent | Stage::Answering => AttemptResult::Lost,
     }
 }
 
-fn pass_on(answer: Answer, report: &AnswerReport) -> Response<AnswerBody> {
+fn answered(answer: Answer, report: &AnswerReport) -> Response<AnswerBody> {
     let mut response = answer.into_response();
     report.write(AttemptResult::Answered, response.headers_mut());
     response
@@ -131,7 +131,7 @@
         let arrived = self.shared.clock.now();
         let open = self.shared.in_progress.begin(Sender::Daemon, arrived);
         let mut response = self.answer(request, arrived, open.progress()).await;
-        open.progress().enters(Stage::Answering);
+        open.progress().set_stage(Stage::Answering);
         response.body_mut().guard(open);
         response
     }
--- a/crates/bramblewheel-proxy/src/local/crash_probe.rs
+++ b/crates/bramblewheel-proxy/src/local/crash_probe.rs
@@ -14,8 +14,7 @@
 /// Time in which all broken connections of one process are noticed, also where the daemon has a part
 /// of a core. Logs show 10 ms; ten times as much is chosen.
 const NOTICED_WITHIN: Duration = Duration::from_millis(100);
-/// Least time between two probes, so that an endpoint that resets many connections is not probed for each. Chosen, not
-/// measured.
+/// Least time between two probes, so that an endpoint that resets many connections is not probed for each.
 const PROBE_PERIOD: Duration = Duration::from_millis(100);
 
 /// A connection to the endpoint broke under a request: finds out whether the endpoint has crashed, unless
--- a/crates/bramblewheel-proxy/src/local/mod.rs
+++ b/crates/bramblewheel-proxy/src/local/mod.rs
@@ -197,7 +197,7 @@
     }
 
     /// Ends with the first heartbeat of a later incarnation of this endpoint: what runs at the earlier one is lost.
-    pub async fn until_started_again(&self, endpoint: &EndpointId) {
+    pub async fn until_later_start(&self, endpoint: &EndpointId) {
         let mut newest = self.lock().newest.subscribe();
         let is_later = |newest: &Option<EndpointId>| {
             let newest = newest.as_ref();
@@ -208,7 +208,7 @@
     }
 
     /// Another endpoint answered at the address: the one that was there is gone.
-    pub fn was_replaced(&self, endpoint: &EndpointId) {
+    pub fn record_replaced(&self, endpoint: &EndpointId) {
         let mut state = self.lock();
         let is_current = |current: &mut Current| current.record.endpoint == *endpoint;
         if state.current.take_if(is_current).is_some() {
@@ -217,7 +217,7 @@
     }
 
     /// The endpoint could not be reached.
-    pub fn was_unreachable(&self, now: Timestamp) {
+    pub fn record_unreachable(&self, now: Timestamp) {
         if let Some(current) = &mut self.lock().current {
             current.unreachable_until = now + UNREACHABLE_PAUSE;
         }
@@ -285,7 +285,7 @@
     }
 
     /// Counts a request that the endpoint has failed without an answer.
-    pub fn note_failure(&self, now: Timestamp) {
+    pub fn record_failure(&self, now: Timestamp) {
         self.lock().note_outcome(now, true);
     }
 
@@ -344,7 +344,7 @@
     }
 
     /// Notes that a call of the endpoint found no capacity at this service.
-    pub fn note_call_without_capacity(&self, now: Timestamp, service: ServiceName) {
+    pub fn record_call_without_capacity(&self, now: Timestamp, service: ServiceName) {
         self.lock().call_without_capacity = Some(CallWithoutCapacity { at: now, service });
     }
 }
--- a/crates/bramblewheel-proxy/src/local/permit.rs
+++ b/crates/bramblewheel-proxy/src/local/permit.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time within which an endpoint answers with an error once a call that it needs has failed. Chosen, not measured.
+/// Time within which an endpoint answers with an error once a call that it needs has failed.
 const FAILS_WITHIN: Duration = Duration::from_millis(15);
 
 /// A slot at the endpoint; given back when dropped.
@@ -44,19 +44,19 @@
 }
 
 impl Permit {
-    /// The request is on its way to the endpoint: from now on it may run.
-    pub fn sent(&mut self) {
+    /// Records that the request is being sent to the endpoint; from now on it may run.
+    pub fn mark_sent(&mut self) {
         self.is_sent = true;
     }
 
-    /// The endpoint could not be reached: it got nothing.
-    pub fn not_sent(&mut self) {
+    /// Records that the endpoint could not be reached and got nothing.
+    pub fn mark_not_sent(&mut self) {
         self.is_sent = false;
     }
 
-    /// The endpoint's answer has come. If it failed the request right after a call of its own had found
-    /// no capacity, returns the service that had none.
-    pub fn answered(&mut self, has_failed: bool) -> Option<ServiceName> {
+    /// Records the endpoint's answer. If the endpoint failed the request right after one of its calls found no
+    /// capacity, returns the service without capacity.
+    pub fn mark_answered(&mut self, has_failed: bool) -> Option<ServiceName> {
         let now = self.clock.now();
         let time = now.since(self.begun);
         let mut state = self.local.lock();
--- a/crates/bramblewheel-proxy/src/local/state.rs
+++ b/crates/bramblewheel-proxy/src/local/state.rs
@@ -20,16 +20,14 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// Incarnations of which the last sequence number and the final state are kept, so that memory is bounded. Chosen, not
-/// measured.
+/// Incarnations of which the last sequence number and the final state are kept, so that memory is bounded.
 const MAX_REMEMBERED: usize = 256;
-/// Weight of the newest outcome in the share of failures. Chosen, not measured.
+/// Weight of the newest outcome in the share of failures.
 const FAILURE_SMOOTHING: f64 = 0.05;
 /// Silence of the current incarnation after which a heartbeat of an earlier one is taken for what it says: two and
 /// a half periods of heartbeats. One that was delayed on its way comes while the current one sends heartbeats.
-/// Chosen, not measured.
 const SUCCESSOR_SILENCE: Duration = Duration::from_secs(4);
-/// Classes with a limit, so that memory is bounded. Chosen, not measured.
+/// Classes with a limit, so that memory is bounded.
 const MAX_CLASSES: usize = 512;
 
 /// The endpoint whose heartbeat was taken last.
--- a/crates/bramblewheel-proxy/src/metrics.rs
+++ b/crates/bramblewheel-proxy/src/metrics.rs
@@ -22,11 +22,11 @@
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
 
-/// Upper ends of the buckets of answer times, in seconds; chosen, not measured.
+/// Upper ends of the buckets of answer times, in seconds.
 const BUCKETS: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4];
-/// Routes with labels of their own; the others share one. Chosen, not measured.
+/// Routes with labels of their own; the others share one.
 const MAX_ROUTES: usize = 64;
-/// Services with labels of their own; the others share one. Chosen, not measured.
+/// Services with labels of their own; the others share one.
 const MAX_SERVICES: usize = 64;
 /// Label of the routes and services beyond that.
 const OTHERS: &str = "other";
--- a/crates/bramblewheel-proxy/src/outbound/access.rs
+++ b/crates/bramblewheel-proxy/src/outbound/access.rs
@@ -1,11 +1,11 @@
-//! Who a request comes from, and whether it may be served: the key, the lease on the table, the quota.
+//! Authorization of requests: the tenant's key, the lease on the route table, the quota.
 //!
-//! The rules stand in [`bramblewheel_decisions::tenants`], [`bramblewheel_decisions::table_lease`] and
-//! [`bramblewheel_decisions::tenant_quota`]; the state is that of the daemon ([`Shared::tenant_access`]). Owns nothing.
-//! Shown by the metrics `bramblewheel_unauthorized_total`, `bramblewheel_over_quota_total` and
-//! `bramblewheel_without_lease_total`, and by the log lines `unauthorized`, `over quota` and `request refused`.
+//! The rules are in [`bramblewheel_decisions::tenants`], [`bramblewheel_decisions::table_lease`] and
+//! [`bramblewheel_decisions::tenant_quota`]; the state is in [`Shared::tenant_access`]. Refusals appear in the metrics
+//! `bramblewheel_unauthorized_total`, `bramblewheel_over_quota_total` and `bramblewheel_without_lease_total`, and in the
+//! log lines `unauthorized`, `over quota` and `request refused`.
 
-use crate::inbound::dispatch::text;
+use crate::inbound::dispatch::id_text;
 use crate::outbound::reply::Reply;
 use crate::shared::Shared;
 use bramblewheel_decisions::credential::key_in;
@@ -19,18 +19,18 @@
 use std::fmt::Display;
 use std::sync::Arc;
 
-/// A table and whether its tenants may be gone by. The lease is read first: a table that comes in
-/// between is newer than the one that the lease is for, never older.
+/// The route table in force and whether its tenants may be relied on. The lease is read before the table, so that the
+/// table is the one that the lease covers or a newer one, never an older one.
 pub(super) struct TableInUse {
     /// Whether the lease on the table was valid.
     pub(super) has_lease: bool,
-    /// The table; none before the first was confirmed.
+    /// The table; `None` before the first one is in force.
     pub(super) router: Option<Arc<Router>>,
 }
 
 impl TableInUse {
-    /// The table in force.
-    pub(super) fn now(shared: &Shared) -> Self {
+    /// Reads the lease and the table in force.
+    pub(super) fn load(shared: &Shared) -> Self {
         let has_lease = shared.tenant_access().lease.is_valid(shared.clock.now());
         Self {
             has_lease,
@@ -39,19 +39,19 @@
     }
 }
 
-/// A request that was admitted for a tenant.
+/// Tenant of an admitted request and its quota charge.
 pub(super) struct TenantRequest {
     pub(super) tenant: Arc<ActiveTenant>,
-    /// What is charged to the tenant's quota, and refunded if the request has not run; none without a quota.
+    /// Charge to the tenant's quota, refunded if the request does not run; `None` without a quota.
     pub(super) charge: Option<QuotaCharge>,
 }
 
-/// The tenant that a request comes from; none where the table has no tenants, and for requests without
-/// a known key on routes that need none. Draws a number where the tenant has a quota.
+/// Authorizes a request and returns its tenant: `None` if the table has no tenants, or for a request without a known
+/// key on a public route. Uses the random source if the tenant has a quota.
 ///
 /// # Errors
-/// What the caller is answered that may not be served; logged and counted.
-pub(super) fn tenant_of(
+/// The reply to a caller that may not be served; the refusal is logged and counted.
+pub(super) fn authorize(
     shared: &Shared,
     router: &Router,
     has_lease: bool,
@@ -92,7 +92,7 @@
         return Ok(None);
     }
     shared.metrics.without_lease.inc();
-    slog::info!(shared.log, "request refused"; "id" => text(id), "route" => &route.name,
+    slog::info!(shared.log, "request refused"; "id" => id_text(id), "route" => &route.name,
         "reason" => "the lease on the table is over", "table" => router.version().0);
     Err(Reply::Refusal(RefusalReason::NoLease))
 }
@@ -105,7 +105,7 @@
     reason: &dyn Display,
 ) -> Reply {
     shared.metrics.unauthorized.inc();
-    slog::info!(shared.log, "unauthorized"; "id" => text(id), "route" => &route.name,
+    slog::info!(shared.log, "unauthorized"; "id" => id_text(id), "route" => &route.name,
         "reason" => %reason, "table" => router.version().0);
     Reply::Unauthorized
 }
@@ -123,10 +123,10 @@
             charge: None,
         });
     };
-    let chance = shared.routing().random.random_range(0.0..1.0);
+    let random_value = shared.routing().random.random_range(0.0..1.0);
     let now = shared.clock.now();
     let quotas = &mut shared.tenant_access().quotas;
-    let decision = quotas.decide(now, tenant.number, quota, chance);
+    let decision = quotas.decide(now, tenant.number, quota, random_value);
     let OverQuota {
         part,
         admitted,
@@ -141,7 +141,7 @@
         QuotaDecision::Over(over) => over,
     };
     shared.metrics.over_quota.inc();
-    slog::info!(shared.log, "over quota"; "id" => text(id), "route" => &route.name,
+    slog::info!(shared.log, "over quota"; "id" => id_text(id), "route" => &route.name,
         "tenant" => %tenant.name, "rate" => quota.rate, "burst" => quota.burst,
         "part" => format_args!("{part:.2}"), "let_in" => admitted,
         "sums_age_ms" => Millis::of(age).0,
--- a/crates/bramblewheel-proxy/src/outbound/arrival.rs
+++ b/crates/bramblewheel-proxy/src/outbound/arrival.rs
@@ -1,14 +1,14 @@
-//! A request from its caller up to its admission: its id, its route, its tenant, its body.
+//! Reads a caller's request and admits it: its id, route, tenant and body.
 //!
-//! Each step may end with a reply; nothing has run then. Relies on the route table in force, on `access` for keys and
-//! quotas, and on the planned stop, which bounds the wait for a body. Owns nothing.
+//! Each step may end with a reply, in which case nothing has run. `access` checks keys and quotas; a planned stop bounds
+//! the wait for the body.
 
 use crate::http::body;
 use crate::http::exchange::{Outgoing, OutgoingBody};
 use crate::http::fields;
 use crate::in_progress::Progress;
-use crate::inbound::dispatch::text;
-use crate::outbound::access::{TableInUse, TenantRequest, tenant_of};
+use crate::inbound::dispatch::id_text;
+use crate::outbound::access::{TableInUse, TenantRequest, authorize};
 use crate::outbound::caller_request::NewCallerRequest;
 use crate::outbound::reply::Reply;
 use crate::shared::Shared;
@@ -25,10 +25,10 @@
 use hyper::body::{Body, Incoming};
 use std::sync::Arc;
 
-/// Reads a request that has come from its caller, and admits it.
+/// Reads and admits a request.
 ///
 /// # Errors
-/// What its caller is answered if it can't be served; nothing has run.
+/// The reply to the caller if the request can't be served; nothing has run.
 pub(super) async fn read(
     shared: &Arc<Shared>,
     request: Request<Incoming>,
@@ -40,27 +40,27 @@
     let Some(id) = dialect.id(&head.headers).cloned() else {
         return Err(Reply::Status(StatusCode::BAD_REQUEST));
     };
-    progress.note_id(&id);
-    let TableInUse { has_lease, router } = TableInUse::now(shared);
+    progress.set_id(&id);
+    let TableInUse { has_lease, router } = TableInUse::load(shared);
     let router = router.ok_or_else(|| without_configuration(shared, &id))?;
     let host = host_of(&head);
     let route = find_route(shared, &router, &id, &host, &head)?;
-    let from = tenant_of(shared, &router, has_lease, &route.route, &id, &head.headers)?;
+    let tenant_request = authorize(shared, &router, has_lease, &route.route, &id, &head.headers)?;
     let has_tenants = router.tenants().has_tenants();
     if has_tenants {
         head.headers.remove(AUTHORIZATION);
     }
-    // Calls of endpoints carry no key, and all others do.
-    let is_nested_by_table = has_tenants && route.route.is_public && from.is_none();
+    // On public routes, calls made by endpoints carry no key; other requests do.
+    let is_nested_by_table = has_tenants && route.route.is_public && tenant_request.is_none();
     let remaining = dialect.remaining(&head.headers);
     let body = read_body(shared, &id, incoming, router.longest_body()).await?;
-    let content = content_of(&head, &host, from.as_ref(), &body);
+    let content = content_of(&head, &host, tenant_request.as_ref(), &body);
     let request = NewCallerRequest {
         id,
         content,
         route,
         table: router.version(),
-        from,
+        tenant_request,
         is_nested_by_table,
         arrived,
         remaining,
@@ -70,7 +70,7 @@
 }
 
 fn without_configuration(shared: &Shared, id: &HeaderValue) -> Reply {
-    slog::info!(shared.log, "request refused"; "id" => text(id),
+    slog::info!(shared.log, "request refused"; "id" => id_text(id),
         "reason" => "no configuration is known yet");
     let since_start = shared.clock.now().since(Timestamp::ZERO);
     Reply::Refusal(RefusalReason::NoConfiguration { since_start })
@@ -85,41 +85,41 @@
 ) -> Result<Arc<ActiveRoute>, Reply> {
     let path = head.uri.path();
     let Some(route) = router.find(host, path) else {
-        slog::info!(shared.log, "no route"; "id" => text(id), "host" => host,
+        slog::info!(shared.log, "no route"; "id" => id_text(id), "host" => host,
             "path" => path, "table" => router.version().0);
         return Err(Reply::Status(StatusCode::NOT_FOUND));
     };
     Ok(Arc::clone(route))
 }
 
-/// Reads a body of at most `longest` bytes: whole, or its beginning where it is too long to be kept.
+/// Reads a body of at most `max_bytes` bytes: whole, or only its beginning if it is too long to be buffered.
 async fn read_body(
     shared: &Shared,
     id: &HeaderValue,
     incoming: Incoming,
-    longest: usize,
+    max_bytes: usize,
 ) -> Result<OutgoingBody, Reply> {
-    if incoming.size_hint().lower() > longest as u64 {
-        slog::info!(shared.log, "request refused"; "id" => text(id),
-            "reason" => "its body is too long", "longest" => longest);
+    if incoming.size_hint().lower() > max_bytes as u64 {
+        slog::info!(shared.log, "request refused"; "id" => id_text(id),
+            "reason" => "its body is too long", "longest" => max_bytes);
         return Err(Reply::Status(StatusCode::PAYLOAD_TOO_LARGE));
     }
     let read = tokio::select! {
         biased;
         read = body::read(incoming) => read,
         () = shared.stop.answers_due(shared.clock) => {
-            slog::info!(shared.log, "request refused"; "id" => text(id),
+            slog::info!(shared.log, "request refused"; "id" => id_text(id),
                 "reason" => "the daemon stops before its body is there");
             return Err(Reply::Refusal(RefusalReason::Stopping));
         }
     };
     match read {
-        Ok(read) => Ok(OutgoingBody::new(read, longest)),
+        Ok(read) => Ok(OutgoingBody::new(read, max_bytes)),
         Err(_) => Err(Reply::Status(StatusCode::BAD_REQUEST)),
     }
 }
 
-/// The request as it goes on: without what concerns one connection or only this layer.
+/// Builds the request to be sent on, without hop-by-hop headers and headers of this layer.
 fn outgoing(shared: &Shared, head: Parts, body: OutgoingBody) -> Outgoing {
     let mut headers = head.headers;
     fields::keep_end_to_end(&mut headers);
@@ -136,12 +136,12 @@
 fn content_of(
     head: &Parts,
     host: &str,
-    from: Option<&TenantRequest>,
+    tenant_request: Option<&TenantRequest>,
     body: &OutgoingBody,
 ) -> ContentDigest {
     let target = head.uri.path_and_query();
     let content = RequestContent {
-        tenant: from.map_or("", |from| from.tenant.name.as_str()),
+        tenant: tenant_request.map_or("", |tenant_request| tenant_request.tenant.name.as_str()),
         method: head.method.as_str(),
         host,
         target: target.map_or("", PathAndQuery::as_str),
@@ -151,7 +151,7 @@
 }
 
 fn host_of(head: &Parts) -> String {
-    let named = head.headers.get(HOST).and_then(|value| value.to_str().ok());
-    let host = named.or_else(|| head.uri.host());
+    let stated = head.headers.get(HOST).and_then(|value| value.to_str().ok());
+    let host = stated.or_else(|| head.uri.host());
     host.unwrap_or_default().to_owned()
 }
--- a/crates/bramblewheel-proxy/src/outbound/attempt.rs
+++ b/crates/bramblewheel-proxy/src/outbound/attempt.rs
@@ -1,11 +1,11 @@
-//! One attempt of a caller request: what is handed over with it, and what its end says.
+//! One attempt of a caller request: builds the handover, sends it and records the result.
 //!
-//! Relies on `hand_over` for the way to the daemon beside the endpoint. What that daemon reports goes to the directory,
-//! the bound on retries and the likely nested classes, all under one lock.
+//! `hand_over` sends the request to the daemon beside the endpoint. That daemon's report updates the directory, the
+//! bound on retries and the likely nested classes under one lock.
 
 use crate::http::exchange::Outgoing;
 use crate::in_progress::Stage;
-use crate::inbound::dispatch::{Attempted, Dispatched, text};
+use crate::inbound::dispatch::{AttemptOutcome, DispatchOutcome, id_text};
 use crate::outbound::attempts::Attempts;
 use crate::outbound::caller_request::CallerRequest;
 use crate::outbound::hand_over::hand_over;
@@ -18,27 +18,27 @@
 use std::sync::atomic::Ordering;
 
 impl CallerRequest<'_> {
-    /// Hands the request to the daemon beside the chosen endpoint, by the request's deadline at the latest.
+    /// Hands the request over to the daemon beside the chosen endpoint, bounded by the attempt's deadline.
     pub(super) async fn attempt(
         &self,
         choice: &Choice,
         outgoing: &mut Outgoing,
         attempts: &Attempts,
-    ) -> Dispatched {
+    ) -> DispatchOutcome {
         let route = &self.route.route;
-        let begun = self.shared.clock.now();
+        let started_at = self.shared.clock.now();
         let deadline = self.attempt_deadline();
-        let handover = self.handover(choice, begun, deadline, attempts);
+        let handover = self.handover(choice, started_at, deadline, attempts);
         let mut open = OpenAttempt {
             shared: self.shared,
             endpoint: &choice.endpoint,
             route: &route.name,
-            begun,
-            is_over: false,
+            started_at,
+            has_ended: false,
         };
-        let had_may_run = self.may_have_run.swap(true, Ordering::Relaxed);
+        let may_have_run_before = self.may_have_run.swap(true, Ordering::Relaxed);
         let is_repeatable = route.is_repeatable && outgoing.body.is_whole();
-        let attempting = hand_over(
+        let sending = hand_over(
             self.shared,
             choice,
             &handover,
@@ -47,32 +47,32 @@
             outgoing,
             &self.progress,
         );
-        let attempted = attempting.await;
-        self.progress.enters(Stage::Waiting);
-        let Attempted { dispatched, report } = attempted;
-        open.is_over = true;
+        let attempted = sending.await;
+        self.progress.set_stage(Stage::Waiting);
+        let AttemptOutcome { dispatched, report } = attempted;
+        open.has_ended = true;
         let result = dispatched.result();
-        if !had_may_run && result.is_proved_not_run() {
+        if !may_have_run_before && result.is_proved_not_run() {
             self.may_have_run.store(false, Ordering::Relaxed);
         }
         self.shared.metrics.attempt(result);
-        let time = self.shared.clock.since(begun);
+        let time = self.shared.clock.since(started_at);
         let end = result.end_for_directory(dispatched.has_failed(), time);
-        self.note_report(choice, end, &report);
+        self.record_report(choice, end, &report);
         *lock(&self.last_report) = report;
         dispatched
     }
 
-    /// What is handed over with an attempt that begins now.
+    /// Builds the handover of an attempt that starts now.
     fn handover(
         &self,
         choice: &Choice,
-        begun: Timestamp,
+        started_at: Timestamp,
         deadline: Timestamp,
         attempts: &Attempts,
     ) -> Handover {
         let route = &self.route.route;
-        let remaining = deadline.since(begun);
+        let remaining = deadline.since(started_at);
         let longest_wait = self.longest_wait_now(route.objective, remaining);
         Handover {
             endpoint: choice.endpoint.clone(),
@@ -82,16 +82,19 @@
             objective: route.objective.min(route.timeout),
             remaining,
             wait: longest_wait.saturating_sub(attempts.waited),
-            caller: self.caller(),
+            caller: self.caller_service(),
             is_likely_nested: self.is_likely_nested,
-            tenant: self.from.as_ref().map(|from| from.tenant.header.clone()),
+            tenant: self
+                .tenant_request
+                .as_ref()
+                .map(|tenant_request| tenant_request.tenant.header.clone()),
             content: Some(self.content),
             retried_share: attempts.counts.retried_share(self.retried_share),
         }
     }
 
-    /// Notes how an attempt ended and what the daemon beside the endpoint reported.
-    fn note_report(&self, choice: &Choice, end: AttemptEnd, report: &AnswerReport) {
+    /// Records how an attempt ended and what the daemon beside the endpoint reported.
+    fn record_report(&self, choice: &Choice, end: AttemptEnd, report: &AnswerReport) {
         let route = &self.route.route.name;
         let now = self.shared.clock.now();
         let mut routing = self.shared.routing();
@@ -102,17 +105,17 @@
             let bound = &mut routing.retry_bound;
             bound.note_used_downstream(now, self.class, self.is_likely_nested, used);
         }
-        let is_new = routing.note_nested(self.class, report);
+        let is_new = routing.record_nested(self.class, report);
         drop(routing);
         if is_new {
             slog::info!(self.shared.log, "callers of route"; "route" => route,
-                "is_nested" => report.is_likely_nested, "told_by" => %choice.daemon, "last" => text(&self.id));
+                "is_nested" => report.is_likely_nested, "told_by" => %choice.daemon, "last" => id_text(&self.id));
         }
     }
 
-    /// Name of the service on this machine, which the request comes from: the settings say it. A heartbeat may be delayed
-    /// or sent by another program, so that it never names the caller.
-    pub(super) fn caller(&self) -> Option<HeaderValue> {
+    /// Name of the service on this machine, which is the caller of the request. It is taken from the settings and never
+    /// from a heartbeat, which may be delayed or sent by another program.
+    pub(super) fn caller_service(&self) -> Option<HeaderValue> {
         let identity = self.shared.local.identity();
         let service = identity.service.as_ref()?;
         let name = HeaderValue::try_from(service.as_str());
--- a/crates/bramblewheel-proxy/src/outbound/attempts.rs
+++ b/crates/bramblewheel-proxy/src/outbound/attempts.rs
@@ -1,11 +1,10 @@
-//! The attempts of a caller request, one after the other, until one succeeds or no other is allowed.
+//! Runs the attempts of a caller request in sequence until one succeeds or no further attempt is allowed.
 //!
-//! Owns what is known of the attempts of one request. Relies on the directory for the choice of an endpoint, on
-//! [`attempt`](CallerRequest::attempt) for each attempt and on [`after_failure`](CallerRequest::after_failure) for what
-//! becomes of the request after one without a success.
+//! The directory chooses the endpoint, [`attempt`](CallerRequest::attempt) runs each attempt, and
+//! [`after_failure`](CallerRequest::after_failure) decides what follows an unsuccessful one.
 
 use crate::http::exchange::{Answer, Outgoing};
-use crate::inbound::dispatch::{Dispatched, is_quarantined, text};
+use crate::inbound::dispatch::{DispatchOutcome, id_text, is_quarantined};
 use crate::outbound::caller_request::CallerRequest;
 use crate::outbound::outcome::{EndReason, RequestOutcome};
 use bramblewheel_decisions::attempt_result::AttemptResult;
@@ -18,29 +17,29 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Attempts of one caller request so far.
+/// State of the attempts of one caller request.
 #[derive(Default)]
 pub(super) struct Attempts {
-    /// Endpoints that were chosen, each once.
+    /// Endpoints chosen so far, without duplicates.
     tried: Vec<EndpointId>,
-    /// Those that have rejected the request, each once.
+    /// Endpoints that have rejected the request, without duplicates.
     rejected_by: Vec<EndpointId>,
-    /// Attempts without a success.
+    /// Unsuccessful attempts.
     pub(super) counts: AttemptCounts,
-    /// Time that it has waited at endpoints' daemons that had no slot in the end.
+    /// Time spent waiting at daemons that had no free slot in the end.
     pub(super) waited: Duration,
-    /// The last error with which an endpoint answered.
+    /// Last error answer of an endpoint.
     error: Option<Box<Answer>>,
 }
 
 impl Attempts {
-    fn note_chosen(&mut self, endpoint: &EndpointId) {
+    fn record_chosen(&mut self, endpoint: &EndpointId) {
         if !self.tried.contains(endpoint) {
             self.tried.push(endpoint.clone());
         }
     }
 
-    fn note_rejected(&mut self, endpoint: &EndpointId) {
+    fn record_rejected(&mut self, endpoint: &EndpointId) {
         if !self.rejected_by.contains(endpoint) {
             self.rejected_by.push(endpoint.clone());
         }
@@ -60,21 +59,21 @@
         let mut attempts = Attempts::default();
         loop {
             let Some(choice) = self.choose(&service, &attempts) else {
-                slog::info!(self.shared.log, "no endpoint"; "id" => text(&self.id),
+                slog::info!(self.shared.log, "no endpoint"; "id" => id_text(&self.id),
                     "service" => %service, "tried" => attempts.tried.len(), "table" => self.table.0);
                 return self.without_success(EndReason::GaveUp(attempts.error));
             };
-            attempts.note_chosen(&choice.endpoint);
-            let begun = self.shared.clock.now();
-            let attempting = self.attempt(&choice, outgoing, &attempts);
-            let dispatched = attempting.await;
+            attempts.record_chosen(&choice.endpoint);
+            let started_at = self.shared.clock.now();
+            let sending = self.attempt(&choice, outgoing, &attempts);
+            let dispatched = sending.await;
             let result = dispatched.result();
-            self.note_refusal(result, &choice, &service, begun, &mut attempts);
+            self.record_refusal(result, &choice, &service, started_at, &mut attempts);
             if result == AttemptResult::Quarantined && !self.may_have_run.load(Ordering::Relaxed) {
                 return RequestOutcome::Quarantined;
             }
             let has_failed = dispatched.has_failed();
-            if let Dispatched::Answered(answer) = dispatched {
+            if let DispatchOutcome::Answered(answer) = dispatched {
                 if !has_failed {
                     return RequestOutcome::Answered(answer);
                 }
@@ -82,19 +81,19 @@
             }
             attempts.counts.record(result);
             let decision = self.after_failure(&service, result, attempts.counts, outgoing);
-            let named_result = if has_failed {
+            let result_label = if has_failed {
                 "failed"
             } else {
                 result.as_str()
             };
-            self.log_failure(&service, &choice, named_result, &attempts, decision);
+            self.log_failure(&service, &choice, result_label, &attempts, decision);
             if !decision.is_again() {
                 return self.without_success(EndReason::GaveUp(attempts.error));
             }
         }
     }
 
-    /// The outcome of a request that is refused before anything is sent, if it is.
+    /// Outcome of a request that is refused before anything is sent; `None` if it is not refused.
     fn refused_before_attempts(&self) -> Option<RequestOutcome> {
         if is_quarantined(self.shared, &self.id, Some(self.content)) {
             return Some(RequestOutcome::Quarantined);
@@ -105,21 +104,21 @@
         self.is_refused_early().then(|| self.not_run())
     }
 
-    /// Notes a refusal by the endpoint or by the daemon beside it.
-    fn note_refusal(
+    /// Records a rejection by the endpoint or a lack of slots at the daemon beside it.
+    fn record_refusal(
         &self,
         result: AttemptResult,
         choice: &Choice,
         service: &ServiceName,
-        begun: Timestamp,
+        started_at: Timestamp,
         attempts: &mut Attempts,
     ) {
         if result == AttemptResult::Rejected {
-            attempts.note_rejected(&choice.endpoint);
+            attempts.record_rejected(&choice.endpoint);
         }
         if result == AttemptResult::Full {
             *lock(&self.full_service) = Some(service.clone());
-            attempts.waited += self.shared.clock.since(begun);
+            attempts.waited += self.shared.clock.since(started_at);
         }
     }
 
@@ -131,15 +130,15 @@
         attempts: &Attempts,
         decision: AfterFailure,
     ) {
-        slog::info!(self.shared.log, "attempt failed"; "id" => text(&self.id),
+        slog::info!(self.shared.log, "attempt failed"; "id" => id_text(&self.id),
             "service" => %service, "endpoint" => %choice.endpoint, "result" => result,
             "attempt" => attempts.tried.len(), "again" => decision.is_again(),
             "reason" => decision.as_str(), "content" => %self.content,
-            "caller" => self.caller().as_ref().map_or("", text),
+            "caller" => self.caller_service().as_ref().map_or("", id_text),
             "left_ms" => Millis::of(self.shared.clock.left_until(self.deadline)).0);
     }
 
-    /// Whether the bound on retries lets the request be sent at all: not always where a run makes it that was itself
+    /// Whether the bound on retries allows the first send. It may forbid it for a call made by a run that was itself
     /// retried.
     fn may_begin(&self, service: &ServiceName) -> bool {
         let now = self.shared.clock.now();
@@ -148,19 +147,22 @@
             retried_share: self.retried_share,
         };
         let mut routing = self.shared.routing();
-        let drawn = routing.random.random_range(0.0..1.0);
-        if routing.retry_bound.may_begin(now, service, send, drawn) {
+        let random_value = routing.random.random_range(0.0..1.0);
+        if routing
+            .retry_bound
+            .may_begin(now, service, send, random_value)
+        {
             return true;
         }
         drop(routing);
         self.shared.metrics.refused_call(service);
-        slog::info!(self.shared.log, "call of a repeated run refused"; "id" => text(&self.id),
+        slog::info!(self.shared.log, "call of a repeated run refused"; "id" => id_text(&self.id),
             "service" => %service, "repeated" => format_args!("{:.2}", self.retried_share));
         false
     }
 
-    /// The endpoint of the next attempt: a further one while the route allows one, else one that has rejected the
-    /// request; none if there is none.
+    /// Chooses the endpoint of the next attempt: a further one while the route allows it, otherwise one that has
+    /// rejected the request. `None` if no endpoint is available.
     fn choose(&self, service: &ServiceName, attempts: &Attempts) -> Option<Choice> {
         let max_attempts = self.route.route.max_attempts;
         let may_use_further = attempts.counts.may_use_further_endpoint(max_attempts);
@@ -184,9 +186,9 @@
         let now = self.shared.clock.now();
         let mut routing = self.shared.routing();
         let routing = &mut *routing;
-        let number = routing.random.random_range(0..rejected_by.len());
+        let index = routing.random.random_range(0..rejected_by.len());
         let route = &self.route.route.name;
         let directory = &mut routing.directory;
-        directory.choose_this(now, &rejected_by[number], route)
+        directory.choose_this(now, &rejected_by[index], route)
     }
 }
--- a/crates/bramblewheel-proxy/src/outbound/bound_watch.rs
+++ b/crates/bramblewheel-proxy/src/outbound/bound_watch.rs
@@ -1,16 +1,15 @@
-//! Shows what is used of the bound on retries: in the metrics `bramblewheel_retry_bound_used` and
-//! `bramblewheel_retry_bound_allowed`, and in the log line `retry bound` while anything is retried. Owns nothing.
+//! Exports the use of the bound on retries in the metrics `bramblewheel_retry_bound_used` and
+//! `bramblewheel_retry_bound_allowed`, and in the log line `retry bound` while anything is retried.
 
 use crate::shared::Shared;
 use bramblewheel_decisions::retry_budget::BoundUse;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two readings: a tenth of the shortest window in use, so that a breach is seen to build up. Chosen, not
-/// measured.
+/// Time between two readings: a tenth of the shortest window in use, so that the approach to the bound is visible.
 const READ_PERIOD: Duration = Duration::from_secs(1);
 
-/// Reads the bound for as long as the daemon runs; never returns.
+/// Reads the use of the bound periodically; never returns.
 pub async fn run(shared: Arc<Shared>) {
     let mut ticks = tokio::time::interval(READ_PERIOD);
     loop {
--- a/crates/bramblewheel-proxy/src/outbound/caller_request.rs
+++ b/crates/bramblewheel-proxy/src/outbound/caller_request.rs
@@ -1,11 +1,11 @@
 //! One caller request, from its admission to its outcome.
 //!
-//! Owns what is known of the request: whom it comes from, its ranks, whether it may have run. Its attempts stand in
-//! `attempts`, what its outcome says of capacity in `capacity`, what a planned stop means for it in `stopping`.
+//! Holds the state of the request: its tenant, its ranks, whether it may have run. Its attempts are in `attempts`, the
+//! effect of its outcome on the capacity estimate in `capacity`, the effect of a planned stop in `stopping`.
 
 use crate::http::exchange::Outgoing;
 use crate::in_progress::Progress;
-use crate::inbound::dispatch::text;
+use crate::inbound::dispatch::id_text;
 use crate::outbound::access::TenantRequest;
 use crate::outbound::outcome::{EndReason, RequestOutcome};
 use crate::shared::Shared;
@@ -23,64 +23,63 @@
 
 /// A request that was read from its caller and admitted.
 pub(super) struct NewCallerRequest {
-    /// Its id, as its caller sent it.
+    /// Id as sent by the caller.
     pub(super) id: HeaderValue,
-    /// What it has in common with its resends.
+    /// Digest of the content; a resent request has the same.
     pub(super) content: ContentDigest,
-    /// Its route.
     pub(super) route: Arc<ActiveRoute>,
-    /// Version of the table that the route stands in.
+    /// Version of the route table that holds the route.
     pub(super) table: TableVersion,
-    /// Whom it comes from; none without a key.
-    pub(super) from: Option<TenantRequest>,
-    /// Whether the table shows that an endpoint makes it.
+    /// Its tenant and quota charge; `None` without a key.
+    pub(super) tenant_request: Option<TenantRequest>,
+    /// Whether the route table implies that an endpoint makes the request.
     pub(super) is_nested_by_table: bool,
     /// When its head was read.
     pub(super) arrived: Timestamp,
-    /// Time that its caller waits, if it says.
+    /// How long the caller waits, if stated.
     pub(super) remaining: Option<Duration>,
-    /// How far it is.
+    /// Progress shared with the list of requests in progress.
     pub(super) progress: Arc<Progress>,
 }
 
-/// A request of a caller on the daemon's machine, from arrival to answer.
+/// A request of a caller on the daemon's machine, from admission to answer.
 pub(super) struct CallerRequest<'a> {
     pub(super) shared: &'a Arc<Shared>,
     pub(super) id: HeaderValue,
-    /// What it has in common with its resends.
+    /// Digest of the content; a resent request has the same.
     pub(super) content: ContentDigest,
     pub(super) route: Arc<ActiveRoute>,
-    /// Version of the table that the route stands in.
+    /// Version of the route table that holds the route.
     pub(super) table: TableVersion,
-    pub(super) from: Option<TenantRequest>,
-    /// Rank of the request: that of its tenant first, then that of its route; 0 is the most important.
+    pub(super) tenant_request: Option<TenantRequest>,
+    /// Rank of the request, ordered by its tenant's rank, then by its route's; 0 is the most important.
     pub(super) rank: u32,
-    /// Its route and its tenant's rank.
+    /// Class of the request: its route and its tenant's rank.
     pub(super) class: RequestClass,
     arrived: Timestamp,
-    /// End of its time: that of its caller, or of its route if it comes first.
+    /// The caller's deadline, or the end of the route's time-out if it is earlier.
     pub(super) deadline: Timestamp,
-    /// Whether the local endpoint makes it for a request that it runs, as far as is known.
+    /// Whether the request is likely a call that the local endpoint makes for a request it is running.
     pub(super) is_likely_nested: bool,
-    /// Rank of the request at the root of its tree, as far as that is known.
+    /// Rank of the request at the root of the call tree, as far as known.
     pub(super) root_rank: u32,
-    /// Part of it, 0 to 1, that counts as a retry because the run that makes it was itself retried.
+    /// Share of the request, 0 to 1, that counts as a retry because the run that makes it was itself retried.
     pub(super) retried_share: f64,
-    /// What the daemon beside the last endpoint reported.
+    /// Last report of a daemon beside an endpoint.
     pub(super) last_report: Mutex<AnswerReport>,
-    /// Whether the request may have run; outlives the attempts, which the time may cut off.
+    /// Whether the request may have run. Kept here because the deadline may cancel the attempts.
     pub(super) may_have_run: AtomicBool,
-    /// Its service, if an endpoint's daemon had no capacity for it.
+    /// The request's service, once a daemon beside one of its endpoints had no free slot.
     pub(super) full_service: Mutex<Option<ServiceName>>,
-    is_over: AtomicBool,
+    has_ended: AtomicBool,
     pub(super) progress: Arc<Progress>,
 }
 
 impl Drop for CallerRequest<'_> {
     fn drop(&mut self) {
-        if !self.is_over.load(Ordering::Relaxed) {
+        if !self.has_ended.load(Ordering::Relaxed) {
             self.shared.metrics.cancelled.inc();
-            slog::info!(self.shared.log, "caller went away"; "id" => text(&self.id),
+            slog::info!(self.shared.log, "caller went away"; "id" => id_text(&self.id),
                 "route" => &self.route.route.name,
                 "after_ms" => Millis::of(self.shared.clock.since(self.arrived)).0);
         }
@@ -94,20 +93,20 @@
             content,
             route,
             table,
-            from,
+            tenant_request,
             is_nested_by_table,
             arrived,
             remaining,
             progress,
         } = request;
-        let (rank, class) = rank_and_class(&route, from.as_ref());
+        let (rank, class) = rank_and_class(&route, tenant_request.as_ref());
         let is_likely_nested =
             is_nested_by_table || shared.routing().reported_nested.contains(&class);
         if is_likely_nested {
-            progress.note_likely_nested();
+            progress.mark_likely_nested();
         }
-        let allowed = remaining.unwrap_or(route.route.timeout);
-        let deadline = arrived + allowed.min(route.route.timeout);
+        let caller_timeout = remaining.unwrap_or(route.route.timeout);
+        let deadline = arrived + caller_timeout.min(route.route.timeout);
         let root_rank = root_rank(shared, &route.route, rank, is_likely_nested, remaining);
         let retried_share = retried_share(shared, &route.route, is_likely_nested, remaining);
         Self {
@@ -116,7 +115,7 @@
             content,
             route,
             table,
-            from,
+            tenant_request,
             rank,
             class,
             arrived,
@@ -127,12 +126,12 @@
             last_report: Mutex::default(),
             may_have_run: AtomicBool::new(false),
             full_service: Mutex::default(),
-            is_over: AtomicBool::new(false),
+            has_ended: AtomicBool::new(false),
             progress,
         }
     }
 
-    /// Runs the request; its outcome comes at the end of its time at the latest.
+    /// Runs the request; returns its outcome by the deadline.
     pub(super) async fn run(self, mut outgoing: Outgoing) -> RequestOutcome {
         let attempts = self.run_attempts(&mut outgoing);
         let (clock, stop) = (self.shared.clock, &self.shared.stop);
@@ -140,32 +139,35 @@
             biased;
             ended = clock.timeout_at(self.deadline, attempts) => match ended {
                 Ok(outcome) => outcome,
-                Err(_) => self.without_success(EndReason::TimeOver),
+                Err(_) => self.without_success(EndReason::DeadlinePassed),
             },
-            // An answer that promises nothing is worth more to a caller than a closed connection.
+            // Even an answer that leaves open whether the request ran serves a caller better than a closed connection.
             () = stop.answers_due(clock) => self.without_success(EndReason::StopDue),
         };
-        self.note_capacity(&outcome);
+        self.record_capacity(&outcome);
         self.settle_quota(&outcome);
         self.finish(&outcome);
         outcome
     }
 
-    /// Only what may have run uses up the quota.
+    /// Refunds the quota charge if the request has not run.
     fn settle_quota(&self, outcome: &RequestOutcome) {
-        let charge = self.from.as_ref().and_then(|from| from.charge);
+        let charge = self
+            .tenant_request
+            .as_ref()
+            .and_then(|tenant_request| tenant_request.charge);
         if let (true, Some(charge)) = (outcome.has_not_run(), charge) {
             self.shared.tenant_access().quotas.refund(charge);
         }
     }
 
     fn tenant_name(&self) -> &str {
-        let from = self.from.as_ref();
-        from.map_or("", |from| from.tenant.name.as_str())
+        let tenant_request = self.tenant_request.as_ref();
+        tenant_request.map_or("", |tenant_request| tenant_request.tenant.name.as_str())
     }
 
     fn finish(&self, outcome: &RequestOutcome) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.has_ended.store(true, Ordering::Relaxed);
         let route = &self.route.route;
         let time = self.shared.clock.since(self.arrived);
         let outcome = outcome.as_str();
@@ -176,21 +178,21 @@
                 .short_downstream
                 .as_ref()
                 .map_or("", ServiceName::as_str);
-            slog::info!(self.shared.log, "request ended"; "id" => text(&self.id),
+            slog::info!(self.shared.log, "request ended"; "id" => id_text(&self.id),
                 "route" => &route.name, "table" => self.table.0, "outcome" => outcome,
-                "content" => %self.content, "caller" => self.caller().as_ref().map_or("", text),
+                "content" => %self.content, "caller" => self.caller_service().as_ref().map_or("", id_text),
                 "after_ms" => Millis::of(time).0, "rank" => self.rank, "root_rank" => self.root_rank,
                 "tenant" => self.tenant_name(), "short" => short);
         }
     }
 
-    /// The outcome of the request without a success.
+    /// Outcome of the request if it ends without success.
     pub(super) fn without_success(&self, reason: EndReason) -> RequestOutcome {
         let may_have_run = self.may_have_run.load(Ordering::Relaxed);
         RequestOutcome::without_success(reason, may_have_run, || self.refused_part())
     }
 
-    /// The outcome of a request that has not run for want of capacity.
+    /// Outcome of a request that has not run for lack of capacity.
     pub(super) fn not_run(&self) -> RequestOutcome {
         RequestOutcome::NotRun {
             refused_part: self.refused_part(),
@@ -204,9 +206,12 @@
     }
 }
 
-/// Rank and class of a request on a route, which its tenant's rank has a part in.
-fn rank_and_class(route: &ActiveRoute, from: Option<&TenantRequest>) -> (u32, RequestClass) {
-    match from.map(|from| &from.tenant) {
+/// Rank and class of a request, from its route and its tenant's rank.
+fn rank_and_class(
+    route: &ActiveRoute,
+    tenant_request: Option<&TenantRequest>,
+) -> (u32, RequestClass) {
+    match tenant_request.map(|tenant_request| &tenant_request.tenant) {
         Some(tenant) => (
             tenant.rank_on(route.route.rank),
             tenant.class_on(route.number),
@@ -215,8 +220,8 @@
     }
 }
 
-/// Rank of the tree that a request belongs to: its own at the root, that of the request which the
-/// local endpoint most likely made it for otherwise.
+/// Rank at the root of the request's call tree: that of the running request for which the local endpoint most likely
+/// makes it; the request's own rank if it is not nested or no such request is found.
 fn root_rank(
     shared: &Shared,
     route: &Route,
@@ -234,7 +239,7 @@
     parent.unwrap_or(own_rank)
 }
 
-/// Part of a request, 0 to 1, that counts as a retry because the run that makes it was itself retried; nothing of one
+/// Share of a request, 0 to 1, that counts as a retry because the run that makes it was itself retried; 0 for a request
 /// that no endpoint makes.
 fn retried_share(
     shared: &Shared,
--- a/crates/bramblewheel-proxy/src/outbound/hand_over.rs
+++ b/crates/bramblewheel-proxy/src/outbound/hand_over.rs
@@ -1,13 +1,13 @@
-//! The way of an attempt to the daemon beside the endpoint.
+//! Sends an attempt to the daemon beside the endpoint.
 //!
-//! Relies on [`liveness`](crate::outbound::liveness) for whether that daemon answers, and on [`crate::wire`] for the
-//! headers between daemons. Owns nothing.
+//! [`liveness`](crate::outbound::liveness) tells whether that daemon answers; [`crate::wire`] defines the headers between
+//! daemons.
 
 use crate::http::exchange::{self, NoAnswer, Outgoing, Received};
 use crate::http::pool::Pool;
 use crate::in_progress::{Progress, Stage};
-use crate::inbound::dispatch::{Attempted, Dispatched, dispatch};
-use crate::outbound::liveness::patience;
+use crate::inbound::dispatch::{AttemptOutcome, DispatchOutcome, dispatch};
+use crate::outbound::liveness::max_silence;
 use crate::shared::Shared;
 use crate::wire::{AnswerReport, Handover};
 use bramblewheel_decisions::attempt_result::AttemptResult;
@@ -16,8 +16,8 @@
 use http::HeaderMap;
 use std::sync::Arc;
 
-/// Hands a request to the daemon beside the chosen endpoint: to this one without a hop. A daemon that
-/// falls silent meanwhile is not waited for, if the request may run more than once.
+/// Hands a request over to the daemon beside the chosen endpoint; if that is this daemon, without a network hop. A
+/// repeatable request stops waiting for a daemon that falls silent.
 pub(super) async fn hand_over(
     shared: &Arc<Shared>,
     choice: &Choice,
@@ -26,17 +26,19 @@
     is_repeatable: bool,
     outgoing: &mut Outgoing,
     progress: &Progress,
-) -> Attempted {
+) -> AttemptOutcome {
     if choice.daemon == shared.settings.name {
         return dispatch(shared, handover, shared.clock.now(), outgoing, progress).await;
     }
     let (daemon, clock) = (choice.address, shared.clock);
     let pool = shared.daemon_pools.get(daemon);
-    let probing = shared.liveness.answers(clock, daemon, &pool, is_repeatable);
+    let probing = shared
+        .liveness
+        .is_responsive(clock, daemon, &pool, is_repeatable);
     if !probing.await {
         return without_answer(AttemptResult::Unreachable, AnswerReport::default());
     }
-    progress.enters(Stage::Sent);
+    progress.set_stage(Stage::Sent);
     let sent = send(
         shared,
         choice,
@@ -50,11 +52,14 @@
         Ok(received) => received,
         Err(result) => return without_answer(result, AnswerReport::default()),
     };
-    shared.liveness.note_answer(daemon, clock.now());
+    shared.liveness.record_answer(daemon, clock.now());
     read_attempt(received).await
 }
 
-/// Sends a request to another daemon; the result of the attempt if no answer comes.
+/// Sends a request to another daemon.
+///
+/// # Errors
+/// The result of the attempt if no answer comes.
 async fn send(
     shared: &Arc<Shared>,
     choice: &Choice,
@@ -65,18 +70,18 @@
     outgoing: &mut Outgoing,
 ) -> Result<Received, AttemptResult> {
     let (daemon, clock) = (choice.address, shared.clock);
-    // The time that is left is that of the moment of sending.
-    let write = |headers: &mut HeaderMap| {
+    // The remaining time is computed when the request is sent.
+    let set_headers = |headers: &mut HeaderMap| {
         let handover = Handover {
             remaining: clock.left_until(deadline),
             ..handover.clone()
         };
         handover.write(headers);
     };
-    let patience = patience(handover.objective);
+    let max_silence = max_silence(handover.objective);
     let sent = tokio::select! {
-        sent = exchange::send(pool, outgoing, write) => sent,
-        () = shared.liveness.until_silent(clock, daemon, pool, patience), if is_repeatable => {
+        sent = exchange::send(pool, outgoing, set_headers) => sent,
+        () = shared.liveness.until_silent(clock, daemon, pool, max_silence), if is_repeatable => {
             slog::info!(shared.log, "daemon fell silent"; "daemon" => %choice.daemon,
                 "endpoint" => %choice.endpoint);
             return Err(AttemptResult::Silent);
@@ -88,15 +93,15 @@
     })
 }
 
-/// Reads how an attempt ended from the answer of the daemon beside the endpoint.
-async fn read_attempt(mut received: Received) -> Attempted {
-    // An answer that does not say how the attempt ended is not one of a daemon.
+/// Reads the result of an attempt from the answer of the daemon beside the endpoint.
+async fn read_attempt(mut received: Received) -> AttemptOutcome {
+    // An answer without a result header does not come from a daemon.
     let Some((result, report)) = AnswerReport::take(&mut received.head.headers) else {
         return without_answer(AttemptResult::Lost, AnswerReport::default());
     };
     match (received.read(None).await, result) {
-        (Ok(answer), AttemptResult::Answered) => Attempted {
-            dispatched: Dispatched::Answered(Box::new(answer)),
+        (Ok(answer), AttemptResult::Answered) => AttemptOutcome {
+            dispatched: DispatchOutcome::Answered(Box::new(answer)),
             report,
         },
         (Err(_), AttemptResult::Answered) => without_answer(AttemptResult::Lost, report),
@@ -104,9 +109,9 @@
     }
 }
 
-fn without_answer(result: AttemptResult, report: AnswerReport) -> Attempted {
-    Attempted {
-        dispatched: Dispatched::Without(result),
+fn without_answer(result: AttemptResult, report: AnswerReport) -> AttemptOutcome {
+    AttemptOutcome {
+        dispatched: DispatchOutcome::Unanswered(result),
         report,
     }
 }
--- a/crates/bramblewheel-proxy/src/outbound/liveness.rs
+++ b/crates/bramblewheel-proxy/src/outbound/liveness.rs
@@ -1,12 +1,13 @@
-//! Whether other daemons still answer.
+//! Detects other daemons that no longer answer.
 //!
-//! A machine that is frozen or cut off takes bytes, or seems to, and answers nothing. A request that was
-//! sent there is lost for its caller, and one that may run only once can't be rerouted. So a
-//! daemon that has not answered for a moment is probed first, which costs one round trip, and probed
-//! again while a request waits for it. One probe at a time serves all requests for a daemon.
+//! A machine that is frozen or cut off may still accept bytes but doesn't answer. A request sent there is lost for its
+//! caller, and one that may run only once can't be rerouted. Therefore a daemon that has not answered recently is probed
+//! first, at the cost of one round trip, and probed again while a request waits for it. Concurrent requests for a daemon
+//! share one probe.
 //!
-//! Owns the times of the last answer and the last failed probe of each other daemon, in memory only. Shown by the log
-//! line `daemon fell silent` and the results `unreachable` and `silent` of the metric `bramblewheel_attempts_total`.
+//! Keeps the times of the last answer and the last failed probe of each other daemon, in memory only. Silent daemons
+//! appear in the log line `daemon fell silent` and as results `unreachable` and `silent` of the metric
+//! `bramblewheel_attempts_total`.
 
 use crate::http::exchange::{self, Outgoing, OutgoingBody};
 use crate::http::pool::Pool;
@@ -20,43 +21,41 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Path of the probe whether a daemon answers.
+/// Path of liveness probes.
 pub const PROBE_PATH: &str = "/ping";
-/// Age of the last answer up to which a daemon is trusted with a request that may run only once. Chosen, not
-/// measured.
-const TRUSTED_ONCE: Duration = Duration::from_millis(300);
-/// The same for a request that can be attempted elsewhere when the daemon turns out to be silent. Chosen, not measured.
-const TRUSTED_REPEATABLE: Duration = Duration::from_millis(1_500);
-/// Time in which a daemon must answer a probe. Chosen, not measured.
-const ANSWER_TIME: Duration = Duration::from_millis(300);
-/// Least and longest time for which a waiting request takes a daemon's silence for work. Chosen, not
-/// measured.
-const PATIENCE_BOUNDS: (Duration, Duration) =
+/// Age of the last answer up to which a request that may run only once is sent to a daemon without a probe.
+const MAX_ANSWER_AGE_ONCE: Duration = Duration::from_millis(300);
+/// The same for a request that can be retried elsewhere if the daemon turns out to be silent.
+const MAX_ANSWER_AGE_REPEATABLE: Duration = Duration::from_millis(1_500);
+/// Time-out of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Shortest and longest silence during which a waiting request assumes that the daemon is still working on it.
+const MAX_SILENCE_BOUNDS: (Duration, Duration) =
     (Duration::from_millis(300), Duration::from_millis(600));
-/// Part of a request's objective, as a divisor, for which it does so. Chosen, not measured.
-const PATIENCE_PART: u32 = 4;
-/// Daemons whose answers are remembered, so that memory is bounded. Chosen, not measured.
+/// Divisor of a request's latency objective that gives this silence.
+const MAX_SILENCE_DIVISOR: u32 = 4;
+/// Maximum number of daemons whose answer times are kept, to bound memory.
 const MAX_DAEMONS: usize = 4_096;
 
-/// When other daemons answered last.
+/// Times of the last answers of other daemons.
 #[derive(Debug, Default)]
 pub struct Liveness {
     daemons: Mutex<HashMap<SocketAddr, Arc<OtherDaemon>>>,
 }
 
-/// One other daemon.
+/// Liveness of one other daemon.
 #[derive(Debug, Default)]
 struct OtherDaemon {
     times: Mutex<AnswerTimes>,
-    /// Held by the request that probes.
+    /// Held while a probe is in progress, so that there is only one at a time.
     probing: tokio::sync::Mutex<()>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct AnswerTimes {
-    answered: Option<Timestamp>,
+    last_answer: Option<Timestamp>,
     /// End of the last probe without an answer.
-    unanswered: Option<Timestamp>,
+    last_failed_probe: Option<Timestamp>,
 }
 
 impl OtherDaemon {
@@ -64,22 +63,22 @@
         lock(&self.times)
     }
 
-    fn is_trusted(&self, now: Timestamp, trusted: Duration) -> bool {
-        let answered = self.times().answered;
-        answered.is_some_and(|answered| now.since(answered) <= trusted)
+    fn has_answered_within(&self, now: Timestamp, max_age: Duration) -> bool {
+        let last_answer = self.times().last_answer;
+        last_answer.is_some_and(|last_answer| now.since(last_answer) <= max_age)
     }
 
-    /// Whether a probe that was open at `begun` or began since then got no answer.
-    fn was_silent_since(&self, begun: Timestamp) -> bool {
-        let unanswered = self.times().unanswered;
-        unanswered.is_some_and(|unanswered| unanswered >= begun)
+    /// Whether a probe that was in progress at `started_at`, or started later, got no answer.
+    fn has_failed_probe_since(&self, started_at: Timestamp) -> bool {
+        let last_failed_probe = self.times().last_failed_probe;
+        last_failed_probe.is_some_and(|failed_at| failed_at >= started_at)
     }
 }
 
-/// How long a request with this objective waits for a silent daemon before it probes it.
-pub fn patience(objective: Duration) -> Duration {
-    let (least, longest) = PATIENCE_BOUNDS;
-    (objective / PATIENCE_PART).clamp(least, longest)
+/// Silence of a daemon after which a request with this latency objective probes it.
+pub fn max_silence(objective: Duration) -> Duration {
+    let (least, longest) = MAX_SILENCE_BOUNDS;
+    (objective / MAX_SILENCE_DIVISOR).clamp(least, longest)
 }
 
 impl Liveness {
@@ -91,87 +90,95 @@
         Arc::clone(daemons.entry(daemon).or_default())
     }
 
-    /// Notes an answer of a daemon.
-    pub fn note_answer(&self, daemon: SocketAddr, now: Timestamp) {
-        self.daemon(daemon).times().answered = Some(now);
+    /// Records an answer of a daemon.
+    pub fn record_answer(&self, daemon: SocketAddr, now: Timestamp) {
+        self.daemon(daemon).times().last_answer = Some(now);
     }
 
-    /// Whether a daemon may be sent a request: it answered a moment ago, or does so now. A request
-    /// that may run more than once and would open a connection needs no probe: opening it is one.
-    pub async fn answers(
+    /// Whether a daemon has answered recently or answers a probe now, so that a request may be sent to it. A repeatable
+    /// request that needs a new connection is not preceded by a probe, since opening the connection serves as one.
+    pub async fn is_responsive(
         &self,
         clock: Clock,
         daemon: SocketAddr,
         pool: &Arc<Pool>,
         is_repeatable: bool,
     ) -> bool {
-        let trusted = if is_repeatable {
-            TRUSTED_REPEATABLE
+        let max_answer_age = if is_repeatable {
+            MAX_ANSWER_AGE_REPEATABLE
         } else {
-            TRUSTED_ONCE
+            MAX_ANSWER_AGE_ONCE
         };
         if is_repeatable && !pool.has_idle() {
             return true;
         }
-        self.answers_within(clock, daemon, pool, trusted).await
+        self.is_responsive_within(clock, daemon, pool, max_answer_age)
+            .await
     }
 
-    async fn answers_within(
+    async fn is_responsive_within(
         &self,
         clock: Clock,
         daemon: SocketAddr,
         pool: &Arc<Pool>,
-        trusted: Duration,
+        max_answer_age: Duration,
     ) -> bool {
         let other = self.daemon(daemon);
-        let begun = clock.now();
-        if other.is_trusted(begun, trusted) {
+        let started_at = clock.now();
+        if other.has_answered_within(started_at, max_answer_age) {
             return true;
         }
         let _probing = other.probing.lock().await;
-        if other.is_trusted(clock.now(), trusted) {
+        if other.has_answered_within(clock.now(), max_answer_age) {
             return true;
         }
-        if other.was_silent_since(begun) {
+        if other.has_failed_probe_since(started_at) {
             return false;
         }
-        let answers = probe(pool).await;
+        let has_answered = probe(pool).await;
         let now = clock.now();
         let mut times = other.times();
-        if answers {
-            times.answered = Some(now);
+        if has_answered {
+            times.last_answer = Some(now);
         } else {
-            times.unanswered = Some(now);
+            times.last_failed_probe = Some(now);
         }
-        answers
+        has_answered
     }
 
-    /// Ends when a daemon does not answer any more.
+    /// Returns once a daemon has been silent for `max_silence` and then fails a probe.
     pub async fn until_silent(
         &self,
         clock: Clock,
         daemon: SocketAddr,
         pool: &Arc<Pool>,
-        patience: Duration,
+        max_silence: Duration,
     ) {
         let other = self.daemon(daemon);
-        let begun = clock.now();
+        let started_at = clock.now();
         loop {
             let now = clock.now();
-            let since = other.times().answered.unwrap_or(begun).max(begun);
-            let left = patience.saturating_sub(now.since(since));
+            let since = other
+                .times()
+                .last_answer
+                .unwrap_or(started_at)
+                .max(started_at);
+            let left = max_silence.saturating_sub(now.since(since));
             if left > Duration::ZERO {
                 tokio::time::sleep(left).await;
                 continue;
             }
-            if !self.answers_within(clock, daemon, pool, patience).await {
+            if !self
+                .is_responsive_within(clock, daemon, pool, max_silence)
+                .await
+            {
                 return;
             }
         }
     }
 }
 
-/// Whether a daemon answers now.
+/// Sends a probe; returns whether the daemon answered in time.
 async fn probe(pool: &Arc<Pool>) -> bool {
     let mut ping = Outgoing {
         method: Method::GET,
@@ -183,6 +190,6 @@
         let received = exchange::send(pool, &mut ping, |_| ()).await.ok()?;
         received.read(None).await.ok()
     };
-    let answer = tokio::time::timeout(ANSWER_TIME, answering).await;
+    let answer = tokio::time::timeout(PROBE_TIMEOUT, answering).await;
     matches!(answer, Ok(Some(_)))
 }
--- a/crates/bramblewheel-proxy/src/outbound/mod.rs
+++ b/crates/bramblewheel-proxy/src/outbound/mod.rs
@@ -1,11 +1,11 @@
-//! Requests of callers on this machine, from their arrival to their answer.
+//! Handles requests of callers on this machine, from arrival to answer.
 //!
-//! The way of a request: `arrival` reads and admits it (with `access` for keys and quotas); `caller_request` holds it;
-//! `attempts` runs its attempts, each by `attempt` and `hand_over`; `retry` says what becomes of it after one without a
-//! success; `outcome` says how it ended and `reply` how its caller is answered. `capacity` and `stopping` hold the
-//! refusals before the first attempt. The decisions themselves stand in `bramblewheel-decisions`.
+//! `arrival` reads and admits a request, with `access` for keys and quotas; `caller_request` holds its state;
+//! `attempts` runs its attempts, each through `attempt` and `hand_over`; `retry` decides what follows an unsuccessful
+//! attempt; `outcome` describes how the request ended and `reply` builds the answer. `capacity` and `stopping` hold
+//! the refusals before the first attempt. The decision rules are in `bramblewheel-decisions`.
 //!
-//! Owns the callers' connections and [`liveness`], what is known of other daemons.
+//! Also owns the callers' connections and the [`liveness`] of other daemons.
 
 mod access;
 mod arrival;
@@ -36,18 +36,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest rest after which a caller's connection is closed. Many callers open one connection for
-/// each request and leave it open. On a day without faults, with the time told to callers, daemons held 575 open files
-/// in place of 1,149 and 5.43 in place of 6.31 GB x s of memory (one run each).
-const LONGEST_CALLER_REST: Duration = Duration::from_millis(3_500);
+/// Upper bound on the idle time-out of callers' connections. Many callers open a connection for each request and leave
+/// it open. With this bound stated to callers, in a run without faults, daemons held 575 open files instead of 1,149 and
+/// used 5.43 instead of 6.31 GB x s of memory (one run each).
+const MAX_CALLER_IDLE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Rest after which callers' connections are closed now: as the route table in force says, and not
-/// for longer than the longest.
-pub fn caller_rest(shared: &Shared) -> Duration {
+/// Idle time-out of callers' connections: that of the route table in force, up to [`MAX_CALLER_IDLE_TIMEOUT`].
+pub fn caller_idle_timeout(shared: &Shared) -> Duration {
     let router = shared.router.load();
     let stated = router.as_ref().and_then(|router| router.caller_rest());
-    stated.map_or(LONGEST_CALLER_REST, |stated| {
-        stated.min(LONGEST_CALLER_REST)
+    stated.map_or(MAX_CALLER_IDLE_TIMEOUT, |stated| {
+        stated.min(MAX_CALLER_IDLE_TIMEOUT)
     })
 }
 
@@ -58,7 +57,7 @@
 }
 
 impl Outbound {
-    /// A handler over the daemon's shared parts.
+    /// Creates a handler on the daemon's shared state.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
@@ -74,7 +73,7 @@
             Ok(read) => read,
             Err(reply) => return reply,
         };
-        progress.enters(Stage::Waiting);
+        progress.set_stage(Stage::Waiting);
         let objective = request.route.route.objective;
         let request = CallerRequest::new(&self.shared, request);
         let outcome = request.run(outgoing).await;
@@ -88,12 +87,12 @@
         let open = self.shared.in_progress.begin(Sender::Caller, arrived);
         let reply = self.reply(request, arrived, open.progress()).await;
         let mut response = reply.into_response(&self.shared);
-        open.progress().enters(Stage::Answering);
+        open.progress().set_stage(Stage::Answering);
         response.body_mut().guard(open);
         let headers = response.headers_mut();
         if self.shared.is_stopping() {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
-        } else if let Some(keep_alive) = fields::keep_alive(caller_rest(&self.shared)) {
+        } else if let Some(keep_alive) = fields::keep_alive(caller_idle_timeout(&self.shared)) {
             headers.insert(KEEP_ALIVE, keep_alive);
         }
         response
--- a/crates/bramblewheel-proxy/src/outbound/open_attempt.rs
+++ b/crates/bramblewheel-proxy/src/outbound/open_attempt.rs
@@ -1,30 +1,30 @@
-//! An attempt that has not ended yet.
+//! Guard of an attempt in progress.
 //!
-//! The request's time, its caller or a planned stop may cut an attempt off anywhere. The directory must know of
-//! that too, since it counts what is outstanding at each endpoint.
+//! The request's deadline, its caller or a planned stop may cancel an attempt at any await point. The directory counts
+//! outstanding attempts per endpoint, so a cancelled attempt must be recorded as well.
 
 use crate::shared::Shared;
 use bramblewheel_decisions::directory::AttemptEnd;
 use bramblewheel_types::{EndpointId, Timestamp};
 
-/// Tells the directory when dropped that the attempt was given up, unless it ended by itself.
+/// Records the attempt in the directory as given up when dropped, unless it has ended.
 pub(super) struct OpenAttempt<'a> {
     pub(super) shared: &'a Shared,
     pub(super) endpoint: &'a EndpointId,
     /// Name of the route.
     pub(super) route: &'a str,
-    pub(super) begun: Timestamp,
-    /// Whether the attempt has ended by itself.
-    pub(super) is_over: bool,
+    pub(super) started_at: Timestamp,
+    /// Whether the attempt ended without being cancelled.
+    pub(super) has_ended: bool,
 }
 
 impl Drop for OpenAttempt<'_> {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.has_ended {
             let now = self.shared.clock.now();
             let mut routing = self.shared.routing();
             let directory = &mut routing.directory;
-            let end = AttemptEnd::GivenUp(now.since(self.begun));
+            let end = AttemptEnd::GivenUp(now.since(self.started_at));
             directory.record_end(now, self.endpoint, self.route, end, None);
         }
     }
--- a/crates/bramblewheel-proxy/src/outbound/outcome.rs
+++ b/crates/bramblewheel-proxy/src/outbound/outcome.rs
@@ -1,8 +1,8 @@
-//! How a caller request ends, and what its caller is answered.
+//! Outcomes of caller requests and the answers that follow from them.
 //!
-//! An outcome says whether the request has run, which decides on the answer: a refusal may be resent by any caller,
-//! and an answer 502 or 504 promises nothing. Owns nothing; relies on [`RefusalReason`] for the status and the time
-//! of refusals. Shown by the metric `bramblewheel_requests_total` (`outcome`) and the log line `request ended`.
+//! The answer depends on whether the request may have run: any caller may resend a refused request, while a 502 or 504
+//! says nothing about it. [`RefusalReason`] gives the status and the `Retry-After` time of refusals. Outcomes appear in
+//! the metric `bramblewheel_requests_total` (`outcome`) and the log line `request ended`.
 
 use crate::http::exchange::Answer;
 use crate::outbound::reply::Reply;
@@ -13,39 +13,39 @@
 /// How a caller request ended.
 #[derive(Debug)]
 pub(super) enum RequestOutcome {
-    /// An endpoint's answer.
+    /// An endpoint answered.
     Answered(Box<Answer>),
     /// The request has not run and never will.
     NotRun {
-        /// Part of the requests of its class that is refused early, 0 to 1.
+        /// Share of the requests of its class that is refused early, 0 to 1.
         refused_part: f64,
     },
-    /// The request has not run and never will: endpoints crash under its content.
+    /// The request has not run and never will: its content is quarantined because endpoints crash on it.
     Quarantined,
-    /// The request has not run and never will: the daemon is about to end.
+    /// The request has not run and never will: the daemon is stopping.
     Stopping,
     /// The request may have run; its answer is lost.
     Unknown,
-    /// The request may have run; the daemon can't wait for its answer, since it is about to end.
+    /// The request may have run; the daemon is stopping and can't wait for the answer.
     OutlastsStop,
-    /// The time is over, and the request may have run.
+    /// The deadline has passed, and the request may have run.
     TimedOut,
 }
 
-/// Why a caller request ends without a success.
+/// Why a caller request ends without success.
 #[derive(Debug)]
 pub(super) enum EndReason {
-    /// No further attempt is allowed or possible; with the endpoint's error, if one came.
+    /// No further attempt is allowed or possible; holds the last error answer of an endpoint, if any.
     GaveUp(Option<Box<Answer>>),
-    /// Its time is over.
-    TimeOver,
-    /// The daemon stops, and everything must be answered.
+    /// The deadline has passed.
+    DeadlinePassed,
+    /// The daemon is stopping, and every request must be answered now.
     StopDue,
 }
 
 impl RequestOutcome {
-    /// The outcome of a request without a success; `refused_part` is asked only where it has not run for want of
-    /// capacity.
+    /// Outcome of a request that ended without success. `refused_part` is called only if the request has not run for
+    /// lack of capacity.
     pub(super) fn without_success(
         reason: EndReason,
         may_have_run: bool,
@@ -54,10 +54,10 @@
         match (reason, may_have_run) {
             (EndReason::GaveUp(Some(error)), _) => Self::Answered(error),
             (EndReason::GaveUp(None), true) => Self::Unknown,
-            (EndReason::TimeOver, true) => Self::TimedOut,
+            (EndReason::DeadlinePassed, true) => Self::TimedOut,
             (EndReason::StopDue, true) => Self::OutlastsStop,
             (EndReason::StopDue, false) => Self::Stopping,
-            (EndReason::GaveUp(None) | EndReason::TimeOver, false) => Self::NotRun {
+            (EndReason::GaveUp(None) | EndReason::DeadlinePassed, false) => Self::NotRun {
                 refused_part: refused_part(),
             },
         }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// What the caller of a request with this objective is answered.
+    /// Reply to the caller of a request with this latency objective.
     pub(super) fn into_reply(self, objective: Duration) -> Reply {
         match self {
             Self::Answered(answer) => Reply::Answer(answer),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Name in logs and metrics.
+    /// Value in logs and metrics.
     pub(super) fn as_str(&self) -> &'static str {
         match self {
             Self::Answered(answer) if answer.status().is_success() => "completed",
--- a/crates/bramblewheel-proxy/src/outbound/reply.rs
+++ b/crates/bramblewheel-proxy/src/outbound/reply.rs
@@ -1,7 +1,6 @@
-//! What a caller is answered, and the answer's form.
+//! Replies to callers and their HTTP form.
 //!
-//! Owns nothing; draws the time after which a refused caller may come back from the daemon's random source. The rule
-//! for it stands in [`bramblewheel_decisions::retry_after`].
+//! The `Retry-After` time of a refusal is random; its rule is in [`bramblewheel_decisions::retry_after`].
 
 use crate::http::body::AnswerBody;
 use crate::http::exchange::Answer;
@@ -12,27 +11,27 @@
 use http::{HeaderValue, Response, StatusCode};
 use std::time::Duration;
 
-/// What a caller is answered.
+/// Reply to a caller.
 #[derive(Debug)]
 pub(super) enum Reply {
     /// The endpoint's answer.
     Answer(Box<Answer>),
-    /// A refusal: the request has not run and never will, and its caller may come back.
+    /// The request is refused: it has not run and never will, and its caller may send it again retry_after.
     Refusal(RefusalReason),
-    /// The request has not run: its key is missing, or nobody holds it.
+    /// The request has not run: its key is missing or belongs to no tenant.
     Unauthorized,
-    /// A status without more: the request can't be served as it is, or may have run without an answer.
+    /// A status only: the request can't be served as it is, or may have run without an answer.
     Status(StatusCode),
 }
 
 impl Reply {
-    /// The answer; draws from the daemon's random source for a refusal.
+    /// Builds the HTTP response; a refusal uses the daemon's random source.
     pub(super) fn into_response(self, shared: &Shared) -> Response<AnswerBody> {
         match self {
             Self::Answer(answer) => answer.into_response(),
             Self::Refusal(reason) => {
-                let later = reason.retry_after(&mut shared.routing().random);
-                refusal(reason.status(), later)
+                let retry_after = reason.retry_after(&mut shared.routing().random);
+                refusal(reason.status(), retry_after)
             }
             Self::Unauthorized => unauthorized(shared.settings.dialect.key_scheme),
             Self::Status(status) => empty(status),
@@ -40,9 +39,9 @@
     }
 }
 
-/// An answer after which the caller may come back after `later`; seconds with three decimals.
-fn refusal(status: StatusCode, later: Duration) -> Response<AnswerBody> {
-    let seconds = later.as_secs_f64();
+/// A response with `Retry-After` in seconds with three decimals.
+fn refusal(status: StatusCode, retry_after: Duration) -> Response<AnswerBody> {
+    let seconds = retry_after.as_secs_f64();
     let mut response = empty(status);
     let value =
         HeaderValue::try_from(format!("{seconds:.3}")).expect("numbers consist of visible ASCII");
--- a/crates/bramblewheel-proxy/src/outbound/retry.rs
+++ b/crates/bramblewheel-proxy/src/outbound/retry.rs
@@ -1,10 +1,10 @@
-//! Carries out what is decided after an attempt without a success.
+//! Decides what follows an unsuccessful attempt.
 //!
-//! The rule stands in [`bramblewheel_decisions::retry`]; here its inputs are gathered, and the bound on retries is
-//! charged where the rule wants a retry. Owns nothing; relies on the routing state and the quarantine of the daemon.
+//! The rule is in [`bramblewheel_decisions::retry`]; this module gathers its inputs from the routing state and the
+//! quarantine, and charges the bound on retries if the rule asks for a retry.
 
 use crate::http::exchange::Outgoing;
-use crate::inbound::dispatch::text;
+use crate::inbound::dispatch::id_text;
 use crate::outbound::caller_request::CallerRequest;
 use bramblewheel_decisions::attempt_result::AttemptResult;
 use bramblewheel_decisions::retry::{
@@ -15,7 +15,7 @@
 use bramblewheel_types::ServiceName;
 
 impl CallerRequest<'_> {
-    /// What becomes of the request after an attempt without a success, which `counts` includes; charges a retry.
+    /// Decides what follows an unsuccessful attempt, which `counts` already includes; charges a retry to the bound.
     pub(super) fn after_failure(
         &self,
         service: &ServiceName,
@@ -61,11 +61,11 @@
         }
     }
 
-    /// Charges the bound on retries; gives up if it refuses.
+    /// Charges a retry to the bound; gives up if the bound forbids it.
     fn charge_retry(
         &self,
         service: &ServiceName,
-        after: AttemptResult,
+        previous_result: AttemptResult,
         reason: RetryReason,
     ) -> AfterFailure {
         let now = self.shared.clock.now();
@@ -73,30 +73,30 @@
         let bound = &mut routing.retry_bound;
         let decision = bound.decide_retry(now, service, self.class, reason);
         drop(routing);
-        self.note_bound_decision(service, after, &decision);
+        self.record_bound_decision(service, previous_result, &decision);
         match GiveUp::of_bound(&decision) {
             Some(refused) => AfterFailure::GiveUp(refused),
             None => AfterFailure::Retry(reason),
         }
     }
 
-    fn note_bound_decision(
+    fn record_bound_decision(
         &self,
         service: &ServiceName,
-        after: AttemptResult,
+        previous_result: AttemptResult,
         decision: &RetryDecision,
     ) {
         let metrics = &self.shared.metrics;
         match decision {
-            RetryDecision::Allowed => metrics.retry(service, after),
+            RetryDecision::Allowed => metrics.retry(service, previous_result),
             RetryDecision::UsedDownstream { part } => {
-                metrics.over_budget(service, after);
-                slog::info!(self.shared.log, "repeat refused"; "id" => text(&self.id),
+                metrics.over_budget(service, previous_result);
+                slog::info!(self.shared.log, "repeat refused"; "id" => id_text(&self.id),
                     "service" => %service, "used_below" => format_args!("{part:.2}"));
             }
             RetryDecision::UsedUp(bound) => {
-                metrics.over_budget(service, after);
-                slog::info!(self.shared.log, "repeat refused"; "id" => text(&self.id),
+                metrics.over_budget(service, previous_result);
+                slog::info!(self.shared.log, "repeat refused"; "id" => id_text(&self.id),
                     "service" => %service, "used" => format_args!("{:.1}", bound.used()),
                     "calls_of_repeats" => format_args!("{:.1}", bound.calls_of_retried_runs),
                     "allowed" => format_args!("{:.1}", bound.allowed),
--- a/crates/bramblewheel-proxy/src/planned_stop.rs
+++ b/crates/bramblewheel-proxy/src/planned_stop.rs
@@ -16,7 +16,7 @@
 //! `bramblewheel_cut_off_total`.
 
 use crate::in_progress::OpenRequest;
-use crate::inbound::dispatch::text;
+use crate::inbound::dispatch::id_text;
 use crate::shared::Shared;
 use bramblewheel_decisions::stop_schedule::StopSchedule;
 use bramblewheel_process::clock::Clock;
@@ -25,12 +25,11 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Time without a request after which nobody is taken to be sending any more. Chosen, not measured.
+/// Time without a request after which nobody is taken to be sending any more.
 const QUIET_TIME: Duration = Duration::from_millis(250);
-/// Requests that are named at most when the end of the process cuts them off, so that the log is bounded. Chosen, not
-/// measured.
+/// Requests that are named at most when the end of the process cuts them off, so that the log is bounded.
 const MAX_NAMED: usize = 200;
-/// Time between two checks of what is in progress. Chosen, not measured.
+/// Time between two checks of what is in progress.
 const CHECK_PERIOD: Duration = Duration::from_millis(50);
 
 /// A planned stop, as all requests see it: not begun, or under way by its schedule.
@@ -113,7 +112,7 @@
             is_likely_nested,
         } = request;
         shared.metrics.cut_off(sender, stage);
-        slog::warn!(shared.log, "cut off by the stop"; "id" => id.as_ref().map_or("?", text),
+        slog::warn!(shared.log, "cut off by the stop"; "id" => id.as_ref().map_or("?", id_text),
             "from" => sender.as_str(), "stage" => stage.as_str(), "is_call" => is_likely_nested,
             "after_ms" => Millis::of(now.since(arrived)).0);
     }
--- a/crates/bramblewheel-proxy/src/shared.rs
+++ b/crates/bramblewheel-proxy/src/shared.rs
@@ -49,11 +49,11 @@
 }
 
 impl Routing {
-    /// Classes of nested calls that are kept, so that memory is bounded. Chosen, not measured.
+    /// Classes of nested calls that are kept, so that memory is bounded.
     const MAX_NESTED: usize = 512;
 
     /// Notes what the daemon beside an endpoint reported of a class; returns whether that is new.
-    pub fn note_nested(&mut self, class: RequestClass, report: &AnswerReport) -> bool {
+    pub fn record_nested(&mut self, class: RequestClass, report: &AnswerReport) -> bool {
         // A daemon that reports its load reports on the class too; another one did not get that far.
         if report.load.is_none() {
             return false;
--- a/crates/bramblewheel-proxy/tests/local_endpoint.rs
+++ b/crates/bramblewheel-proxy/tests/local_endpoint.rs
@@ -94,7 +94,7 @@
     let local = local_endpoint();
     local.take_heartbeat(at(0), &mut ready("new", 1));
     local.take_heartbeat(at(1_000), &mut ready("old", 3));
-    local.was_replaced(&id("old"));
+    local.record_replaced(&id("old"));
     assert_eq!(
         local.take_heartbeat(at(1_500), &mut ready("new", 2)),
         HeartbeatResult::Changed
@@ -299,7 +299,7 @@
     say(&local, 0, heartbeat("e", 1_000, 1, EndpointState::Ready));
     let waiting = std::sync::Arc::clone(&local);
     let former = id("e").started_at(Some(1_000));
-    let wait = tokio::spawn(async move { waiting.until_started_again(&former).await });
+    let wait = tokio::spawn(async move { waiting.until_later_start(&former).await });
     tokio::task::yield_now().await;
     say(&local, 60_000, ready("another", 1));
     tokio::task::yield_now().await;
--- a/crates/bramblewheel-proxy/tests/sockets/liveness.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/liveness.rs
@@ -79,8 +79,11 @@
         for _ in 0..REQUESTS {
             let (liveness, pool) = (Arc::clone(&self.liveness), Arc::clone(&self.pool));
             let address = self.address;
-            asking
-                .spawn(async move { liveness.answers(clock, address, &pool, is_repeatable).await });
+            asking.spawn(async move {
+                liveness
+                    .is_responsive(clock, address, &pool, is_repeatable)
+                    .await
+            });
         }
         asking.join_all().await
     }
--- a/crates/bramblewheel-proxy/tests/sockets/requests.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/requests.rs
@@ -176,7 +176,7 @@
         // Ahead of the clock, so that it is recent whenever the answer comes.
         let at = shared.clock.now() + Duration::from_secs(60);
         let short = ServiceName::new("deep").expect("a name");
-        shared.local.note_call_without_capacity(at, short);
+        shared.local.record_call_without_capacity(at, short);
     }
     script(&mesh, &[Act::Fail]);
     let answer = mesh.call(0, "/safe/item", "r-1").await.expect("an answer");
