--- a/crates/bramblewheel-proxy/src/shared.rs
+++ b/crates/bramblewheel-proxy/src/shared.rs
@@ -1,7 +1,6 @@
-//! What all parts of a daemon share.
+//! State shared by all parts of a daemon, each part under its own lock.
 //!
-//! Owns the state of the daemon in memory, each part under a lock of its own. What a daemon restarts with is in
-//! none of it: route tables and endpoints come from the control group, the rest is learned anew.
+//! None of it survives a restart: route tables and endpoints come from the control group, the rest is learned anew.
 
 use crate::control::content_reports::ContentReporter;
 use crate::control::group::ControlGroup;
@@ -31,30 +30,30 @@
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What the choice of endpoints needs; kept together, so that one lock serves a request.
+/// State for the choice of endpoints; kept together, so that a request takes one lock.
 #[derive(Debug)]
 pub struct Routing {
     /// Endpoints of all services.
     pub directory: Directory,
-    /// What is refused here since endpoints refuse it.
+    /// Shares of classes that are refused here because endpoints refuse them.
     pub early_refusal: EarlyRefusal,
-    /// Which classes of the local endpoint's requests are likely called by endpoints only.
+    /// Classes of the local endpoint's requests that are likely called by endpoints only.
     pub nested_routes: NestedRoutes,
-    /// Classes of which the daemons beside endpoints report that they are likely nested calls.
+    /// Classes that daemons beside endpoints report as likely nested calls.
     pub reported_nested: HashSet<RequestClass>,
     /// Bound on retries.
     pub retry_bound: RetryBound,
-    /// Random part of choices.
+    /// Random source of decisions.
     pub random: Pcg64Mcg,
 }
 
 impl Routing {
-    /// Classes of nested calls that are kept, so that memory is bounded.
+    /// Maximum number of nested classes that are kept, to bound memory.
     const MAX_NESTED: usize = 512;
 
-    /// Notes what the daemon beside an endpoint reported of a class; returns whether that is new.
+    /// Records whether the daemon beside an endpoint reported a class as nested; returns whether that is new.
     pub fn record_nested(&mut self, class: RequestClass, report: &AnswerReport) -> bool {
-        // A daemon that reports its load reports on the class too; another one did not get that far.
+        // A report with a load also covers the class; without a load, the attempt ended before that daemon knew it.
         if report.load.is_none() {
             return false;
         }
@@ -65,35 +64,35 @@
     }
 }
 
-/// What the use of keys needs.
+/// State for the authorization of tenants.
 #[derive(Debug)]
 pub struct TenantAccess {
-    /// How long the tenants of the table in force may be gone by.
+    /// Lease on the table in force, during which its tenants may be relied on.
     pub lease: TableLease,
-    /// What was admitted for each tenant.
+    /// Requests admitted for each tenant.
     pub quotas: TenantQuotas,
 }
 
-/// What all parts of a daemon share.
+/// State shared by all parts of a daemon.
 #[derive(Debug)]
 pub struct Shared {
     /// Settings of the daemon.
     pub settings: Settings,
     /// Clock of all timestamps.
     pub clock: Clock,
-    /// Route table in force, none before the first was confirmed.
+    /// Route table in force; `None` before the first one.
     pub router: ArcSwapOption<Router>,
-    /// Choice of endpoints.
+    /// State for the choice of endpoints.
     pub routing: Mutex<Routing>,
-    /// Use of keys.
+    /// State for the authorization of tenants.
     pub tenant_access: Mutex<TenantAccess>,
-    /// Contents under which endpoints crash.
+    /// Contents on which endpoints crash.
     pub quarantine: Mutex<QuarantineView>,
-    /// Takes reports on such contents.
+    /// Reports on such contents to the control group.
     pub reporter: ContentReporter,
     /// The endpoint beside the daemon.
     pub local: Arc<LocalEndpoint>,
-    /// When other daemons answered last.
+    /// Times of the last answers of other daemons.
     pub liveness: Liveness,
     /// Connections to other daemons.
     pub daemon_pools: Pools,
@@ -103,28 +102,28 @@
     pub control: Arc<ControlGroup>,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Requests that are not answered.
+    /// Requests in progress.
     pub in_progress: RequestsInProgress,
-    /// Bounds the lines on heartbeats.
+    /// Limit on log lines about heartbeats.
     pub heartbeat_lines: LineLimit,
-    /// The planned stop of the daemon.
+    /// Planned stop of the daemon.
     pub stop: PlannedStop,
     /// Log.
     pub log: Logger,
 }
 
 impl Shared {
-    /// Locks the choice of endpoints.
+    /// Locks the state for the choice of endpoints.
     pub fn routing(&self) -> MutexGuard<'_, Routing> {
         lock(&self.routing)
     }
 
-    /// Locks the use of keys.
+    /// Locks the state for the authorization of tenants.
     pub fn tenant_access(&self) -> MutexGuard<'_, TenantAccess> {
         lock(&self.tenant_access)
     }
 
-    /// Locks what is known of contents under which endpoints crash.
+    /// Locks the contents on which endpoints crash.
     pub fn quarantine(&self) -> MutexGuard<'_, QuarantineView> {
         lock(&self.quarantine)
     }
@@ -134,13 +133,13 @@
         self.stop.schedule().is_some()
     }
 
-    /// Whether new callers may be sent here.
+    /// Whether the daemon is ready to serve new callers.
     pub fn is_ready(&self) -> bool {
-        !self.is_stopping() && self.router.load().is_some() && self.may_use_keys()
+        !self.is_stopping() && self.router.load().is_some() && self.can_authorize()
     }
 
-    /// Whether the table in force needs no keys, or they may be used now.
-    fn may_use_keys(&self) -> bool {
+    /// Whether requests can be authorized: the lease on the table is valid, or the table has no tenants.
+    fn can_authorize(&self) -> bool {
         let is_valid = self.tenant_access().lease.is_valid(self.clock.now());
         let router = self.router.load();
         let needs_keys = |router: &Arc<Router>| router.tenants().has_tenants();
--- a/crates/bramblewheel-proxy/src/wire.rs
+++ b/crates/bramblewheel-proxy/src/wire.rs
@@ -1,7 +1,7 @@
-//! Headers between daemons: what is handed over with a request, and reported with its answer.
+//! Headers between daemons: the handover of a request and the report with its answer.
 //!
-//! The one place that writes and reads them. Some headers bear an older name than the value that they hold; the
-//! field says so. Daemons of earlier versions leave some out: what that means is said at each field. Owns nothing.
+//! Only this module writes and reads them. Some headers have an older name than the value they hold; the field's
+//! comment names the header. Daemons of earlier versions omit some headers; the field's comment gives the default.
 
 use crate::http::fields::set_or_remove;
 use bramblewheel_decisions::directory::LoadReport;
@@ -18,15 +18,15 @@
 const ENDPOINT: HeaderName = HeaderName::from_static("bw-endpoint");
 /// Rank of the request.
 const RANK: HeaderName = HeaderName::from_static("bw-rank");
-/// Rank of the request at the root of the tree that the request belongs to.
+/// Rank of the request at the root of the call tree.
 const ROOT_RANK: HeaderName = HeaderName::from_static("bw-root-rank");
-/// Number of the request's class: of its route and its tenant's rank.
+/// Number of the request's class, from its route and its tenant's rank.
 const CLASS: HeaderName = HeaderName::from_static("bw-route");
-/// Milliseconds within which an answer is of full use.
+/// Latency objective in milliseconds.
 const OBJECTIVE: HeaderName = HeaderName::from_static("bw-objective-ms");
-/// Milliseconds left for the request.
+/// Remaining time of the request in milliseconds.
 const REMAINING: HeaderName = HeaderName::from_static("bw-remaining-ms");
-/// Milliseconds that the request may wait for a slot.
+/// Longest wait for a slot in milliseconds.
 const WAIT: HeaderName = HeaderName::from_static("bw-wait-ms");
 /// Service that the request comes from.
 const CALLER: HeaderName = HeaderName::from_static("bw-caller");
@@ -34,57 +34,57 @@
 const TENANT: HeaderName = HeaderName::from_static("bw-for-tenant");
 /// Digest of the request's content, in hexadecimal digits.
 const CONTENT: HeaderName = HeaderName::from_static("bw-content");
-/// Thousandths of the request that count as a retry.
+/// Share of the request that counts as a retry, in thousandths.
 const RETRIED_SHARE: HeaderName = HeaderName::from_static("bw-repeated");
-/// How the attempt ended at the other daemon.
+/// On an answer: result of the attempt.
 const RESULT: HeaderName = HeaderName::from_static("bw-result");
-/// On an answer: the request's class is likely called by endpoints only. On a request: it is likely made by one.
+/// On an answer: the request's class is likely called by endpoints only. On a request: it is likely made by an
+/// endpoint.
 const NESTED: HeaderName = HeaderName::from_static("bw-nested");
-/// On a failed answer: the service at which a call that the endpoint made for the request found no capacity.
+/// On an error answer: service at which a call that the endpoint made for the request found no capacity.
 const SHORT_DOWNSTREAM: HeaderName = HeaderName::from_static("bw-short-below");
-/// On an answer: hundredths of the bound on retries that are used where the endpoint's calls go.
+/// On an answer: used share of the bound on retries for the endpoint's calls, in percent.
 const BOUND_USED: HeaderName = HeaderName::from_static("bw-bound-used");
-/// Load of the endpoint: busy, limit and failed in a hundred, separated by commas.
+/// Load of the endpoint: busy slots, limit and percentage of failures, separated by commas.
 const LOAD: HeaderName = HeaderName::from_static("bw-load");
 
-/// Value of the headers that say something by being there.
-const YES: &str = "1";
+/// Value of headers whose presence is their meaning.
+const PRESENT: &str = "1";
 
-/// What a daemon hands over to the one beside the endpoint with a request.
+/// Data that a daemon hands over with a request to the daemon beside the endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Handover {
     /// Endpoint that the request is for.
     pub endpoint: EndpointId,
     /// Rank of the request; 0 is the most important.
     pub rank: u32,
-    /// Rank of the request at the root of its tree, as far as that is known; its own otherwise.
+    /// Rank of the request at the root of the call tree if known; its own rank otherwise.
     pub root_rank: u32,
     /// Its class, the same at all daemons; header `bw-route`.
     pub class: RequestClass,
-    /// Time within which an answer is of full use.
+    /// Latency objective.
     pub objective: Duration,
-    /// Time left for the request.
+    /// Remaining time of the request.
     pub remaining: Duration,
-    /// Time that the request may wait for a slot.
+    /// Longest wait for a slot.
     pub wait: Duration,
     /// Service that the request comes from.
     pub caller: Option<HeaderValue>,
-    /// Whether an endpoint makes the request for one that it runs, as far as the daemon of its caller
-    /// knows; header `bw-nested`.
+    /// Whether the caller's daemon considers the request to be a call that an endpoint makes for a request it is
+    /// running; header `bw-nested`.
     pub is_likely_nested: bool,
     /// Tenant that the request comes from, if its caller had a key; header `bw-for-tenant`.
     pub tenant: Option<HeaderValue>,
-    /// What the request has in common with its resends; none from a daemon of an earlier version.
+    /// Digest of the content, the same for resent requests; `None` from a daemon of an earlier version.
     pub content: Option<ContentDigest>,
-    /// Part of the request, 0 to 1, that counts as a retry: 1 where an endpoint got it before, else the part to
-    /// which the run that makes it was itself retried. Header `bw-repeated`, in thousandths; 0 where it is left
-    /// out.
+    /// Share of the request, 0 to 1, that counts as a retry: 1 if an endpoint got it before, otherwise the retried
+    /// share of the run that makes it. Header `bw-repeated`, in thousandths; 0 if it is missing.
     pub retried_share: f64,
 }
 
-/// A request from another daemon lacks something that it must have.
+/// A request from another daemon lacks a required header or has an invalid one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("header {0} is missing or not valid")]
+#[error("header {0} is missing or invalid")]
 pub struct InvalidHandover(&'static str);
 
 impl Handover {
@@ -103,13 +103,15 @@
         set_or_remove(headers, &TENANT, self.tenant.as_ref());
         let content = self.content.map(content_value);
         set_or_remove(headers, &CONTENT, content.as_ref());
-        let nested = self.is_likely_nested.then(|| HeaderValue::from_static(YES));
+        let nested = self
+            .is_likely_nested
+            .then(|| HeaderValue::from_static(PRESENT));
         set_or_remove(headers, &NESTED, nested.as_ref());
         let retried_share = retried_share_value(self.retried_share);
         set_or_remove(headers, &RETRIED_SHARE, retried_share.as_ref());
     }
 
-    /// Removes what only daemons may set from a request of a caller.
+    /// Removes headers that only daemons may set from a request of a caller.
     pub fn strip(headers: &mut HeaderMap) {
         for name in [
             ENDPOINT,
@@ -129,25 +131,25 @@
         }
     }
 
-    /// Whether a request is handed over.
-    pub fn is_on(headers: &HeaderMap) -> bool {
+    /// Whether a request is handed over by another daemon.
+    pub fn is_present(headers: &HeaderMap) -> bool {
         headers.contains_key(ENDPOINT)
     }
 
-    /// Takes the headers off a request.
+    /// Reads the headers of a request and removes them.
     ///
     /// # Errors
-    /// [`InvalidHandover`] with the header at fault.
+    /// [`InvalidHandover`] with the name of the missing or invalid header.
     pub fn take(headers: &mut HeaderMap) -> Result<Self, InvalidHandover> {
         let endpoint = headers.remove(ENDPOINT);
         let endpoint = endpoint.as_ref().and_then(|value| value.to_str().ok());
         let endpoint = endpoint.and_then(|text| text.parse::<EndpointId>().ok());
-        let rank = number(headers.remove(RANK));
+        let rank = parse_number(headers.remove(RANK));
         let root_rank = headers.remove(ROOT_RANK);
-        let class = number(headers.remove(CLASS));
-        let objective = number(headers.remove(OBJECTIVE));
-        let remaining = number(headers.remove(REMAINING));
-        let wait = number(headers.remove(WAIT));
+        let class = parse_number(headers.remove(CLASS));
+        let objective = parse_number(headers.remove(OBJECTIVE));
+        let remaining = parse_number(headers.remove(REMAINING));
+        let wait = parse_number(headers.remove(WAIT));
         let rank = rank
             .and_then(|rank| u32::try_from(rank).ok())
             .ok_or(InvalidHandover("bw-rank"))?;
@@ -174,7 +176,7 @@
     }
 }
 
-/// Thousandths of a request that count as a retry; none where none do.
+/// Header value of the retried share in thousandths; `None` for 0.
 fn retried_share_value(retried_share: f64) -> Option<HeaderValue> {
     #[expect(
         clippy::cast_possible_truncation,
@@ -189,18 +191,18 @@
     if value.is_none() {
         return Ok(0.0);
     }
-    let thousandths = number(value).and_then(|number| u16::try_from(number).ok());
+    let thousandths = parse_number(value).and_then(|parse_number| u16::try_from(parse_number).ok());
     let thousandths = thousandths.filter(|thousandths| *thousandths <= 1_000);
     let thousandths = thousandths.ok_or(InvalidHandover("bw-repeated"))?;
     Ok(f64::from(thousandths) / 1_000.0)
 }
 
-/// Rank of the request at the root; that of the request itself where a daemon of an earlier version leaves it out.
+/// Rank at the root of the call tree; the request's own rank if a daemon of an earlier version omits the header.
 fn read_root_rank(value: Option<HeaderValue>, own_rank: u32) -> Result<u32, InvalidHandover> {
     if value.is_none() {
         return Ok(own_rank);
     }
-    let rank = number(value).and_then(|rank| u32::try_from(rank).ok());
+    let rank = parse_number(value).and_then(|rank| u32::try_from(rank).ok());
     rank.ok_or(InvalidHandover("bw-root-rank"))
 }
 
@@ -220,18 +222,18 @@
     HeaderValue::from(Millis::of(duration).0)
 }
 
-fn number(value: Option<HeaderValue>) -> Option<u64> {
+fn parse_number(value: Option<HeaderValue>) -> Option<u64> {
     value?.to_str().ok()?.parse().ok()
 }
 
-/// A name that is not valid counts as none.
+/// An invalid name counts as missing.
 fn read_service(value: &HeaderValue) -> Option<ServiceName> {
     ServiceName::new(value.to_str().ok()?).ok()
 }
 
-/// One that can't be read counts as none, as from a daemon of an earlier version.
+/// An invalid percentage counts as 0, like a missing one from a daemon of an earlier version.
 fn read_percent(value: Option<HeaderValue>) -> u32 {
-    let percent = number(value).and_then(|percent| u32::try_from(percent).ok());
+    let percent = parse_number(value).and_then(|percent| u32::try_from(percent).ok());
     percent.unwrap_or_default()
 }
 
@@ -244,22 +246,23 @@
     })
 }
 
-/// What the daemon beside the endpoint reports with an answer besides how the attempt ended.
+/// Report of the daemon beside the endpoint, sent with an answer in addition to the result of the attempt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerReport {
-    /// Load of the endpoint; none if it was not reported or can't be read.
+    /// Load of the endpoint; `None` if it is missing or invalid.
     pub load: Option<LoadReport>,
     /// Whether the request's class is likely called by endpoints only; header `bw-nested`.
     pub is_likely_nested: bool,
-    /// Where a call of the endpoint had found no capacity right before it failed the request; header `bw-short-below`.
+    /// Service at which a call of the endpoint found no capacity right before the endpoint failed the request; header
+    /// `bw-short-below`.
     pub short_downstream: Option<ServiceName>,
-    /// Hundredths of the bound on retries that are used where the endpoint's calls go; header `bw-bound-used`, 0 where
-    /// it is left out or can't be read.
+    /// Used share of the bound on retries for the endpoint's calls, in percent; header `bw-bound-used`, 0 if it is
+    /// missing or invalid.
     pub bound_used_percent: u32,
 }
 
 impl AnswerReport {
-    /// Sets the headers of an answer to an attempt that ended so.
+    /// Sets the headers of an answer to an attempt with this result.
     pub fn write(&self, result: AttemptResult, headers: &mut HeaderMap) {
         headers.insert(RESULT, HeaderValue::from_static(result.as_str()));
         if let Some(load) = self.load {
@@ -268,7 +271,7 @@
             headers.insert(LOAD, load);
         }
         if self.is_likely_nested {
-            headers.insert(NESTED, HeaderValue::from_static(YES));
+            headers.insert(NESTED, HeaderValue::from_static(PRESENT));
         }
         if let Some(service) = &self.short_downstream {
             let service =
@@ -280,11 +283,12 @@
         }
     }
 
-    /// Takes the headers off an answer, with how the attempt ended; `None` if it is not one of a daemon.
+    /// Reads the headers of an answer and removes them; returns the result of the attempt and the report, or `None`
+    /// if the answer does not come from a daemon.
     pub fn take(headers: &mut HeaderMap) -> Option<(AttemptResult, Self)> {
-        let result = headers.remove(RESULT)?;
-        let is_named = |known: &AttemptResult| known.as_str().as_bytes() == result.as_bytes();
-        let known = AttemptResult::ALL.into_iter().find(is_named)?;
+        let value = headers.remove(RESULT)?;
+        let is_stated = |result: &AttemptResult| result.as_str().as_bytes() == value.as_bytes();
+        let result = AttemptResult::ALL.into_iter().find(is_stated)?;
         let load = headers.remove(LOAD);
         let load = load.as_ref().and_then(|value| value.to_str().ok());
         let report = Self {
@@ -296,6 +300,6 @@
                 .and_then(read_service),
             bound_used_percent: read_percent(headers.remove(BOUND_USED)),
         };
-        Some((known, report))
+        Some((result, report))
     }
 }
--- a/crates/bramblewheel-proxy/tests/pinned_metrics.rs
+++ b/crates/bramblewheel-proxy/tests/pinned_metrics.rs
@@ -65,7 +65,7 @@
     metrics.refused_call(&service);
     metrics.identity_mismatch(IdentityMismatch::Service);
     metrics.cut_off(Sender::Caller, Stage::Reading);
-    metrics.show_bound(&BoundUse {
+    metrics.set_bound(&BoundUse {
         service,
         first_sends: 20.0,
         retries: 2.0,
--- a/crates/bramblewheel-proxy/tests/sockets/connections.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/connections.rs
@@ -5,7 +5,7 @@
 use bramblewheel_process::logging::silent;
 use bramblewheel_proxy::http::body::AnswerBody;
 use bramblewheel_proxy::http::pool::{IdlePolicy, Pools};
-use bramblewheel_proxy::http::server::{Handler, KeepPolicy, bind, serve};
+use bramblewheel_proxy::http::server::{Handler, KeepAlivePolicy, bind, serve};
 use bytes::Bytes;
 use http::{Request, Response};
 use hyper::body::Incoming;
@@ -29,14 +29,14 @@
 }
 
 /// A listener that keeps connections for as long as the test runs, but for those beyond
-/// `most_at_rest`.
-async fn listening(most_at_rest: usize) -> (SocketAddr, watch::Sender<bool>) {
+/// `max_idle`.
+async fn listening(max_idle: usize) -> (SocketAddr, watch::Sender<bool>) {
     let any = "127.0.0.1:0".parse().expect("an address");
     let listener = bind(any).await.expect("a free port");
     let address = listener.local_addr().expect("bound");
-    let keep = KeepPolicy {
-        longest_rest: Arc::new(|| Duration::from_secs(3_600)),
-        most_at_rest,
+    let keep = KeepAlivePolicy {
+        idle_timeout: Arc::new(|| Duration::from_secs(3_600)),
+        max_idle,
     };
     let (stop, stopped) = watch::channel(false);
     tokio::spawn(serve(
@@ -73,8 +73,8 @@
 #[tokio::test]
 async fn few_connections_are_kept_at_rest() {
     const CALLERS: usize = 60;
-    const MOST_AT_REST: usize = 8;
-    let (address, _stop) = listening(MOST_AT_REST).await;
+    const MAX_IDLE: usize = 8;
+    let (address, _stop) = listening(MAX_IDLE).await;
     let mut faithful = connected(address).await;
     answered(&mut faithful).await;
     let mut streams = Vec::new();
@@ -85,7 +85,7 @@
         answered(&mut faithful).await;
     }
     let count = || streams.iter().filter(|stream| is_open(stream)).count();
-    eventually(|| count() <= MOST_AT_REST).await;
+    eventually(|| count() <= MAX_IDLE).await;
     assert!(count() > 0, "some are kept");
     answered(&mut faithful).await;
 }
@@ -93,17 +93,17 @@
 /// Once those at rest are gone, new ones are kept again.
 #[tokio::test]
 async fn connections_are_kept_again_when_others_have_left() {
-    const MOST_AT_REST: usize = 4;
-    let (address, _stop) = listening(MOST_AT_REST).await;
+    const MAX_IDLE: usize = 4;
+    let (address, _stop) = listening(MAX_IDLE).await;
     for _ in 0..3 {
         let mut streams = Vec::new();
-        for _ in 0..2 * MOST_AT_REST {
+        for _ in 0..2 * MAX_IDLE {
             let mut stream = connected(address).await;
             answered(&mut stream).await;
             streams.push(stream);
         }
         let count = || streams.iter().filter(|stream| is_open(stream)).count();
-        eventually(|| count() <= MOST_AT_REST).await;
+        eventually(|| count() <= MAX_IDLE).await;
         drop(streams);
         // The listener learns of the closes in its own time.
         kept(address).await;
@@ -128,8 +128,8 @@
     const SIDE_BY_SIDE: usize = 150;
     let (address, _stop) = listening(usize::MAX).await;
     let idle = IdlePolicy {
-        longest: Duration::from_secs(3_600),
-        most: SIDE_BY_SIDE,
+        max_idle_time: Duration::from_secs(3_600),
+        max_connections: SIDE_BY_SIDE,
     };
     let pool = Pools::new(idle, Clock::start()).get(address);
     for is_first in [true, false] {
--- a/crates/bramblewheel-proxy/tests/sockets/liveness.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/liveness.rs
@@ -4,7 +4,7 @@
 use bramblewheel_process::logging::silent;
 use bramblewheel_proxy::http::body::AnswerBody;
 use bramblewheel_proxy::http::pool::{IdlePolicy, Pool, Pools};
-use bramblewheel_proxy::http::server::{Handler, KeepPolicy, bind, serve};
+use bramblewheel_proxy::http::server::{Handler, KeepAlivePolicy, bind, serve};
 use bramblewheel_proxy::outbound::liveness::Liveness;
 use bytes::Bytes;
 use http::{Request, Response};
@@ -18,8 +18,8 @@
 
 const REQUESTS: usize = 20;
 const IDLE: IdlePolicy = IdlePolicy {
-    longest: Duration::from_secs(60),
-    most: 64,
+    max_idle_time: Duration::from_secs(60),
+    max_connections: 64,
 };
 
 /// Counts questions, and answers them unless it is silent.
@@ -55,9 +55,9 @@
         questions: AtomicUsize::new(0),
         is_silent,
     });
-    let keep = KeepPolicy {
-        longest_rest: Arc::new(|| Duration::from_secs(3_600)),
-        most_at_rest: usize::MAX,
+    let keep = KeepAlivePolicy {
+        idle_timeout: Arc::new(|| Duration::from_secs(3_600)),
+        max_idle: usize::MAX,
     };
     let (stop, stopped) = watch::channel(false);
     let serving = serve(listener, Arc::clone(&daemon), keep, stopped, silent());
--- a/crates/bramblewheel-proxy/tests/sockets/planned_stops.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/planned_stops.rs
@@ -17,7 +17,7 @@
 use bramblewheel_process::logging::silent;
 use bramblewheel_proxy::Daemon;
 use bramblewheel_proxy::http::body::AnswerBody;
-use bramblewheel_proxy::http::server::{Handler, KeepPolicy, bind, serve};
+use bramblewheel_proxy::http::server::{Handler, KeepAlivePolicy, bind, serve};
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
 use hyper::body::Incoming;
@@ -184,9 +184,9 @@
         stream.write_all(request).await.expect("sent");
         callers.push(stream);
     }
-    let keep = KeepPolicy {
-        longest_rest: Arc::new(|| Duration::from_secs(5)),
-        most_at_rest: CALLERS,
+    let keep = KeepAlivePolicy {
+        idle_timeout: Arc::new(|| Duration::from_secs(5)),
+        max_idle: CALLERS,
     };
     let told_to_stop = watch::Sender::new(true);
     let stop = told_to_stop.subscribe();
--- a/crates/bramblewheel-proxy/tests/wire.rs
+++ b/crates/bramblewheel-proxy/tests/wire.rs
@@ -42,7 +42,7 @@
 fn a_handover_is_read_as_it_was_written() {
     let mut headers = HeaderMap::new();
     handover().write(&mut headers);
-    assert!(Handover::is_on(&headers));
+    assert!(Handover::is_present(&headers));
     assert_eq!(Handover::take(&mut headers), Ok(handover()));
     assert!(headers.is_empty(), "{headers:?}");
 }
