--- a/crates/bramblewheel-proxy/src/control/registrar.rs
+++ b/crates/bramblewheel-proxy/src/control/registrar.rs
@@ -23,7 +23,7 @@
 const RECORD_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before the next attempt to record an update.
 const PAUSE: Duration = Duration::from_millis(100);
-/// Time-out of record_task a final state; an endpoint that gets no acknowledgement reports again.
+/// Time-out of recording a final state; an endpoint that gets no acknowledgement reports again.
 const FINAL_STATE_TIMEOUT: Duration = Duration::from_millis(850);
 /// Number of heartbeats that may be missed before an endpoint counts as silent.
 const MISSED_HEARTBEATS: u32 = 4;
--- a/crates/bramblewheel-proxy/src/control/watch.rs
+++ b/crates/bramblewheel-proxy/src/control/watch.rs
@@ -183,7 +183,7 @@
             "routes" => routes, "tenants" => tenants, "position" => self.position.index);
     }
 
-    /// Adopts the endpoint that was local_updates this daemon before its restart.
+    /// Adopts the endpoint that was beside this daemon before its restart.
     fn adopt(&self, now: Timestamp, update: &EndpointUpdate) {
         let record = &update.record;
         match self.shared.local.adopt(now, record) {
--- a/crates/bramblewheel-proxy/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-proxy/src/inbound/dispatch.rs
@@ -340,7 +340,7 @@
     DispatchOutcome::Unanswered(result)
 }
 
-/// A request id as id_text for log lines; `?` if it is not visible ASCII.
+/// A request id as text for log lines; `?` if it is not visible ASCII.
 pub fn id_text(id: &HeaderValue) -> &str {
     id.to_str().unwrap_or("?")
 }
--- a/crates/bramblewheel-proxy/src/local/state.rs
+++ b/crates/bramblewheel-proxy/src/local/state.rs
@@ -21,7 +21,7 @@
 
 /// Maximum number of incarnations whose last sequence number or final state is kept, to bound memory.
 const MAX_INCARNATIONS: usize = 256;
-/// Weight of the newest outcome in the class_entry of failures.
+/// Weight of the newest outcome in the share of failures.
 const FAILURE_SMOOTHING: f64 = 0.05;
 /// Silence of the current incarnation after which a heartbeat of an earlier one is accepted: two and a half heartbeat
 /// periods. A heartbeat that was only delayed arrives while the current incarnation still sends its own.
@@ -55,7 +55,7 @@
     pub(super) current: Option<CurrentEndpoint>,
     pub(super) queue: AdmissionQueue,
     pub(super) class_limits: HashMap<RequestClass, ClassLimit>,
-    /// Fading class_entry of the requests that the endpoint failed.
+    /// Fading share of the requests that the endpoint failed.
     pub(super) failed: FadingShare,
     /// Channels that tell the requests in the queue whether they may run.
     pub(super) waiting: HashMap<Ticket, oneshot::Sender<bool>>,
--- a/crates/bramblewheel-proxy/src/outbound/mod.rs
+++ b/crates/bramblewheel-proxy/src/outbound/mod.rs
@@ -36,8 +36,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Upper bound on the idle time-out of callers' connections. Many callers guard a connection for each request and
-/// leave it guard. With this bound stated to callers, in a run without faults, daemons held 575 guard files instead
+/// Upper bound on the idle time-out of callers' connections. Many callers open a connection for each request and
+/// leave it open. With this bound stated to callers, in a run without faults, daemons held 575 open files instead
 /// of 1,149 and used 5.43 instead of 6.31 GB x s of memory (one run each).
 const MAX_CALLER_IDLE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
--- a/crates/bramblewheel-proxy/src/outbound/reply.rs
+++ b/crates/bramblewheel-proxy/src/outbound/reply.rs
@@ -16,7 +16,7 @@
 pub(super) enum Reply {
     /// The endpoint's answer.
     Answer(Box<Answer>),
-    /// The request is refused: it has not run and never will, and its caller may send it again retry_after.
+    /// The request is refused: it has not run and never will, and its caller may send it again later.
     Refusal(RefusalReason),
     /// The request has not run: its key is missing or belongs to no tenant.
     Unauthorized,
--- a/crates/bramblewheel-proxy/tests/endpoint_starts.rs
+++ b/crates/bramblewheel-proxy/tests/endpoint_starts.rs
@@ -1,8 +1,7 @@
-//! An endpoint that starts again and again under its name, with heartbeats that are delayed on their way and clocks
-//! that step between two starts, drawn by seed: the daemon serves the last start, and never one that has left or
-//! that was followed.
+//! Random histories of an endpoint that restarts repeatedly under its name, with delayed heartbeats, by seed: the
+//! daemon serves the last incarnation, and never one that has left or was superseded.
 //!
-//! Ways that are not safe are played on the same histories, and must be caught.
+//! Unsafe policies run on the same histories and must be detected.
 
 use bramblewheel_decisions::machine_identity::MachineIdentity;
 use bramblewheel_protocol::routing::{EndpointRecord, EndpointState};
@@ -12,27 +11,28 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashSet;
 
-/// Seeds in the usual run; 2,000 by hand with the variable of this name.
+/// Number of seeds by default; set [`SEEDS_VARIABLE`] to run more, for example 2,000.
 const SEEDS: u64 = 200;
+/// Environment variable with the number of seeds.
 const SEEDS_VARIABLE: &str = "ENDPOINT_START_SEEDS";
-/// Seeds within which an unsafe way must be caught.
-const CAUGHT_WITHIN: u64 = 20;
+/// Number of seeds within which an unsafe policy must be detected.
+const DETECTED_WITHIN: u64 = 20;
 /// Time between two heartbeats, in milliseconds.
 const HEARTBEAT: u64 = 1_500;
-/// Time from the first heartbeat of the last start in which it must be served.
+/// Time from the first heartbeat of the last incarnation within which it must be served, in milliseconds.
 const SERVED_WITHIN: u64 = 2_000;
 
-/// What is believed of heartbeats.
+/// How heartbeats are assigned to incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    /// As the daemon does it.
+enum Policy {
+    /// The policy of the daemon.
     Product,
-    /// The name alone is taken for the start.
+    /// Incarnations are not distinguished: the name alone identifies the endpoint.
     StartIgnored,
-    /// Once a name has left, it never opens again.
-    EndKeptForName,
-    /// What comes last counts, whatever start it is of.
-    LastWordCounts,
+    /// A name that has left never opens again.
+    FinalStateKeptForName,
+    /// The heartbeat that arrived last counts, whatever its incarnation.
+    LastHeartbeatCounts,
 }
 
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
     state: EndpointState,
 }
 
-/// The heartbeats of one endpoint's starts, in the order of their arrival, with the start that is the last.
+/// The heartbeats of one endpoint's incarnations in order of arrival.
 struct History {
     heartbeats: Vec<Heartbeat>,
     last_start: usize,
@@ -62,23 +62,23 @@
             let started = now;
             first_heartbeat_of_last = now;
             let is_last = start + 1 == starts;
-            let beats = if is_last {
+            let count = if is_last {
                 8
             } else {
                 random.random_range(1..8)
             };
             let mut sequence = 0;
-            for _ in 0..beats {
+            for _ in 0..count {
                 sequence += 1;
-                // Heartbeats of the last start arrive at once; those of the others may be delayed, some until long
-                // after its first.
-                let held = if !is_last && random.random_bool(0.3) {
+                // Heartbeats of the last incarnation arrive at once; earlier ones may be delayed, some until long
+                // after the first of the last incarnation.
+                let delay = if !is_last && random.random_bool(0.3) {
                     random.random_range(100..9_000)
                 } else {
                     1
                 };
                 heartbeats.push(Heartbeat {
-                    arrives: now + held,
+                    arrives: now + delay,
                     start,
                     started,
                     sequence,
@@ -115,9 +115,9 @@
     })
 }
 
-fn record(heartbeat: &Heartbeat, way: Way) -> EndpointRecord {
+fn record(heartbeat: &Heartbeat, policy: Policy) -> EndpointRecord {
     let endpoint = EndpointId::new("e").expect("a name");
-    let started = (way != Way::StartIgnored).then_some(heartbeat.started);
+    let started = (policy != Policy::StartIgnored).then_some(heartbeat.started);
     EndpointRecord {
         endpoint: endpoint.started_at(started),
         service: ServiceName::new("kassa").expect("a name"),
@@ -132,77 +132,84 @@
     }
 }
 
-/// Which start is open after each heartbeat, by the number of the start.
-struct Seen {
+/// Number of the open incarnation after each heartbeat, with the time of arrival.
+struct Observed {
     open: Vec<(u64, Option<usize>)>,
 }
 
-fn play(history: &History, way: Way) -> Seen {
+fn play(history: &History, policy: Policy) -> Observed {
     let local = local_endpoint();
     let mut has_left = false;
     let mut last = None;
     let mut open = Vec::new();
     for heartbeat in &history.heartbeats {
         has_left |= heartbeat.state.is_final();
-        let mut record = record(heartbeat, way);
-        if way == Way::LastWordCounts {
+        let mut record = record(heartbeat, policy);
+        if policy == Policy::LastHeartbeatCounts {
             last = (!heartbeat.state.is_final()).then_some(heartbeat.start);
             open.push((heartbeat.arrives, last));
             continue;
         }
-        let heard = local.take_heartbeat(Timestamp::from_millis(heartbeat.arrives), &mut record);
-        if heard == HeartbeatResult::Changed {
+        let result = local.take_heartbeat(Timestamp::from_millis(heartbeat.arrives), &mut record);
+        if result == HeartbeatResult::Changed {
             local.confirm(&record.endpoint, record.state);
         }
-        if heard != HeartbeatResult::Late && record.state == EndpointState::Ready {
+        if result != HeartbeatResult::Late && record.state == EndpointState::Ready {
             last = Some(heartbeat.start);
         }
-        let is_open = local.is_open() && !(way == Way::EndKeptForName && has_left);
+        let is_open = local.is_open() && !(policy == Policy::FinalStateKeptForName && has_left);
         open.push((heartbeat.arrives, last.filter(|_| is_open)));
     }
-    Seen { open }
+    Observed { open }
 }
 
-/// What is wrong with what was open: the last start is not served in time, or another one is after its first heartbeat.
-fn fault(history: &History, seen: &Seen) -> Option<String> {
+/// Describes a violation: the last incarnation is not open in time, or another one is open after its first heartbeat.
+fn fault(history: &History, observed: &Observed) -> Option<String> {
     let since = history.first_heartbeat_of_last + 1;
-    // Of heartbeats that arrive in the same millisecond the order is open.
-    let after = seen.open.iter().filter(|(at, _)| *at > since);
+    // The order of heartbeats that arrive in the same millisecond is undefined.
+    let after = observed.open.iter().filter(|(at, _)| *at > since);
     for (at, open) in after {
         if open.is_some_and(|start| start != history.last_start) {
-            return Some(format!("a former start is open at {at}"));
+            return Some(format!("an earlier incarnation is open at {at}"));
         }
         if open.is_none() && *at > since + SERVED_WITHIN {
-            return Some(format!("nothing is open at {at}, since {since}"));
+            return Some(format!("no incarnation is open at {at}, since {since}"));
         }
     }
     None
 }
 
 fn seeds() -> u64 {
-    let told = std::env::var(SEEDS_VARIABLE).ok();
-    told.and_then(|text| text.parse().ok()).unwrap_or(SEEDS)
+    let stated = std::env::var(SEEDS_VARIABLE).ok();
+    stated.and_then(|text| text.parse().ok()).unwrap_or(SEEDS)
 }
 
 #[test]
-fn the_last_start_is_served_and_no_former_one() {
-    let mut longest = HashSet::new();
+fn only_the_last_incarnation_is_served() {
+    let mut last_starts = HashSet::new();
     for seed in 0..seeds() {
         let history = History::draw(seed);
-        longest.insert(history.last_start);
-        let fault = fault(&history, &play(&history, Way::Product));
+        last_starts.insert(history.last_start);
+        let fault = fault(&history, &play(&history, Policy::Product));
         assert_eq!(fault, None, "seed {seed}");
     }
-    assert!(longest.len() >= 3, "histories of two to four starts");
+    assert!(
+        last_starts.len() >= 3,
+        "too few histories: expected two to four incarnations"
+    );
 }
 
 #[test]
-fn unsafe_ways_are_caught() {
-    for way in [Way::StartIgnored, Way::EndKeptForName, Way::LastWordCounts] {
-        let caught = (0..CAUGHT_WITHIN).find(|seed| {
+fn unsafe_policies_are_detected() {
+    for policy in [
+        Policy::StartIgnored,
+        Policy::FinalStateKeptForName,
+        Policy::LastHeartbeatCounts,
+    ] {
+        let detected = (0..DETECTED_WITHIN).find(|seed| {
             let history = History::draw(*seed);
-            fault(&history, &play(&history, way)).is_some()
+            fault(&history, &play(&history, policy)).is_some()
         });
-        assert!(caught.is_some(), "{way:?}");
+        assert!(detected.is_some(), "{policy:?}");
     }
 }
--- a/crates/bramblewheel-proxy/tests/foreign_heartbeats.rs
+++ b/crates/bramblewheel-proxy/tests/foreign_heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats that are not of the endpoint on the machine leave the local endpoint as it is, whatever else they say
-//! and whenever they come.
+//! Heartbeats that don't come from the machine's endpoint leave the state of the local endpoint unchanged, whatever
+//! their contents and time of arrival.
 
 use bramblewheel_decisions::machine_identity::{IdentityMismatch, MachineIdentity};
 use bramblewheel_protocol::routing::{EndpointRecord, EndpointState};
@@ -46,16 +46,16 @@
     }
 }
 
-/// Every combination of what a heartbeat of another writer may say, but for those that agree with the settings.
+/// All combinations of fields that a heartbeat of another sender may have, except those that agree with the settings.
 fn foreign() -> Vec<EndpointRecord> {
     let mut all = Vec::new();
-    let who = [
+    let senders = [
         ("nobody", "north"),
         ("pris", "north"),
         ("kassa", "south"),
         ("kassa", "north"),
     ];
-    for (service_name, zone_name) in who {
+    for (service_name, zone_name) in senders {
         for name in ["e", "e-elsewhere"] {
             for started in [None, Some(1), Some(STARTED), Some(LATER), Some(u64::MAX)] {
                 for sequence in [0, 3, 1_000_000] {
@@ -80,35 +80,35 @@
         }
     }
     all.retain(|record| {
-        let is_elsewhere = record.endpoint_address != SocketAddr::from(OWN_ADDRESS);
-        record.service != service("kassa") || record.zone != zone("north") || is_elsewhere
+        let is_at_other_address = record.endpoint_address != SocketAddr::from(OWN_ADDRESS);
+        record.service != service("kassa") || record.zone != zone("north") || is_at_other_address
     });
     all
 }
 
-/// What can be seen of the local endpoint.
+/// Observable state of the local endpoint after a heartbeat.
 #[derive(Debug, PartialEq, Eq)]
-struct Seen {
+struct Observed {
     result: HeartbeatResult,
     record: Option<EndpointRecord>,
     is_open: bool,
 }
 
-/// Takes a heartbeat, and confirms what is new as the control group does.
-fn take(local: &LocalEndpoint, millis: u64, record: &EndpointRecord) -> Seen {
+/// Takes a heartbeat, and confirms a change as the control group does.
+fn take(local: &LocalEndpoint, millis: u64, record: &EndpointRecord) -> Observed {
     let mut record = record.clone();
     let result = local.take_heartbeat(Timestamp::from_millis(millis), &mut record);
     if result == HeartbeatResult::Changed {
         local.confirm(&record.endpoint, record.state);
     }
-    Seen {
+    Observed {
         result,
         record: local.record(),
         is_open: local.is_open(),
     }
 }
 
-/// All orders of four.
+/// All permutations of four elements.
 fn orders() -> Vec<[usize; 4]> {
     let mut all = Vec::new();
     for a in 0..4 {
@@ -121,11 +121,12 @@
     all
 }
 
-/// Four heartbeats of the endpoint itself, in every order, with a foreign one before and after each: they are taken as without
-/// it. What users saw: one foreign heartbeat took an endpoint out of service, since its id, start, sequence number or state
-/// was kept before anything was compared with the settings (20 of 20 requests failed).
+/// Four heartbeats of the machine's endpoint, in every order, with a foreign one before and after each, have the same
+/// results as without it. Guards against a failure seen by users: a foreign heartbeat took an endpoint out of service
+/// (20 of 20 requests failed), because its id, start, sequence number or state was stored before it was compared with
+/// the settings.
 #[test]
-fn own_heartbeats_are_taken_as_without_foreign_ones() {
+fn foreign_heartbeats_do_not_change_the_results_of_own_ones() {
     let heartbeats = [
         own(STARTED, 2, EndpointState::Ready),
         own(STARTED, 4, EndpointState::Draining),
@@ -136,7 +137,7 @@
     assert_eq!(foreign.len(), 630);
     for order in orders() {
         let undisturbed = machine(Some("kassa"), Some(OWN_ADDRESS.into()));
-        let expected: Vec<Seen> = order
+        let expected: Vec<Observed> = order
             .iter()
             .zip(1..)
             .map(|(number, at)| take(&undisturbed, 100 * at, &heartbeats[*number]))
@@ -149,18 +150,18 @@
                     matches!(before.result, HeartbeatResult::Mismatch(_)),
                     "{record:?}"
                 );
-                let seen = take(&disturbed, 100 * at, &heartbeats[*number]);
-                assert_eq!(seen, *expected, "{order:?} {record:?}");
+                let observed = take(&disturbed, 100 * at, &heartbeats[*number]);
+                assert_eq!(observed, *expected, "{order:?} {record:?}");
                 take(&disturbed, 100 * at + 10, record);
             }
         }
     }
 }
 
-/// As many ids as heartbeats: nothing of the endpoint itself is displaced, also not from what is kept for a bounded number of
+/// Foreign heartbeats under 100,000 ids must not evict the machine's endpoint from tables with a bounded number of
 /// ids.
 #[test]
-fn a_flood_of_foreign_heartbeats_displaces_nothing() {
+fn flood_of_foreign_heartbeats_does_not_evict_the_own_endpoint() {
     let local = machine(Some("kassa"), Some(OWN_ADDRESS.into()));
     take(&local, 1, &own(STARTED, 5, EndpointState::Ready));
     take(&local, 2, &own(STARTED, 6, EndpointState::Draining));
@@ -174,40 +175,47 @@
     }
     let late = take(&local, 10_020, &own(STARTED, 4, EndpointState::Ready));
     assert_eq!(late.result, HeartbeatResult::Late);
-    assert!(!late.is_open, "its planned end is not forgotten");
+    assert!(
+        !late.is_open,
+        "the endpoint opened again after its planned stop"
+    );
 }
 
 #[test]
-fn the_first_difference_is_the_reason() {
-    let result_of = |local: &LocalEndpoint, record: EndpointRecord| take(local, 1, &record).result;
-    let of = HeartbeatResult::Mismatch;
+fn mismatch_names_the_first_field_that_differs() {
+    let take_result =
+        |local: &LocalEndpoint, record: EndpointRecord| take(local, 1, &record).result;
+    let mismatch = HeartbeatResult::Mismatch;
     let local = machine(Some("kassa"), Some(OWN_ADDRESS.into()));
     let ready = || own(STARTED, 1, EndpointState::Ready);
     let other = EndpointRecord {
         service: service("pris"),
         ..ready()
     };
-    assert_eq!(result_of(&local, other), of(IdentityMismatch::Service));
+    assert_eq!(
+        take_result(&local, other),
+        mismatch(IdentityMismatch::Service)
+    );
     let other = EndpointRecord {
         zone: zone("south"),
         ..ready()
     };
-    assert_eq!(result_of(&local, other), of(IdentityMismatch::Zone));
+    assert_eq!(take_result(&local, other), mismatch(IdentityMismatch::Zone));
     let other = EndpointRecord {
         endpoint_address: ([127, 0, 0, 2], 1).into(),
         ..ready()
     };
     assert_eq!(
-        result_of(&local, other.clone()),
-        of(IdentityMismatch::Address)
+        take_result(&local, other.clone()),
+        mismatch(IdentityMismatch::Address)
     );
-    assert_eq!(result_of(&local, ready()), HeartbeatResult::Changed);
+    assert_eq!(take_result(&local, ready()), HeartbeatResult::Changed);
     let any_address = machine(Some("kassa"), None);
-    assert_eq!(result_of(&any_address, other), HeartbeatResult::Changed);
+    assert_eq!(take_result(&any_address, other), HeartbeatResult::Changed);
     let without_endpoint = machine(None, None);
     assert_eq!(
-        result_of(&without_endpoint, ready()),
-        of(IdentityMismatch::NoEndpoint)
+        take_result(&without_endpoint, ready()),
+        mismatch(IdentityMismatch::NoEndpoint)
     );
     assert!(without_endpoint.record().is_none());
 }
--- a/crates/bramblewheel-proxy/tests/local_endpoint.rs
+++ b/crates/bramblewheel-proxy/tests/local_endpoint.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of the endpoint beside a daemon that come late or out of order.
+//! Heartbeats of the local endpoint that arrive late or out of order.
 
 use bramblewheel_decisions::machine_identity::MachineIdentity;
 use bramblewheel_protocol::routing::{EndpointRecord, EndpointState};
@@ -41,10 +41,10 @@
     local.record().expect("there is one").endpoint
 }
 
-/// A heartbeat that was delayed by a cut comes after its sender has crashed and another start of the endpoint
-/// has registered: the new one keeps its place.
+/// A heartbeat delayed by a network partition arrives after its sender has crashed and another incarnation has
+/// registered.
 #[test]
-fn a_late_word_of_an_earlier_start_changes_nothing() {
+fn late_heartbeat_of_an_earlier_incarnation_is_ignored() {
     let local = local_endpoint();
     assert_eq!(
         local.take_heartbeat(at(0), &mut ready("old", 1)),
@@ -68,15 +68,15 @@
     );
 }
 
-/// The first heartbeat that is heard of an earlier start comes late, and displaces the new one for a moment
-/// only.
+/// The first heartbeat received from an earlier incarnation arrives late and displaces the newer one, but only
+/// temporarily.
 #[test]
-fn a_start_that_was_displaced_by_mistake_comes_back() {
+fn incarnation_displaced_by_a_late_heartbeat_becomes_current_again() {
     let local = local_endpoint();
     local.take_heartbeat(at(0), &mut ready("new", 1));
     local.take_heartbeat(at(1_000), &mut ready("old", 3));
     assert_eq!(current(&local), id("old"));
-    // The old one says nothing more; another heartbeat of the new one is taken once that shows.
+    // The old one sends no more heartbeats; once it counts as silent, a heartbeat of the new one is accepted.
     assert_eq!(
         local.take_heartbeat(at(1_500), &mut ready("new", 2)),
         HeartbeatResult::Late
@@ -88,9 +88,9 @@
     assert_eq!(current(&local), id("new"));
 }
 
-/// Another endpoint answers at the address: the next heartbeat of whoever is there counts at once.
+/// After another endpoint has answered at the address, the next heartbeat is accepted at once.
 #[test]
-fn after_a_replacement_was_seen_the_next_word_counts() {
+fn next_heartbeat_after_a_detected_replacement_is_accepted() {
     let local = local_endpoint();
     local.take_heartbeat(at(0), &mut ready("new", 1));
     local.take_heartbeat(at(1_000), &mut ready("old", 3));
@@ -102,7 +102,7 @@
     assert_eq!(current(&local), id("new"));
 }
 
-/// A heartbeat of the start of `name` at a time.
+/// A heartbeat of the incarnation of `name` that started at the given time.
 fn heartbeat(name: &str, started: u64, sequence: u64, state: EndpointState) -> EndpointRecord {
     EndpointRecord {
         endpoint: id(name).started_at(Some(started)),
@@ -111,53 +111,52 @@
     }
 }
 
-/// Takes a heartbeat at a time, and confirms what is new as the control group does.
-fn say(local: &LocalEndpoint, millis: u64, mut record: EndpointRecord) -> HeartbeatResult {
-    let heard = local.take_heartbeat(at(millis), &mut record);
-    if heard == HeartbeatResult::Changed {
+/// Takes a heartbeat at the given time, and confirms a change as the control group does.
+fn take(local: &LocalEndpoint, millis: u64, mut record: EndpointRecord) -> HeartbeatResult {
+    let result = local.take_heartbeat(at(millis), &mut record);
+    if result == HeartbeatResult::Changed {
         local.confirm(&record.endpoint, record.state);
     }
-    heard
+    result
 }
 
-/// An endpoint that starts again under its name counts its heartbeats anew, and is served at once: after a crash,
-/// and after a planned end.
+/// An endpoint that restarts under its name, after a crash or a planned stop, restarts its sequence numbers and is
+/// accepted at once.
 #[test]
-fn a_start_under_the_same_name_is_taken_at_once() {
-    for ends_as_planned in [false, true] {
+fn restart_under_the_same_name_is_accepted_at_once() {
+    for has_planned_stop in [false, true] {
         let local = local_endpoint();
         for sequence in 1..20 {
-            say(
+            take(
                 &local,
                 sequence * 100,
                 heartbeat("e", 1_000, sequence, EndpointState::Ready),
             );
         }
-        if ends_as_planned {
-            say(
+        if has_planned_stop {
+            take(
                 &local,
                 2_000,
                 heartbeat("e", 1_000, 20, EndpointState::Draining),
             );
-            say(&local, 2_100, heartbeat("e", 1_000, 0, EndpointState::Gone));
+            take(&local, 2_100, heartbeat("e", 1_000, 0, EndpointState::Gone));
             assert!(!local.is_open());
         }
-        let heard = say(
+        let result = take(
             &local,
             2_500,
             heartbeat("e", 2_400, 1, EndpointState::Ready),
         );
-        assert_eq!(heard, HeartbeatResult::Changed);
+        assert_eq!(result, HeartbeatResult::Changed);
         assert!(local.is_open());
         assert_eq!(current(&local).started(), Some(2_400));
     }
 }
 
-/// Two heartbeats of a former start and two of the one that followed it, in every order in which they can arrive
-/// after the first heartbeat of the later start: nothing of the former start closes the later one or takes its
-/// place.
+/// Two heartbeats of an earlier incarnation and two of the later one arrive in every order after the first heartbeat
+/// of the later one: those of the earlier incarnation neither close nor replace the later one.
 #[test]
-fn words_of_a_former_start_change_nothing_in_any_order() {
+fn heartbeats_of_an_earlier_incarnation_are_ignored_in_any_order() {
     let heartbeats = [
         heartbeat("e", 1_000, 7, EndpointState::Ready),
         heartbeat("e", 1_000, 8, EndpointState::Draining),
@@ -170,14 +169,14 @@
             for c in (0..4).filter(|c| ![a, b].contains(c)) {
                 let d = 6 - a - b - c;
                 let local = local_endpoint();
-                say(&local, 0, heartbeat("e", 1_000, 6, EndpointState::Ready));
-                say(&local, 100, heartbeat("e", 2_000, 1, EndpointState::Ready));
+                take(&local, 0, heartbeat("e", 1_000, 6, EndpointState::Ready));
+                take(&local, 100, heartbeat("e", 2_000, 1, EndpointState::Ready));
                 for (place, number) in [a, b, c, d].into_iter().enumerate() {
                     let millis = 200 + place as u64 * 100;
-                    let heard = say(&local, millis, heartbeats[number].clone());
-                    let is_former = number < 2;
+                    let result = take(&local, millis, heartbeats[number].clone());
+                    let is_earlier = number < 2;
                     assert!(
-                        !is_former || heard == HeartbeatResult::Late,
+                        !is_earlier || result == HeartbeatResult::Late,
                         "{a}{b}{c}{d} {number}"
                     );
                     assert!(local.is_open(), "{a}{b}{c}{d}");
@@ -190,10 +189,10 @@
     assert_eq!(orders, 24);
 }
 
-/// The same four heartbeats without a first one of the later start: its first heartbeat opens it, whatever came before.
+/// The first heartbeat of a later incarnation opens it, at any position among three heartbeats of the earlier one.
 #[test]
-fn the_first_word_of_a_later_start_opens_it_in_any_order() {
-    let former = [
+fn first_heartbeat_of_a_later_incarnation_opens_it_in_any_order() {
+    let earlier = [
         heartbeat("e", 1_000, 7, EndpointState::Ready),
         heartbeat("e", 1_000, 8, EndpointState::Draining),
         heartbeat("e", 1_000, 0, EndpointState::Gone),
@@ -208,11 +207,13 @@
     ] {
         for place in 0..=3 {
             let local = local_endpoint();
-            let mut heartbeats: Vec<EndpointRecord> =
-                order.iter().map(|number| former[*number].clone()).collect();
+            let mut heartbeats: Vec<EndpointRecord> = order
+                .iter()
+                .map(|number| earlier[*number].clone())
+                .collect();
             heartbeats.insert(place, heartbeat("e", 2_000, 1, EndpointState::Ready));
             for (number, heartbeat) in heartbeats.into_iter().enumerate() {
-                say(&local, 100 * number as u64, heartbeat);
+                take(&local, 100 * number as u64, heartbeat);
             }
             assert!(local.is_open(), "{order:?} {place}");
             assert_eq!(current(&local).started(), Some(2_000));
@@ -220,16 +221,16 @@
     }
 }
 
-/// The clock stepped back between two starts: the heartbeats of the new one look late, but go on coming while the
-/// former is silent.
+/// The clock stepped back between two starts: the heartbeats of the new incarnation look late, but continue while the
+/// earlier one is silent.
 #[test]
-fn a_start_whose_clock_stepped_back_is_served_after_some_words() {
+fn restart_with_a_clock_stepped_back_is_accepted_after_some_heartbeats() {
     let local = local_endpoint();
-    say(&local, 0, heartbeat("e", 900_000, 9, EndpointState::Ready));
+    take(&local, 0, heartbeat("e", 900_000, 9, EndpointState::Ready));
     let mut opened_at = None;
     for sequence in 1..10 {
         let millis = 500 + sequence * 1_500;
-        say(
+        take(
             &local,
             millis,
             heartbeat("e", 5_000, sequence, EndpointState::Ready),
@@ -241,15 +242,15 @@
     assert_eq!(opened_at, Some(5_000));
 }
 
-/// Heartbeats that were delayed on their way come in one burst, after their sender has been followed by another
-/// start: also where that one is silent they open nothing, and nothing opens an endpoint again that has left.
+/// Delayed heartbeats of an earlier incarnation arrive in a burst. They don't open it, even if the later incarnation
+/// is silent, and they don't reopen an endpoint that has left.
 #[test]
-fn a_burst_of_words_that_were_held_up_opens_nothing() {
+fn burst_of_delayed_heartbeats_opens_nothing() {
     for has_left in [false, true] {
         let local = local_endpoint();
-        say(&local, 0, heartbeat("e", 2_000, 1, EndpointState::Ready));
+        take(&local, 0, heartbeat("e", 2_000, 1, EndpointState::Ready));
         if has_left {
-            say(
+            take(
                 &local,
                 100,
                 heartbeat("e", 2_000, 2, EndpointState::Draining),
@@ -257,57 +258,58 @@
         }
         for sequence in 5..15 {
             let spread = if has_left { 1_500 } else { 20 };
-            let heard = say(
+            let result = take(
                 &local,
                 10_000 + sequence * spread,
                 heartbeat("e", 1_000, sequence, EndpointState::Ready),
             );
-            assert_eq!(heard, HeartbeatResult::Late);
+            assert_eq!(result, HeartbeatResult::Late);
         }
         assert_eq!(local.is_open(), !has_left);
         assert_eq!(current(&local).started(), Some(2_000));
     }
 }
 
-/// A heartbeat that does not say when its sender started can't be placed once others did; a planned end without it
-/// is that of the latest start.
+/// A heartbeat without a start time can't be assigned to an incarnation once others stated one; a final state without
+/// a start time applies to the latest incarnation.
 #[test]
-fn a_word_without_a_start_is_left_out_after_one_with_it() {
+fn heartbeat_without_start_time_is_ignored_after_one_with_it() {
     let local = local_endpoint();
-    say(&local, 0, heartbeat("e", 2_000, 1, EndpointState::Ready));
+    take(&local, 0, heartbeat("e", 2_000, 1, EndpointState::Ready));
     assert_eq!(
-        say(&local, 100, ready("e", 50)),
+        take(&local, 100, ready("e", 50)),
         HeartbeatResult::MissingStart
     );
     assert!(local.is_open());
-    let mut end = EndpointRecord {
+    let mut final_heartbeat = EndpointRecord {
         state: EndpointState::Gone,
         ..ready("e", 0)
     };
     assert_eq!(
-        local.take_heartbeat(at(200), &mut end),
+        local.take_heartbeat(at(200), &mut final_heartbeat),
         HeartbeatResult::Changed
     );
-    assert_eq!(end.endpoint.started(), Some(2_000));
+    assert_eq!(final_heartbeat.endpoint.started(), Some(2_000));
     assert!(!local.is_open());
 }
 
-/// What runs at a start of the endpoint is given up once a later one is heard, also where its connections stay open.
+/// Requests running at an incarnation are given up after the first heartbeat of a later one, even if their
+/// connections stay open.
 #[tokio::test]
-async fn the_wait_for_a_former_start_ends_with_the_first_word_of_a_later_one() {
+async fn wait_for_a_later_incarnation_ends_with_its_first_heartbeat() {
     let local = std::sync::Arc::new(local_endpoint());
-    say(&local, 0, heartbeat("e", 1_000, 1, EndpointState::Ready));
+    take(&local, 0, heartbeat("e", 1_000, 1, EndpointState::Ready));
     let waiting = std::sync::Arc::clone(&local);
-    let former = id("e").started_at(Some(1_000));
-    let wait = tokio::spawn(async move { waiting.until_later_start(&former).await });
+    let earlier = id("e").started_at(Some(1_000));
+    let wait = tokio::spawn(async move { waiting.until_later_start(&earlier).await });
     tokio::task::yield_now().await;
-    say(&local, 60_000, ready("another", 1));
+    take(&local, 60_000, ready("another", 1));
     tokio::task::yield_now().await;
     assert!(!wait.is_finished());
-    say(
+    take(
         &local,
         61_000,
         heartbeat("e", 60_500, 1, EndpointState::Ready),
     );
-    wait.await.expect("it ends");
+    wait.await.expect("the wait ends");
 }
--- a/crates/bramblewheel-proxy/tests/pinned_metrics.rs
+++ b/crates/bramblewheel-proxy/tests/pinned_metrics.rs
@@ -1,4 +1,4 @@
-//! Names and labels of the metrics stay as they are: dashboards and alerts of the users hold them.
+//! Names and labels of the metrics don't change: users' dashboards and alerts depend on them.
 
 use bramblewheel_decisions::machine_identity::IdentityMismatch;
 use bramblewheel_decisions::retry_budget::BoundUse;
@@ -8,7 +8,7 @@
 use bramblewheel_types::ServiceName;
 use std::time::Duration;
 
-/// Metrics of a daemon and their kinds, by name.
+/// Metrics of a daemon and their types, sorted by name.
 const METRICS: [&str; 26] = [
     "bramblewheel_attempts counter",
     "bramblewheel_cancelled counter",
@@ -38,7 +38,7 @@
     "bramblewheel_without_lease counter",
 ];
 
-/// One line of each metric with labels.
+/// One line of each metric that has labels.
 const LABELLED: [&str; 11] = [
     "bramblewheel_requests_total{route=\"pay\",outcome=\"answered\"} 1",
     "bramblewheel_request_seconds_bucket{le=\"0.05\",route=\"pay\"} 1",
@@ -53,7 +53,7 @@
     "bramblewheel_retry_bound_allowed{service=\"kassa\"} 5.0",
 ];
 
-/// Metrics in which each one with labels has been set.
+/// Metrics in which each one that has labels was set once.
 fn metrics() -> Metrics {
     let metrics = Metrics::default();
     let service = ServiceName::new("kassa").expect("a name");
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn metrics_keep_their_names_and_kinds() {
+fn metric_names_and_types_are_unchanged() {
     let text = metrics().text();
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let mut types: Vec<&str> = types.collect();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn labels_keep_their_names() {
+fn label_names_are_unchanged() {
     let text = metrics().text();
     for line in LABELLED {
         assert!(text.lines().any(|shown| shown == line), "{line}\n{text}");
--- a/crates/bramblewheel-proxy/tests/pinned_wire.rs
+++ b/crates/bramblewheel-proxy/tests/pinned_wire.rs
@@ -1,4 +1,4 @@
-//! Headers between daemons stay as they are, in both directions: rolling restarts mix programs.
+//! Headers between daemons don't change, in either direction: during a rolling restart, versions are mixed.
 
 use bramblewheel_decisions::directory::LoadReport;
 use bramblewheel_decisions::request_class::RequestClass;
@@ -8,7 +8,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue};
 use std::time::Duration;
 
-/// A request with all that one daemon tells the other.
+/// A request with all headers.
 const FULL_REQUEST: [(&str, &str); 13] = [
     ("bw-endpoint", "kassa-1@1796256413478"),
     ("bw-rank", "1"),
@@ -25,7 +25,7 @@
     ("x-other", "stays"),
 ];
 
-/// A request with as little as a daemon tells.
+/// A request with the required headers only.
 const LEAST_REQUEST: [(&str, &str); 7] = [
     ("bw-endpoint", "kassa-1"),
     ("bw-rank", "1"),
@@ -36,7 +36,7 @@
     ("bw-wait-ms", "180"),
 ];
 
-/// An answer with all that is told.
+/// An answer with all headers.
 const FULL_ANSWER: [(&str, &str); 5] = [
     ("bw-result", "answered"),
     ("bw-load", "3,18,4"),
@@ -65,7 +65,7 @@
     fields.iter().map(field).collect()
 }
 
-fn full() -> Handover {
+fn full_handover() -> Handover {
     Handover {
         endpoint: EndpointId::new("kassa-1")
             .expect("a name")
@@ -84,7 +84,7 @@
     }
 }
 
-fn least() -> Handover {
+fn minimal_handover() -> Handover {
     Handover {
         endpoint: EndpointId::new("kassa-1").expect("a name"),
         root_rank: 1,
@@ -93,11 +93,11 @@
         tenant: None,
         content: None,
         retried_share: 0.0,
-        ..full()
+        ..full_handover()
     }
 }
 
-fn told() -> AnswerReport {
+fn full_report() -> AnswerReport {
     AnswerReport {
         load: Some(LoadReport {
             busy: 3,
@@ -111,49 +111,49 @@
 }
 
 #[test]
-fn requests_are_written_as_recorded() {
+fn written_requests_match_the_recorded_headers() {
     let mut written = headers(&[("x-other", "stays")]);
-    full().write(&mut written);
+    full_handover().write(&mut written);
     assert_eq!(written, headers(&FULL_REQUEST));
     let mut written = HeaderMap::new();
-    least().write(&mut written);
+    minimal_handover().write(&mut written);
     assert_eq!(written, headers(&LEAST_REQUEST));
 }
 
 #[test]
-fn recorded_requests_are_read() {
+fn recorded_request_headers_can_be_read() {
     let mut recorded = headers(&FULL_REQUEST);
-    assert_eq!(Handover::take(&mut recorded), Ok(full()));
+    assert_eq!(Handover::take(&mut recorded), Ok(full_handover()));
     assert_eq!(recorded, headers(&[("x-other", "stays")]));
     let mut recorded = headers(&LEAST_REQUEST);
-    assert_eq!(Handover::take(&mut recorded), Ok(least()));
+    assert_eq!(Handover::take(&mut recorded), Ok(minimal_handover()));
 }
 
-/// Daemons of earlier versions do not tell the rank of the tree.
+/// Daemons of earlier versions don't send the root rank.
 #[test]
-fn a_request_without_the_rank_of_its_tree_has_its_own() {
+fn missing_root_rank_defaults_to_the_rank_of_the_request() {
     let mut recorded = headers(&LEAST_REQUEST);
     recorded.remove("bw-root-rank");
-    assert_eq!(Handover::take(&mut recorded), Ok(least()));
+    assert_eq!(Handover::take(&mut recorded), Ok(minimal_handover()));
 }
 
 #[test]
-fn answers_are_written_as_recorded_and_recorded_ones_are_read() {
+fn written_answers_match_the_recorded_headers_and_can_be_read() {
     let mut written = HeaderMap::new();
-    told().write(AttemptResult::Answered, &mut written);
+    full_report().write(AttemptResult::Answered, &mut written);
     assert_eq!(written, headers(&FULL_ANSWER));
     let mut recorded = headers(&FULL_ANSWER);
     let taken = AnswerReport::take(&mut recorded);
-    assert_eq!(taken, Some((AttemptResult::Answered, told())));
+    assert_eq!(taken, Some((AttemptResult::Answered, full_report())));
 }
 
 #[test]
-fn results_keep_their_words() {
-    for (result, word) in RESULTS {
+fn result_values_are_unchanged() {
+    for (result, value) in RESULTS {
         let mut written = HeaderMap::new();
         AnswerReport::default().write(result, &mut written);
-        assert_eq!(written, headers(&[("bw-result", word)]));
-        let taken = AnswerReport::take(&mut headers(&[("bw-result", word)]));
+        assert_eq!(written, headers(&[("bw-result", value)]));
+        let taken = AnswerReport::take(&mut headers(&[("bw-result", value)]));
         assert_eq!(taken, Some((result, AnswerReport::default())));
     }
 }
--- a/crates/bramblewheel-proxy/tests/sockets/bounds.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/bounds.rs
@@ -1,8 +1,8 @@
-//! What callers and endpoints do at the edges: slow readers, early answers, long heads, daemons that
-//! know nothing yet, connections that rest.
+//! Edge cases of callers and endpoints: slow readers, early answers, long heads and bodies, daemons without a route
+//! table, idle connections.
 
-use crate::support::endpoint::Act;
-use crate::support::{HOST, LONGEST_BODY, Mesh, eventually};
+use crate::support::endpoint::Behavior;
+use crate::support::{HOST, MAX_BODY_BYTES, TestCluster, wait_until};
 use bramblewheel_proxy::http::fields;
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode};
@@ -10,8 +10,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// More than the sockets' buffers on the way hold together, far less than the whole body.
-const MOST_BUFFERED: usize = 128 << 20;
+/// More than all socket buffers on the path hold together, far less than the whole body.
+const MAX_BUFFERED: usize = 128 << 20;
 
 fn head(path: &str, id: &str, length: usize) -> String {
     format!(
@@ -20,96 +20,99 @@
     )
 }
 
-async fn connected(mesh: &Mesh) -> TcpStream {
-    let address = mesh.daemons[0].shared().settings.outbound;
+async fn connected(cluster: &TestCluster) -> TcpStream {
+    let address = cluster.daemons[0].shared().settings.outbound;
     TcpStream::connect(address).await.expect("it listens")
 }
 
-/// A caller that reads nothing holds the endpoint up; the daemons don't collect the body.
+/// The daemons must not buffer an answer that the caller doesn't read.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_does_not_read_holds_the_endpoint_up() {
-    let mesh = Mesh::start(2).await;
-    for endpoint in &mesh.endpoints {
-        endpoint.script(&[Act::Endless]);
+async fn caller_that_does_not_read_blocks_the_endpoint() {
+    let cluster = TestCluster::start(2).await;
+    for endpoint in &cluster.endpoints {
+        endpoint.script(&[Behavior::Endless]);
     }
-    let mut stream = connected(&mesh).await;
+    let mut stream = connected(&cluster).await;
     let request = head("/safe/item", "r-1", 0);
     stream.write_all(request.as_bytes()).await.expect("open");
-    let written = || mesh.endpoints.iter().map(|e| e.written()).sum::<usize>();
-    eventually(|| written() > 0).await;
+    let written = || cluster.endpoints.iter().map(|e| e.written()).sum::<usize>();
+    wait_until(|| written() > 0).await;
     let mut before = 0;
     while written() > before {
         before = written();
-        assert!(before < MOST_BUFFERED, "{before} bytes were taken");
+        assert!(before < MAX_BUFFERED, "{before} bytes were buffered");
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
 }
 
-/// What comes of a body after its answer belongs to no request.
+/// The rest of a body that arrives after the answer must not be taken for a request.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_may_come_before_the_body_has_arrived() {
+async fn answer_may_come_before_the_body_has_arrived() {
     const LENGTH: usize = 300_000;
-    let mesh = Mesh::start(1).await;
-    mesh.endpoints[0].script(&[Act::Early]);
-    let mut stream = connected(&mesh).await;
+    let cluster = TestCluster::start(1).await;
+    cluster.endpoints[0].script(&[Behavior::Early]);
+    let mut stream = connected(&cluster).await;
     let request = head("/safe/item", "r-1", LENGTH);
     stream.write_all(request.as_bytes()).await.expect("open");
-    // Enough to be passed on before the rest has come.
+    // Long enough to be streamed before the rest has arrived.
     let part = vec![b'x'; 2 * LENGTH / 3];
     stream.write_all(&part).await.expect("open");
     let mut answer = [0; 15];
     stream.read_exact(&mut answer).await.expect("an answer");
     assert_eq!(&answer, b"HTTP/1.1 200 OK");
-    // The rest of the body looks like a request, and must not become one.
+    // The rest of the body looks like requests.
     let smuggled = head("/safe/item", "smuggled", 0).repeat(1_000);
     let rest = &smuggled.as_bytes()[..LENGTH - part.len()];
     let _ = stream.write_all(rest).await;
     for number in 2..6 {
         let id = format!("r-{number}");
-        let answer = mesh.call(0, "/safe/item", &id).await.expect("an answer");
+        let answer = cluster.call(0, "/safe/item", &id).await.expect("an answer");
         assert_eq!(answer.status, StatusCode::OK);
         assert!(answer.body.ends_with(id.as_bytes()));
     }
-    let arrivals = mesh.endpoints[0].arrivals();
+    let arrivals = cluster.endpoints[0].arrivals();
     assert!(arrivals.iter().all(|arrival| arrival.id != "smuggled"));
 }
 
 #[tokio::test]
-async fn a_head_that_is_too_long_is_refused_and_sent_nowhere() {
-    let mesh = Mesh::start(1).await;
+async fn request_with_a_head_that_is_too_long_is_refused() {
+    let cluster = TestCluster::start(1).await;
     let long = "x".repeat(200_000);
     let headers = [("bw-request-id", "r-1"), ("x-long", long.as_str())];
-    let answer = mesh
+    let answer = cluster
         .call_with(0, "/safe/item", &headers, Bytes::new())
         .await;
     if let Ok(answer) = answer {
         let refusal = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
         assert_eq!(answer.status, refusal);
     }
-    assert!(mesh.endpoints[0].arrivals().is_empty());
-    let answer = mesh.call(0, "/safe/item", "r-2").await.expect("an answer");
+    assert!(cluster.endpoints[0].arrivals().is_empty());
+    let answer = cluster
+        .call(0, "/safe/item", "r-2")
+        .await
+        .expect("an answer");
     assert_eq!(answer.status, StatusCode::OK);
 }
 
-/// A body that says how long it is gets a clear answer; one that does not is cut off, and what it
-/// was is not told as run or not run.
+/// A body with a content length is refused with status 413. A chunked body is cut off while it is streamed, so that
+/// its answer doesn't tell whether the request ran.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_body_that_is_too_long_does_not_get_through() {
-    let mesh = Mesh::start(1).await;
-    let mut stream = connected(&mesh).await;
-    let long = head("/safe/item", "r-1", LONGEST_BODY + 1);
+async fn body_that_is_too_long_is_not_passed_on_completely() {
+    let cluster = TestCluster::start(1).await;
+    let mut stream = connected(&cluster).await;
+    let long = head("/safe/item", "r-1", MAX_BODY_BYTES + 1);
     stream.write_all(long.as_bytes()).await.expect("open");
     let mut answer = [0; 12];
     stream.read_exact(&mut answer).await.expect("an answer");
     assert_eq!(&answer, b"HTTP/1.1 413");
-    assert!(mesh.endpoints[0].arrivals().is_empty());
-    let mut stream = connected(&mesh).await;
+    assert!(cluster.endpoints[0].arrivals().is_empty());
+    let mut stream = connected(&cluster).await;
     let head =
         head("/safe/item", "r-2", 0).replace("content-length: 0", "transfer-encoding: chunked");
     stream.write_all(head.as_bytes()).await.expect("open");
     let piece = format!("10000\r\n{}\r\n", "x".repeat(0x1_0000));
-    for _ in 0..=LONGEST_BODY / 0x1_0000 {
-        // It may have been cut off by now.
+    for _ in 0..=MAX_BODY_BYTES / 0x1_0000 {
+        // The connection may have been closed by now.
         let _ = stream.write_all(piece.as_bytes()).await;
     }
     let _ = stream.write_all(b"0\r\n\r\n").await;
@@ -117,63 +120,67 @@
     let _ = stream.read_to_end(&mut answer).await;
     let answer = String::from_utf8_lossy(&answer);
     assert!(!answer.starts_with("HTTP/1.1 200"), "{answer}");
-    let whole = LONGEST_BODY + 0x1_0000;
-    let arrivals = mesh.endpoints[0].arrivals();
+    let whole = MAX_BODY_BYTES + 0x1_0000;
+    let arrivals = cluster.endpoints[0].arrivals();
     assert!(arrivals.iter().all(|arrival| arrival.body_bytes < whole));
-    let answer = mesh.call(0, "/safe/item", "r-3").await.expect("an answer");
+    let answer = cluster
+        .call(0, "/safe/item", "r-3")
+        .await
+        .expect("an answer");
     assert_eq!(answer.status, StatusCode::OK);
 }
 
-/// "Not found" is the word of a configuration; a daemon that has none says when to come back.
+/// Without a route table a daemon can't tell whether a route exists: it answers 503 with `Retry-After`, and 404 only
+/// once it has a table.
 #[tokio::test]
-async fn a_daemon_that_knows_no_configuration_says_unavailable() {
-    let mut mesh = Mesh::start(0).await;
-    let nobody = "127.0.0.1:9".parse().expect("an address");
-    let lonely = mesh.start_daemon(0, nobody).await;
-    mesh.daemons.push(lonely);
-    assert!(!mesh.daemons[0].shared().is_ready());
-    let answer = mesh.call(0, "/other/", "r-1").await.expect("an answer");
+async fn daemon_without_a_route_table_answers_service_unavailable() {
+    let mut cluster = TestCluster::start(0).await;
+    let unreachable = "127.0.0.1:9".parse().expect("an address");
+    let isolated = cluster.start_daemon(0, unreachable).await;
+    cluster.daemons.push(isolated);
+    assert!(!cluster.daemons[0].shared().is_ready());
+    let answer = cluster.call(0, "/other/", "r-1").await.expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers.contains_key("retry-after"));
-    let replica = mesh.control.addresses()[0];
-    let mut told = Mesh::start(0).await;
-    let daemon = told.start_daemon(1, told.control.addresses()[0]).await;
-    told.daemons.push(daemon);
-    assert_ne!(replica, told.control.addresses()[0]);
-    eventually(|| told.daemons[0].shared().is_ready()).await;
-    let answer = told.call(0, "/other/", "r-2").await.expect("an answer");
+    let replica = cluster.control.addresses()[0];
+    let mut other = TestCluster::start(0).await;
+    let daemon = other.start_daemon(1, other.control.addresses()[0]).await;
+    other.daemons.push(daemon);
+    assert_ne!(replica, other.control.addresses()[0]);
+    wait_until(|| other.daemons[0].shared().is_ready()).await;
+    let answer = other.call(0, "/other/", "r-2").await.expect("an answer");
     assert_eq!(answer.status, StatusCode::NOT_FOUND);
 }
 
-/// One request is lost on a connection that the endpoint forgot, and not one after each rest.
+/// Only the first request is lost on a connection that the endpoint dropped, not one after each idle time.
 #[tokio::test]
-async fn connections_that_an_endpoint_forgets_are_not_used_again() {
-    let mesh = Mesh::start(1).await;
-    mesh.endpoints[0].forget_idle_after(Duration::from_millis(100));
+async fn connections_idle_for_as_long_as_a_lost_one_are_not_reused() {
+    let cluster = TestCluster::start(1).await;
+    cluster.endpoints[0].drop_idle_after(Duration::from_millis(100));
     let mut lost = 0;
     for number in 0..8 {
         let id = format!("r-{number}");
-        let answer = mesh.call(0, "/once/pay", &id).await.expect("an answer");
+        let answer = cluster.call(0, "/once/pay", &id).await.expect("an answer");
         lost += u32::from(answer.status != StatusCode::OK);
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
     assert_eq!(lost, 1);
 }
 
-/// Callers are told less than the time for which their connections are kept, or nothing.
+/// The time-out stated to callers is shorter than the idle time-out of their connections, or absent.
 #[test]
-fn callers_are_told_for_how_long_connections_are_kept() {
+fn stated_keep_alive_time_out_is_shorter_than_the_idle_time_out() {
     for millis in [0, 500, 1_000, 1_700, 3_500, 15_000] {
-        let rest = Duration::from_millis(millis);
+        let idle_timeout = Duration::from_millis(millis);
         let mut headers = HeaderMap::new();
-        if let Some(told) = fields::keep_alive(rest) {
-            headers.insert(fields::KEEP_ALIVE, told);
+        if let Some(stated) = fields::keep_alive(idle_timeout) {
+            headers.insert(fields::KEEP_ALIVE, stated);
         }
-        let told = fields::idle_timeout(&headers);
-        assert_eq!(told.is_some(), millis >= 1_700, "{rest:?}");
+        let stated = fields::idle_timeout(&headers);
+        assert_eq!(stated.is_some(), millis >= 1_700, "{idle_timeout:?}");
         assert!(
-            told.is_none_or(|told| told * 5 <= rest * 4),
-            "{told:?} of {rest:?}"
+            stated.is_none_or(|stated| stated * 5 <= idle_timeout * 4),
+            "{stated:?} of {idle_timeout:?}"
         );
     }
 }
--- a/crates/bramblewheel-proxy/tests/sockets/connections.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/connections.rs
@@ -1,6 +1,6 @@
-//! Which connections are kept between two requests, by a listener and by a pool.
+//! Idle connections: which ones a listener and a pool keep.
 
-use crate::support::eventually;
+use crate::support::wait_until;
 use bramblewheel_process::clock::Clock;
 use bramblewheel_process::logging::silent;
 use bramblewheel_proxy::http::body::AnswerBody;
@@ -28,9 +28,8 @@
     }
 }
 
-/// A listener that keeps connections for as long as the test runs, but for those beyond
-/// `max_idle`.
-async fn listening(max_idle: usize) -> (SocketAddr, watch::Sender<bool>) {
+/// Starts a listener that keeps up to `max_idle` idle connections for as long as the test runs.
+async fn start_listener(max_idle: usize) -> (SocketAddr, watch::Sender<bool>) {
     let any = "127.0.0.1:0".parse().expect("an address");
     let listener = bind(any).await.expect("a free port");
     let address = listener.local_addr().expect("bound");
@@ -53,13 +52,13 @@
     TcpStream::connect(address).await.expect("it listens")
 }
 
-/// Sends a request, and reads its answer to the end of the body.
-async fn answered(stream: &mut TcpStream) {
+/// Sends a request and reads its answer to the end of the body.
+async fn send_request(stream: &mut TcpStream) {
     stream.write_all(REQUEST).await.expect("open");
     let mut answer = Vec::new();
     while !answer.ends_with(BODY.as_bytes()) {
         let read = stream.read_buf(&mut answer).await.expect("open");
-        assert!(read > 0, "closed before the answer");
+        assert!(read > 0, "connection closed before the end of the answer");
     }
 }
 
@@ -68,53 +67,53 @@
     error.is_some_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// Callers that open a connection for each request and leave it open don't use up memory and
-/// descriptors; one that uses its connection again keeps it.
+/// Callers that open a connection for each request and leave it open must not exhaust memory and file descriptors. A
+/// caller that reuses its connection keeps it.
 #[tokio::test]
-async fn few_connections_are_kept_at_rest() {
+async fn idle_connections_beyond_the_limit_are_closed() {
     const CALLERS: usize = 60;
     const MAX_IDLE: usize = 8;
-    let (address, _stop) = listening(MAX_IDLE).await;
-    let mut faithful = connected(address).await;
-    answered(&mut faithful).await;
+    let (address, _stop) = start_listener(MAX_IDLE).await;
+    let mut reused_stream = connected(address).await;
+    send_request(&mut reused_stream).await;
     let mut streams = Vec::new();
     for _ in 0..CALLERS {
         let mut stream = connected(address).await;
-        answered(&mut stream).await;
+        send_request(&mut stream).await;
         streams.push(stream);
-        answered(&mut faithful).await;
+        send_request(&mut reused_stream).await;
     }
     let count = || streams.iter().filter(|stream| is_open(stream)).count();
-    eventually(|| count() <= MAX_IDLE).await;
-    assert!(count() > 0, "some are kept");
-    answered(&mut faithful).await;
+    wait_until(|| count() <= MAX_IDLE).await;
+    assert!(count() > 0, "no idle connection was kept");
+    send_request(&mut reused_stream).await;
 }
 
-/// Once those at rest are gone, new ones are kept again.
+/// Once idle connections are closed by their callers, new ones are kept again.
 #[tokio::test]
-async fn connections_are_kept_again_when_others_have_left() {
+async fn new_connections_are_kept_after_idle_ones_were_closed() {
     const MAX_IDLE: usize = 4;
-    let (address, _stop) = listening(MAX_IDLE).await;
+    let (address, _stop) = start_listener(MAX_IDLE).await;
     for _ in 0..3 {
         let mut streams = Vec::new();
         for _ in 0..2 * MAX_IDLE {
             let mut stream = connected(address).await;
-            answered(&mut stream).await;
+            send_request(&mut stream).await;
             streams.push(stream);
         }
         let count = || streams.iter().filter(|stream| is_open(stream)).count();
-        eventually(|| count() <= MAX_IDLE).await;
+        wait_until(|| count() <= MAX_IDLE).await;
         drop(streams);
-        // The listener learns of the closes in its own time.
-        kept(address).await;
+        // The listener may notice the closed connections with a delay.
+        wait_until_kept(address).await;
     }
 }
 
-/// Until a new connection is kept.
-async fn kept(address: SocketAddr) {
+/// Waits until a new connection is kept.
+async fn wait_until_kept(address: SocketAddr) {
     loop {
         let mut stream = connected(address).await;
-        answered(&mut stream).await;
+        send_request(&mut stream).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
         if is_open(&stream) {
             return;
@@ -122,23 +121,23 @@
     }
 }
 
-/// When many requests end together, the connections serve as many the next time.
+/// When many requests end together, their connections are reused by as many later requests.
 #[tokio::test]
-async fn a_pool_keeps_as_many_connections_as_were_used_side_by_side() {
-    const SIDE_BY_SIDE: usize = 150;
-    let (address, _stop) = listening(usize::MAX).await;
-    let idle = IdlePolicy {
+async fn pool_keeps_as_many_connections_as_were_used_concurrently() {
+    const CONCURRENT: usize = 150;
+    let (address, _stop) = start_listener(usize::MAX).await;
+    let idle_policy = IdlePolicy {
         max_idle_time: Duration::from_secs(3_600),
-        max_connections: SIDE_BY_SIDE,
+        max_connections: CONCURRENT,
     };
-    let pool = Pools::new(idle, Clock::start()).get(address);
+    let pool = Pools::new(idle_policy, Clock::start()).get(address);
     for is_first in [true, false] {
         let mut leases = Vec::new();
-        for _ in 0..SIDE_BY_SIDE {
+        for _ in 0..CONCURRENT {
             leases.push(pool.acquire().await.expect("it listens"));
         }
         let reused = leases.iter().filter(|lease| lease.is_reused).count();
-        assert_eq!(reused, if is_first { 0 } else { SIDE_BY_SIDE });
+        assert_eq!(reused, if is_first { 0 } else { CONCURRENT });
         for mut lease in leases {
             lease.sender().ready().await.expect("open");
             lease.is_request_sent.store(true, Ordering::Release);
--- a/crates/bramblewheel-proxy/tests/sockets/liveness.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/liveness.rs
@@ -1,4 +1,4 @@
-//! Questions whether another daemon answers: how many are asked, and what they find.
+//! Liveness probes of other daemons: how many are sent, and their results.
 
 use bramblewheel_process::clock::Clock;
 use bramblewheel_process::logging::silent;
@@ -22,15 +22,15 @@
     max_connections: 64,
 };
 
-/// Counts questions, and answers them unless it is silent.
+/// Counts probes, and answers them unless it is silent.
 struct Daemon {
-    questions: AtomicUsize,
+    probes: AtomicUsize,
     is_silent: bool,
 }
 
 impl Handler for Daemon {
     async fn handle(self: Arc<Self>, _: Request<Incoming>) -> Response<AnswerBody> {
-        self.questions.fetch_add(1, Ordering::Relaxed);
+        self.probes.fetch_add(1, Ordering::Relaxed);
         if self.is_silent {
             std::future::pending::<()>().await;
         }
@@ -39,7 +39,7 @@
     }
 }
 
-struct Scene {
+struct Fixture {
     daemon: Arc<Daemon>,
     address: SocketAddr,
     liveness: Arc<Liveness>,
@@ -47,12 +47,12 @@
     _stop: watch::Sender<bool>,
 }
 
-async fn scene(is_silent: bool) -> Scene {
+async fn fixture(is_silent: bool) -> Fixture {
     let any = "127.0.0.1:0".parse().expect("an address");
     let listener = bind(any).await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     let daemon = Arc::new(Daemon {
-        questions: AtomicUsize::new(0),
+        probes: AtomicUsize::new(0),
         is_silent,
     });
     let keep = KeepAlivePolicy {
@@ -62,7 +62,7 @@
     let (stop, stopped) = watch::channel(false);
     let serving = serve(listener, Arc::clone(&daemon), keep, stopped, silent());
     tokio::spawn(serving);
-    Scene {
+    Fixture {
         daemon,
         address,
         liveness: Arc::default(),
@@ -71,46 +71,46 @@
     }
 }
 
-impl Scene {
-    /// What requests that come at the same time learn of the daemon.
-    async fn ask(&self, is_repeatable: bool) -> Vec<bool> {
+impl Fixture {
+    /// Checks the daemon for several requests at the same time; returns the results.
+    async fn check_concurrently(&self, is_repeatable: bool) -> Vec<bool> {
         let clock = Clock::start();
-        let mut asking = JoinSet::new();
+        let mut checks = JoinSet::new();
         for _ in 0..REQUESTS {
             let (liveness, pool) = (Arc::clone(&self.liveness), Arc::clone(&self.pool));
             let address = self.address;
-            asking.spawn(async move {
+            checks.spawn(async move {
                 liveness
                     .is_responsive(clock, address, &pool, is_repeatable)
                     .await
             });
         }
-        asking.join_all().await
+        checks.join_all().await
     }
 
-    fn questions(&self) -> usize {
-        self.daemon.questions.load(Ordering::Relaxed)
+    fn probes(&self) -> usize {
+        self.daemon.probes.load(Ordering::Relaxed)
     }
 }
 
 #[tokio::test]
-async fn one_question_serves_all_requests_for_a_daemon() {
-    let scene = scene(false).await;
-    assert_eq!(scene.ask(false).await, [true; REQUESTS]);
-    assert_eq!(scene.questions(), 1);
+async fn concurrent_requests_share_one_probe() {
+    let fixture = fixture(false).await;
+    assert_eq!(fixture.check_concurrently(false).await, [true; REQUESTS]);
+    assert_eq!(fixture.probes(), 1);
 }
 
 #[tokio::test]
-async fn a_silent_daemon_is_found_out_once_for_all() {
-    let scene = scene(true).await;
-    assert_eq!(scene.ask(false).await, [false; REQUESTS]);
-    assert_eq!(scene.questions(), 1);
+async fn concurrent_requests_share_one_failed_probe() {
+    let fixture = fixture(true).await;
+    assert_eq!(fixture.check_concurrently(false).await, [false; REQUESTS]);
+    assert_eq!(fixture.probes(), 1);
 }
 
-/// Opening a connection shows already that the machine is there.
+/// Opening a connection already shows that the machine is reachable.
 #[tokio::test]
-async fn a_request_that_can_be_repeated_and_opens_a_connection_asks_nothing() {
-    let scene = scene(false).await;
-    assert_eq!(scene.ask(true).await, [true; REQUESTS]);
-    assert_eq!(scene.questions(), 0);
+async fn repeatable_request_on_a_new_connection_is_sent_without_a_probe() {
+    let fixture = fixture(false).await;
+    assert_eq!(fixture.check_concurrently(true).await, [true; REQUESTS]);
+    assert_eq!(fixture.probes(), 0);
 }
--- a/crates/bramblewheel-proxy/tests/sockets/main.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! The routed data path over sockets, with a real control replica and scripted endpoints.
+//! Tests of the routed data path over sockets, with a real control replica and scripted endpoints.
 
 mod bounds;
 mod connections;
--- a/crates/bramblewheel-proxy/tests/sockets/planned_stops.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/planned_stops.rs
@@ -1,18 +1,18 @@
-//! Planned stops over sockets: what is in progress gets an answer, and the answer is true.
+//! Planned stops over sockets: every request in progress gets an answer, and the answer is true.
 //!
-//! Users saw, on two deployments, callers' connections closed without a whole answer around planned stops while the
-//! fleet was overloaded: pages of thumbnails, and clearances that may run once only. The order of events: a daemon is told to
-//! stop; its callers go on sending on the connections that they have; it takes some of their requests late; endpoints
-//! work on them when the process ends. The cause: whether a request is let in before the end by force was
-//! decided by time alone, later by a guess whether an endpoint makes it. The guess comes from where the requests of a route arrive;
-//! a route whose callers look few is taken for one of endpoints' calls, and nothing ended what had been let in by mistake.
+//! Guards against a failure seen on two deployments: during planned stops under overload, callers' connections were
+//! closed without a whole answer, also for requests that may run only once. Callers kept sending on open connections,
+//! the daemon admitted some of their requests late, and endpoints were still running them when the process ended.
+//! Whether to admit a late request was decided by time alone, later by a guess whether an endpoint makes it; a route
+//! with few callers was mistaken for one that only endpoints call, and nothing answered the requests admitted by
+//! mistake.
 //!
-//! The evidence: real processes under long work and full slots. The program that users ran cut off a clearance sent 4.907 s
-//! after the order, with 0.8 s of its own, at 5.505 s; the one before the repair took requests of one route only until its end, after it had
-//! logged that this route is one of calls: one sent at 5.033 s was cut off at 5.753 s.
+//! With real processes, long work and full slots, the first version cut off a request with a time-out of 0.8 s, sent
+//! 4.907 s after the order to stop, at 5.505 s. The second one cut off a request sent at 5.033 s at 5.753 s, after it
+//! had logged that the route is called by endpoints.
 
-use crate::support::endpoint::Act;
-use crate::support::{HOST, Mesh, call_on, eventually};
+use crate::support::endpoint::Behavior;
+use crate::support::{HOST, TestCluster, call_on, wait_until};
 use bramblewheel_decisions::request_class::RequestClass;
 use bramblewheel_process::logging::silent;
 use bramblewheel_proxy::Daemon;
@@ -29,8 +29,8 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Sends one request after the other, each on a connection of its own, until nobody listens any more; returns the ids of
-/// those that got no answer, of all that were sent.
+/// Sends requests in sequence, each on its own connection, until the listener is closed; returns the ids of those
+/// without an answer and the number of all requests sent.
 async fn unanswered(address: SocketAddr, path: &'static str) -> (Vec<String>, usize) {
     let mut calls = JoinSet::new();
     for number in 0.. {
@@ -51,15 +51,16 @@
     (without.map(|(id, _)| id).collect(), count)
 }
 
-/// Those of the requests that reached an endpoint.
-fn that_ran(mesh: &Mesh, ids: &[String]) -> Vec<String> {
-    let arrivals = mesh.endpoints.iter().flat_map(|e| e.arrivals());
+/// The requests among `ids` that reached an endpoint.
+fn reached_endpoints(cluster: &TestCluster, ids: &[String]) -> Vec<String> {
+    let arrivals = cluster.endpoints.iter().flat_map(|e| e.arrivals());
     let ran: Vec<String> = arrivals.map(|arrival| arrival.id).collect();
     ids.iter().filter(|id| ran.contains(id)).cloned().collect()
 }
 
-/// Makes the daemon take a route for one that only endpoints call, as other daemons tell it where the route's callers look few.
-fn take_for_calls(daemon: &Daemon, path: &str) {
+/// Makes the daemon consider a route as called by endpoints only, as reports of other daemons do if it has few
+/// callers.
+fn mark_route_as_nested(daemon: &Daemon, path: &str) {
     let shared = daemon.shared();
     let router = shared.router.load();
     let router = router.as_ref().expect("a table is in force");
@@ -68,60 +69,60 @@
     shared.routing().reported_nested.insert(class);
 }
 
-/// A planned stop answers what has come, and takes no more for its endpoint.
+/// During a planned stop, the daemon serves its callers and sends no more requests to its endpoint.
 #[tokio::test]
-async fn a_planned_stop_cuts_nothing_off() {
-    let mut mesh = Mesh::start(2).await;
-    let stopping = mesh.daemons.remove(0);
+async fn planned_stop_answers_all_requests() {
+    let mut cluster = TestCluster::start(2).await;
+    let stopping = cluster.daemons.remove(0);
     let shared = Arc::clone(stopping.shared());
     let stop = tokio::spawn(stopping.stop());
-    eventually(|| !shared.is_ready()).await;
+    wait_until(|| !shared.is_ready()).await;
     for number in 0..5 {
         let id = format!("r-{number}");
-        let answer = mesh.call(0, "/once/pay", &id).await.expect("an answer");
+        let answer = cluster.call(0, "/once/pay", &id).await.expect("an answer");
         assert_eq!(answer.status, StatusCode::OK);
     }
-    assert_eq!(mesh.endpoints[0].arrivals().len(), 0);
+    assert_eq!(cluster.endpoints[0].arrivals().len(), 0);
     stop.await.expect("the stop ends");
 }
 
-/// Callers go on sending to a daemon that stops, while the endpoint takes this long for each request; none that reached it may be left
-/// without an answer. `before` prepares the daemon.
-async fn nothing_is_cut_off(takes: Duration, before: impl Fn(&Daemon)) {
-    let mut mesh = Mesh::start(2).await;
-    mesh.endpoints[0].script(&vec![Act::AnswerAfter(takes); 100]);
-    let stopping = mesh.daemons.pop().expect("two daemons");
-    before(&stopping);
+/// Callers keep sending to a stopping daemon while the endpoint takes `work_time` for each request. Every request
+/// that reached the endpoint must get an answer. `prepare` is called before the stop.
+async fn assert_nothing_is_cut_off(work_time: Duration, prepare: impl Fn(&Daemon)) {
+    let mut cluster = TestCluster::start(2).await;
+    cluster.endpoints[0].script(&vec![Behavior::AnswerAfter(work_time); 100]);
+    let stopping = cluster.daemons.pop().expect("two daemons");
+    prepare(&stopping);
     let address = stopping.shared().settings.outbound;
     let stop = tokio::spawn(stopping.stop());
     let (without, count) = unanswered(address, "/once/pay").await;
     stop.await.expect("the stop ends");
-    let cut_off = that_ran(&mesh, &without);
+    let cut_off = reached_endpoints(&cluster, &without);
     assert!(cut_off.is_empty(), "{cut_off:?} of {count}");
 }
 
-/// Callers that go on sending until the process is gone, as those do that keep a connection open. In a soak of 100
-/// daemons that stopped in turn, two requests that came 0.7 s before the end by force were cut off while they ran:
-/// new ones were taken until the end, and what was in progress then got half a second.
+/// Callers with open connections keep sending until the process is gone. In a soak run with 100 daemons stopped in
+/// turn, two requests that arrived 0.7 s before the forced end were cut off while running: new requests were admitted
+/// until the end, and those in progress then had only half a second.
 #[tokio::test]
-async fn a_planned_stop_cuts_nothing_off_that_came_shortly_before_its_end() {
-    nothing_is_cut_off(Duration::from_millis(800), |_| {}).await;
+async fn planned_stop_answers_requests_received_shortly_before_its_end() {
+    assert_nothing_is_cut_off(Duration::from_millis(800), |_| {}).await;
 }
 
-/// Callers of a route that is taken for one of endpoints' calls, which it is not.
+/// Requests of callers on a route that is mistaken for one that only endpoints call.
 #[tokio::test]
-async fn a_planned_stop_rests_on_no_guess_who_calls_a_route() {
-    let believe = |daemon: &Daemon| take_for_calls(daemon, "/once/pay");
-    nothing_is_cut_off(Duration::from_millis(1_500), believe).await;
+async fn planned_stop_answers_callers_of_a_route_wrongly_considered_nested() {
+    let mark_nested = |daemon: &Daemon| mark_route_as_nested(daemon, "/once/pay");
+    assert_nothing_is_cut_off(Duration::from_millis(1_500), mark_nested).await;
 }
 
-/// What is still at an endpoint when the daemon must end gets an answer that promises nothing, rather than a closed
+/// A request still running at the forced end gets an answer that leaves open whether it ran, rather than a closed
 /// connection.
 #[tokio::test]
-async fn a_request_that_outlasts_a_planned_stop_is_answered() {
-    let mut mesh = Mesh::start(2).await;
-    mesh.endpoints[0].script(&[Act::Hang]);
-    let stopping = mesh.daemons.pop().expect("two daemons");
+async fn request_that_outlasts_a_planned_stop_is_answered() {
+    let mut cluster = TestCluster::start(2).await;
+    cluster.endpoints[0].script(&[Behavior::Hang]);
+    let stopping = cluster.daemons.pop().expect("two daemons");
     let address = stopping.shared().settings.outbound;
     let stop = tokio::spawn(stopping.stop());
     tokio::time::sleep(Duration::from_millis(2_100)).await;
@@ -129,7 +130,7 @@
     let headers = [("bw-request-id", "r-1"), ("bw-remaining-ms", "3000")];
     let answer = call_on(stream, "/once/pay", &headers, Bytes::new()).await;
     stop.await.expect("the stop ends");
-    assert_eq!(mesh.endpoints[0].arrivals().len(), 1);
+    assert_eq!(cluster.endpoints[0].arrivals().len(), 1);
     let status = answer.expect("an answer").status;
     assert!(
         [StatusCode::BAD_GATEWAY, StatusCode::GATEWAY_TIMEOUT].contains(&status),
@@ -137,11 +138,11 @@
     );
 }
 
-/// A request whose body is still on its way when the daemon must end has not run, and its caller is told so.
+/// A request whose body is incomplete when the daemon must stop has not run and is refused.
 #[tokio::test]
-async fn a_request_whose_body_is_not_there_at_the_end_is_told_not_run() {
-    let mut mesh = Mesh::start(2).await;
-    let stopping = mesh.daemons.pop().expect("two daemons");
+async fn request_with_an_incomplete_body_at_the_end_of_the_stop_is_refused() {
+    let mut cluster = TestCluster::start(2).await;
+    let stopping = cluster.daemons.pop().expect("two daemons");
     let address = stopping.shared().settings.outbound;
     let stop = tokio::spawn(stopping.stop());
     let mut stream = TcpStream::connect(address).await.expect("it listens");
@@ -155,7 +156,7 @@
     let answer = String::from_utf8_lossy(&answer);
     assert!(answer.starts_with("HTTP/1.1 503"), "{read:?}: {answer}");
     assert!(answer.contains("retry-after"), "{answer}");
-    let arrivals = mesh.endpoints.iter().map(|e| e.arrivals().len());
+    let arrivals = cluster.endpoints.iter().map(|e| e.arrivals().len());
     assert_eq!(arrivals.sum::<usize>(), 0);
 }
 
@@ -170,9 +171,9 @@
     }
 }
 
-/// Callers whose connections wait in the listener's queue, with their requests on them, when the listener is told to close.
+/// Connections with requests may wait in the listener's backlog when the listener is told to stop.
 #[tokio::test]
-async fn what_waits_to_be_accepted_when_the_listener_closes_is_answered() {
+async fn requests_in_the_backlog_of_a_closing_listener_are_answered() {
     const CALLERS: usize = 20;
     let listener = bind("127.0.0.1:0".parse().expect("an address")).await;
     let listener = listener.expect("a free port");
@@ -188,8 +189,8 @@
         idle_timeout: Arc::new(|| Duration::from_secs(5)),
         max_idle: CALLERS,
     };
-    let told_to_stop = watch::Sender::new(true);
-    let stop = told_to_stop.subscribe();
+    let stop_sender = watch::Sender::new(true);
+    let stop = stop_sender.subscribe();
     serve(listener, Arc::new(Answering), keep, stop, silent()).await;
     for mut caller in callers {
         let mut answer = Vec::new();
--- a/crates/bramblewheel-proxy/tests/sockets/retry_bound.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/retry_bound.rs
@@ -1,66 +1,72 @@
-//! What daemons tell each other of repeated runs, over sockets. That the bound holds is shown on virtual time
-//! (`tests/repeat_bound`); here that what it rests on is passed on.
+//! Reports about retried runs between daemons, over sockets. Tests on virtual time (`tests/repeat_bound`) show that
+//! the bound on retries holds; these show that the reports it depends on are passed on.
 
-use crate::support::endpoint::Act;
-use crate::support::{Mesh, eventually};
+use crate::support::endpoint::Behavior;
+use crate::support::{TestCluster, wait_until};
 use bramblewheel_decisions::retry_budget::BoundUse;
 use bytes::Bytes;
 use http::StatusCode;
 use std::time::Duration;
 
-/// A table with tenants, where a request without a key on a public route is a call of an endpoint.
+/// Tenants of the table. In a table with tenants, a request without a key on a public route is a call of an endpoint.
 const TENANTS: &str = "stall=kmgjqnirth5mgjy5rcpi";
 
-fn use_at(mesh: &Mesh, daemon: usize) -> BoundUse {
-    let shared = mesh.daemons[daemon].shared();
+fn bound_use_at(cluster: &TestCluster, daemon: usize) -> BoundUse {
+    let shared = cluster.daemons[daemon].shared();
     let now = shared.clock.now();
     let uses = shared.routing().retry_bound.uses(now);
     uses.into_iter().next().expect("something was sent")
 }
 
-fn retried_runs(mesh: &Mesh, daemon: usize) -> u64 {
-    mesh.daemons[daemon].shared().metrics.retried_runs.get()
+fn retried_runs(cluster: &TestCluster, daemon: usize) -> u64 {
+    cluster.daemons[daemon].shared().metrics.retried_runs.get()
 }
 
 #[tokio::test]
-async fn calls_of_a_repeated_run_count_as_repeats_at_the_daemon_beside_it() {
-    let mesh = Mesh::start_with(2, TENANTS).await;
-    let slow = Act::AnswerAfter(Duration::from_millis(500));
-    for endpoint in &mesh.endpoints {
-        endpoint.script(&[Act::NotRun, slow.clone()]);
+async fn calls_of_a_retried_run_count_as_retries_at_the_daemon_beside_it() {
+    let cluster = TestCluster::start_with(2, TENANTS).await;
+    let slow = Behavior::AnswerAfter(Duration::from_millis(500));
+    for endpoint in &cluster.endpoints {
+        endpoint.script(&[Behavior::NotRun, slow.clone()]);
     }
-    let (answer, beside) = tokio::join!(mesh.call(0, "/public/", "run"), async {
-        eventually(|| (0..2).any(|daemon| retried_runs(&mesh, daemon) > 0)).await;
-        // What it makes ends before it does, so that the end of its time does not name its parent.
-        let beside = (0..2).rfind(|daemon| mesh.endpoints[*daemon].arrivals().len() > 1);
-        let beside = beside.unwrap_or(0);
+    let (answer, daemon_beside) = tokio::join!(cluster.call(0, "/public/", "run"), async {
+        wait_until(|| (0..2).any(|daemon| retried_runs(&cluster, daemon) > 0)).await;
+        // The call's deadline is earlier than that of the run, so that the deadline doesn't identify its parent.
+        let daemon_beside = (0..2).rfind(|daemon| cluster.endpoints[*daemon].arrivals().len() > 1);
+        let daemon_beside = daemon_beside.unwrap_or(0);
         let headers = [("bw-request-id", "call"), ("bw-remaining-ms", "400")];
-        let made = mesh.call_with(beside, "/public/", &headers, Bytes::new());
-        let _ = made.await;
-        beside
+        let call = cluster.call_with(daemon_beside, "/public/", &headers, Bytes::new());
+        let _ = call.await;
+        daemon_beside
     });
     assert_eq!(answer.expect("an answer").status, StatusCode::OK);
-    let used = use_at(&mesh, beside);
+    let used = bound_use_at(&cluster, daemon_beside);
     assert!(used.calls_of_retried_runs >= 1.0, "{used:?}");
-    // The answer of the run has told so to the daemon that sent it.
-    let shared = mesh.daemons[0].shared();
+    // The answer of the run reported this to the daemon that sent the request.
+    let shared = cluster.daemons[0].shared();
     let now = shared.clock.now();
     assert!(shared.routing().retry_bound.used_by_calls(now) > 0.0);
 }
 
-/// Requests that no endpoint makes are first sends, whatever runs.
+/// Requests that no endpoint makes are first sends, whatever is running.
 #[tokio::test]
-async fn requests_from_outside_never_count_as_calls_of_repeats() {
-    let mesh = Mesh::start(2).await;
-    mesh.endpoints[0].script(&[Act::NotRun, Act::AnswerAfter(Duration::from_millis(300))]);
-    mesh.endpoints[1].script(&[Act::NotRun, Act::AnswerAfter(Duration::from_millis(300))]);
+async fn requests_of_callers_never_count_as_calls_of_retried_runs() {
+    let cluster = TestCluster::start(2).await;
+    cluster.endpoints[0].script(&[
+        Behavior::NotRun,
+        Behavior::AnswerAfter(Duration::from_millis(300)),
+    ]);
+    cluster.endpoints[1].script(&[
+        Behavior::NotRun,
+        Behavior::AnswerAfter(Duration::from_millis(300)),
+    ]);
     let (one, other) = tokio::join!(
-        mesh.call(0, "/safe/item", "r-1"),
-        mesh.call(1, "/safe/item", "r-2")
+        cluster.call(0, "/safe/item", "r-1"),
+        cluster.call(1, "/safe/item", "r-2")
     );
     one.expect("an answer");
     other.expect("an answer");
     for daemon in 0..2 {
-        assert_eq!(use_at(&mesh, daemon).calls_of_retried_runs, 0.0);
+        assert_eq!(bound_use_at(&cluster, daemon).calls_of_retried_runs, 0.0);
     }
 }
--- a/crates/bramblewheel-proxy/tests/sockets/support/endpoint.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/support/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that does what a script says, and notes what reaches it.
+//! An endpoint with scripted behavior that records the requests it receives.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,64 +8,64 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{AbortHandle, JoinSet};
 
-/// What the endpoint does with one request.
+/// Behavior of the endpoint for one request.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Behavior {
     /// Answers with success and proof.
     Answer,
     /// Answers with success and proof after this time.
     AnswerAfter(Duration),
-    /// Answers with success and proof, and a body of so many bytes.
+    /// Answers with success and proof, and a body of this many bytes.
     Long(usize),
     /// Refuses with proof that it did not run the request.
     NotRun,
-    /// Refuses, since it is another endpoint than the expected one.
+    /// Refuses because it is not the expected endpoint.
     OtherEndpoint,
     /// Runs the request and closes the connection without an answer.
     Lose,
-    /// Answers with less than it announced, then closes.
+    /// Answers with fewer bytes than announced, then closes the connection.
     CutShort,
-    /// Answers another request than the one that was sent.
+    /// Answers with the id of another request.
     AnswerAnother,
     /// Answers with success but without proof.
     NoProof,
     /// Answers, and sends a second answer to the same request.
     AnswerTwice,
-    /// Says nothing until the connection is closed.
+    /// Sends nothing until the connection is closed.
     Hang,
     /// Answers with an error of its own and proof.
     Fail,
-    /// Announces a body of a gibibyte and writes for as long as somebody takes it.
+    /// Announces a body of one gibibyte and writes it for as long as it is read.
     Endless,
-    /// Answers before the body has arrived, and takes the rest of it afterwards.
+    /// Answers before the body has arrived, and reads the rest of it afterwards.
     Early,
 }
 
-/// One request as it arrived.
+/// One received request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub id: String,
     pub target: String,
     pub headers: HashMap<String, String>,
     pub body_bytes: usize,
-    /// Whether it was answered when its head came.
+    /// Whether it was answered as soon as its head was read.
     pub is_answered: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    script: VecDeque<Act>,
+    script: VecDeque<Behavior>,
     arrivals: Vec<Arrival>,
     cancelled: usize,
     written: usize,
-    forgets_after: Option<Duration>,
-    /// Target of the requests under which it ends.
-    fatal: Option<String>,
+    idle_limit: Option<Duration>,
+    /// Target of the requests on which it crashes.
+    crash_target: Option<String>,
     serving: Option<AbortHandle>,
-    has_ended: bool,
+    has_crashed: bool,
 }
 
-/// An endpoint that does what a script says; without one it answers.
+/// An endpoint that follows a script; without a script it answers with success.
 #[derive(Clone, Debug)]
 pub struct ScriptedEndpoint {
     pub address: SocketAddr,
@@ -83,7 +83,7 @@
         };
         let accepting = endpoint.clone();
         let serving = tokio::spawn(async move {
-            // All connections end with the task that accepts them.
+            // All connections are closed when the accepting task ends.
             let mut connections = JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
                 let endpoint = accepting.clone();
@@ -95,50 +95,50 @@
         endpoint
     }
 
-    /// From now on it ends when it begins a request for this target.
-    pub fn ends_at(&self, target: &str) {
-        self.lock().fatal = Some(target.to_owned());
+    /// Makes the endpoint crash when it starts a request for this target.
+    pub fn crash_on(&self, target: &str) {
+        self.lock().crash_target = Some(target.to_owned());
     }
 
-    /// Ends as a process does that is killed: it listens no more and all connections break.
-    pub fn end(&self) {
+    /// Simulates a crash: the listener and all connections are closed.
+    pub fn crash(&self) {
         let mut state = self.lock();
-        state.has_ended = true;
+        state.has_crashed = true;
         if let Some(serving) = &state.serving {
             serving.abort();
         }
     }
 
-    pub fn has_ended(&self) -> bool {
-        self.lock().has_ended
+    pub fn has_crashed(&self) -> bool {
+        self.lock().has_crashed
     }
 
-    /// What is done with the next requests.
-    pub fn script(&self, acts: &[Act]) {
-        self.lock().script.extend(acts.iter().cloned());
+    /// Adds behaviors for the next requests.
+    pub fn script(&self, behaviors: &[Behavior]) {
+        self.lock().script.extend(behaviors.iter().cloned());
     }
 
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.lock().arrivals.clone()
     }
 
-    /// Requests whose connection was closed while they ran.
+    /// Number of requests whose connection was closed while they were running.
     pub fn cancelled(&self) -> usize {
         self.lock().cancelled
     }
 
-    /// Idle connections are forgotten after this time: what comes on them then is reset.
-    pub fn forget_idle_after(&self, rest: Duration) {
-        self.lock().forgets_after = Some(rest);
+    /// Drops connections that were idle for longer than this: requests on them get a reset.
+    pub fn drop_idle_after(&self, idle_limit: Duration) {
+        self.lock().idle_limit = Some(idle_limit);
     }
 
-    fn has_forgotten(&self, rest: Duration) -> bool {
+    fn has_dropped(&self, idle_time: Duration) -> bool {
         self.lock()
-            .forgets_after
-            .is_some_and(|longest| rest > longest)
+            .idle_limit
+            .is_some_and(|idle_limit| idle_time > idle_limit)
     }
 
-    /// Bytes of endless bodies that were taken.
+    /// Number of bytes written of endless bodies.
     pub fn written(&self) -> usize {
         self.lock().written
     }
@@ -148,42 +148,42 @@
     }
 
     async fn serve(&self, mut stream: TcpStream) {
-        let mut begun = Vec::new();
+        let mut received = Vec::new();
         let is_early = || {
             let script = &mut self.lock().script;
-            let is_it = matches!(script.front(), Some(Act::Early));
-            is_it.then(|| script.pop_front()).is_some()
+            let is_next = matches!(script.front(), Some(Behavior::Early));
+            is_next.then(|| script.pop_front()).is_some()
         };
-        let mut rests_since = Instant::now();
-        while let Some(arrival) = read_request(&mut stream, &mut begun, is_early).await {
-            if self.has_forgotten(rests_since.elapsed()) {
+        let mut idle_since = Instant::now();
+        while let Some(arrival) = read_request(&mut stream, &mut received, is_early).await {
+            if self.has_dropped(idle_since.elapsed()) {
                 let _ = stream.set_zero_linger();
                 return;
             }
             let id = arrival.id.clone();
             let is_answered = arrival.is_answered;
-            let is_fatal = self.lock().fatal.as_ref() == Some(&arrival.target);
+            let is_fatal = self.lock().crash_target.as_ref() == Some(&arrival.target);
             if is_fatal {
                 self.lock().arrivals.push(arrival);
-                return self.end();
+                return self.crash();
             }
-            let act = {
+            let behavior = {
                 let mut state = self.lock();
                 state.arrivals.push(arrival);
                 match is_answered {
                     true => continue,
-                    false => state.script.pop_front().unwrap_or(Act::Answer),
+                    false => state.script.pop_front().unwrap_or(Behavior::Answer),
                 }
             };
-            if !self.act(&act, &id, &mut stream).await {
+            if !self.run_behavior(&behavior, &id, &mut stream).await {
                 return;
             }
-            rests_since = Instant::now();
+            idle_since = Instant::now();
         }
     }
 
-    /// Returns whether the connection goes on.
-    async fn act(&self, act: &Act, id: &str, stream: &mut TcpStream) -> bool {
+    /// Carries out a behavior; returns whether the connection stays open.
+    async fn run_behavior(&self, behavior: &Behavior, id: &str, stream: &mut TcpStream) -> bool {
         let name = &self.name;
         let proof = format!("bw-request-id: {id}\r\nbw-proof: {name}\r\n");
         let whole = format!("by {name} for {id}");
@@ -191,45 +191,45 @@
             let length = body.len();
             format!("HTTP/1.1 {status}\r\n{headers}content-length: {length}\r\n\r\n{body}")
         };
-        let (text, goes_on) = match act {
-            Act::Answer => (answer("200 OK", &proof, &whole), true),
-            Act::AnswerAfter(time) => {
+        let (text, stays_open) = match behavior {
+            Behavior::Answer => (answer("200 OK", &proof, &whole), true),
+            Behavior::AnswerAfter(time) => {
                 tokio::time::sleep(*time).await;
                 (answer("200 OK", &proof, &whole), true)
             }
-            Act::Long(bytes) => (answer("200 OK", &proof, &"x".repeat(*bytes)), true),
-            Act::NotRun => {
+            Behavior::Long(bytes) => (answer("200 OK", &proof, &"x".repeat(*bytes)), true),
+            Behavior::NotRun => {
                 let refusal = format!("bw-request-id: {id}\r\nbw-not-run: 1\r\n");
                 (answer("503 Service Unavailable", &refusal, ""), true)
             }
-            Act::OtherEndpoint => (answer("421 Misdirected Request", "", ""), true),
-            Act::Lose => return false,
-            Act::CutShort => {
+            Behavior::OtherEndpoint => (answer("421 Misdirected Request", "", ""), true),
+            Behavior::Lose => return false,
+            Behavior::CutShort => {
                 let begin = answer("200 OK", &proof, &whole);
                 (begin[..begin.len() - 3].to_owned(), false)
             }
-            Act::AnswerAnother => {
+            Behavior::AnswerAnother => {
                 let other = "bw-request-id: another\r\nbw-proof: x\r\n";
                 (answer("200 OK", other, "of another"), true)
             }
-            Act::NoProof => (answer("200 OK", "", "from nowhere"), true),
-            Act::AnswerTwice => (answer("200 OK", &proof, &whole).repeat(2), true),
-            Act::Hang => {
+            Behavior::NoProof => (answer("200 OK", "", "from nowhere"), true),
+            Behavior::AnswerTwice => (answer("200 OK", &proof, &whole).repeat(2), true),
+            Behavior::Hang => {
                 let mut byte = [0];
                 let _ = stream.read(&mut byte).await;
                 self.lock().cancelled += 1;
                 return false;
             }
-            Act::Endless => return self.write_endlessly(&proof, stream).await,
-            Act::Early => unreachable!("answered when its head came"),
-            Act::Fail => (answer("500 Internal Server Error", &proof, "failed"), true),
+            Behavior::Endless => return self.write_endlessly(&proof, stream).await,
+            Behavior::Early => unreachable!("answered as soon as its head was read"),
+            Behavior::Fail => (answer("500 Internal Server Error", &proof, "failed"), true),
         };
         let written = stream.write_all(text.as_bytes()).await;
-        if !goes_on {
-            // So that what was written arrives before the end.
+        if !stays_open {
+            // Lets the written bytes arrive before the connection is closed.
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        written.is_ok() && goes_on
+        written.is_ok() && stays_open
     }
 }
 
@@ -248,32 +248,32 @@
     }
 }
 
-/// An answer to the request of a head, given before its body is read.
+/// Answers a request before its body is read.
 async fn answer_early(stream: &mut TcpStream, id: &str) -> Option<()> {
     let head = format!("HTTP/1.1 200 OK\r\nbw-request-id: {id}\r\nbw-proof: early\r\n");
     let answer = format!("{head}content-length: 5\r\n\r\nearly");
     stream.write_all(answer.as_bytes()).await.ok()
 }
 
-/// Reads a request whose body has a length or comes in chunks; bodies are counted only.
+/// Reads a request with a content length or a chunked body; only the number of the body's bytes is kept.
 async fn read_request(
     stream: &mut TcpStream,
-    begun: &mut Vec<u8>,
+    received: &mut Vec<u8>,
     is_early: impl Fn() -> bool,
 ) -> Option<Arrival> {
     let head_end = loop {
-        if let Some(at) = find(begun, b"\r\n\r\n") {
+        if let Some(at) = find(received, b"\r\n\r\n") {
             break at + 4;
         }
-        read_more(stream, begun).await?;
+        read_more(stream, received).await?;
     };
-    let head = String::from_utf8_lossy(&begun[..head_end]).into_owned();
+    let head = String::from_utf8_lossy(&received[..head_end]).into_owned();
     let target = head.split(' ').nth(1).unwrap_or_default().to_owned();
     let fields = head.lines().skip(1).filter_map(|line| line.split_once(':'));
     let headers: HashMap<String, String> = fields
         .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned()))
         .collect();
-    begun.drain(..head_end);
+    received.drain(..head_end);
     let id = headers.get("bw-request-id").cloned().unwrap_or_default();
     let is_answered = is_early();
     if is_answered {
@@ -283,13 +283,13 @@
     let length = length.and_then(|text| text.parse::<usize>().ok());
     let body_bytes = match length {
         Some(length) => {
-            while begun.len() < length {
-                read_more(stream, begun).await?;
+            while received.len() < length {
+                read_more(stream, received).await?;
             }
-            begun.drain(..length);
+            received.drain(..length);
             length
         }
-        None if headers.contains_key("transfer-encoding") => read_chunks(stream, begun).await?,
+        None if headers.contains_key("transfer-encoding") => read_chunks(stream, received).await?,
         None => 0,
     };
     Some(Arrival {
@@ -301,22 +301,22 @@
     })
 }
 
-async fn read_chunks(stream: &mut TcpStream, begun: &mut Vec<u8>) -> Option<usize> {
+async fn read_chunks(stream: &mut TcpStream, received: &mut Vec<u8>) -> Option<usize> {
     let mut total = 0;
     loop {
         let line_end = loop {
-            if let Some(at) = find(begun, b"\r\n") {
+            if let Some(at) = find(received, b"\r\n") {
                 break at;
             }
-            read_more(stream, begun).await?;
+            read_more(stream, received).await?;
         };
-        let line = String::from_utf8_lossy(&begun[..line_end]).into_owned();
+        let line = String::from_utf8_lossy(&received[..line_end]).into_owned();
         let size = usize::from_str_radix(line.trim(), 16).ok()?;
         let end = line_end + 2 + size + 2;
-        while begun.len() < end {
-            read_more(stream, begun).await?;
+        while received.len() < end {
+            read_more(stream, received).await?;
         }
-        begun.drain(..end);
+        received.drain(..end);
         if size == 0 {
             return Some(total);
         }
@@ -324,14 +324,14 @@
     }
 }
 
-async fn read_more(stream: &mut TcpStream, begun: &mut Vec<u8>) -> Option<()> {
+async fn read_more(stream: &mut TcpStream, received: &mut Vec<u8>) -> Option<()> {
     let mut buffer = vec![0; 16 * 1024];
     let count = stream
         .read(&mut buffer)
         .await
         .ok()
         .filter(|count| *count > 0)?;
-    begun.extend_from_slice(&buffer[..count]);
+    received.extend_from_slice(&buffer[..count]);
     Some(())
 }
 
--- a/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
@@ -35,16 +35,16 @@
 use tempfile::TempDir;
 use tokio::net::TcpStream;
 
-/// Longest wait for anything that must come to pass.
-pub const PATIENCE: Duration = Duration::from_secs(20);
-/// How long callers' connections may rest.
-pub const CALLER_REST: Duration = Duration::from_secs(1);
+/// Time-out of all waits in the tests.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Idle time-out of callers' connections.
+pub const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest body of a request, in bytes.
-pub const LONGEST_BODY: usize = 4 << 20;
+pub const MAX_BODY_BYTES: usize = 4 << 20;
 pub const HOST: &str = "shop.example";
 
 /// A control replica, daemons and the endpoints beside them.
-pub struct Mesh {
+pub struct TestCluster {
     pub control: ControlGroup,
     pub daemons: Vec<Daemon>,
     pub endpoints: Vec<ScriptedEndpoint>,
@@ -52,25 +52,25 @@
     replica_settings: bramblewheel_control::Settings,
     _folder: TempDir,
     version: u64,
-    /// Starts of endpoints after the first ones.
-    starts: usize,
+    /// Number of restarts of endpoints under a new id.
+    restarts: usize,
     tenants: String,
     log: Logger,
 }
 
-/// Addresses that nobody else is given.
+/// Addresses that no other test uses.
 fn claim_addresses<const COUNT: usize>() -> [SocketAddr; COUNT] {
     std::array::from_fn(|_| claim_address().expect("a port is left"))
 }
 
-impl Mesh {
-    /// A daemon beside each of `count` endpoints of the service `kassa`, with routes for requests
-    /// that may be repeated (`/safe/`) and others (`/once/`).
+impl TestCluster {
+    /// Starts `count` endpoints of the service `kassa`, each with a daemon beside it, and routes for repeatable
+    /// requests (`/safe/`) and others (`/once/`).
     pub async fn start(count: usize) -> Self {
         Self::start_with(count, "").await
     }
 
-    /// Like [`start`](Self::start), with tenants as [`tenants`] reads them.
+    /// Like [`start`](Self::start), with tenants in the format of [`tenants`].
     pub async fn start_with(count: usize, tenants: &str) -> Self {
         Self::start_logging(count, tenants, silent()).await
     }
@@ -81,7 +81,7 @@
         let [peer, service, admin] = claim_addresses();
         let settings = replica_settings(folder.path(), peer, service, admin);
         let replica = bramblewheel_control::start(settings.clone(), silent()).await;
-        let mut mesh = Self {
+        let mut cluster = Self {
             control: ControlGroup::new(vec![service]),
             daemons: Vec::new(),
             endpoints: Vec::new(),
@@ -89,22 +89,24 @@
             replica_settings: settings,
             _folder: folder,
             version: 0,
-            starts: 0,
+            restarts: 0,
             tenants: tenants.to_owned(),
             log,
         };
-        mesh.replace_table().await;
+        cluster.replace_table().await;
         for number in 0..count {
-            let daemon = mesh.start_daemon(number, service).await;
-            mesh.daemons.push(daemon);
+            let daemon = cluster.start_daemon(number, service).await;
+            cluster.daemons.push(daemon);
             let endpoint = ScriptedEndpoint::start(&format!("e-{number}")).await;
-            mesh.endpoints.push(endpoint);
-            mesh.say(number, EndpointState::Ready, 1).await;
+            cluster.endpoints.push(endpoint);
+            cluster
+                .send_heartbeat(number, EndpointState::Ready, 1)
+                .await;
         }
         for number in 0..count {
-            mesh.until_ready(number, count).await;
+            cluster.wait_until_ready(number, count).await;
         }
-        mesh
+        cluster
     }
 
     pub async fn start_daemon(&self, number: usize, replica: SocketAddr) -> Daemon {
@@ -138,7 +140,7 @@
         daemon.expect("the daemon starts")
     }
 
-    /// Stops the control replica as planned and starts it again on its data folder.
+    /// Stops the control replica as planned and restarts it with its data folder.
     pub async fn restart_replica(&mut self) {
         self.replica.stop();
         self.replica.stopped().await.expect("a planned stop");
@@ -147,13 +149,13 @@
         self.replica = replica.expect("the replica starts");
     }
 
-    /// Puts the next version of the table in force, with other tenants.
+    /// Publishes the next version of the table, with other tenants.
     pub async fn replace_table_with(&mut self, tenants: &str) {
         self.tenants = tenants.to_owned();
         self.replace_table().await;
     }
 
-    /// Puts the next version of the table in force; its text is its number and the tenants.
+    /// Publishes the next version of the table; its text is the version and the tenants.
     pub async fn replace_table(&mut self) {
         let text = format!("{} {}", self.version + 1, self.tenants).into_bytes();
         let request = ReplaceTable {
@@ -165,13 +167,13 @@
             },
         };
         let body = RequestBody::ReplaceTable(request);
-        let reply = self.control.request(&body, PATIENCE).await;
+        let reply = self.control.request(&body, TEST_TIMEOUT).await;
         let accepted = ReplyBody::TableReplaced(ReplaceTableReply::Accepted);
         assert_eq!(reply.expect("decided"), accepted);
         self.version += 1;
     }
 
-    /// What the endpoint beside a daemon says.
+    /// The record of a heartbeat of the endpoint beside a daemon.
     pub fn record(&self, number: usize, state: EndpointState, sequence: u64) -> EndpointRecord {
         let settings = &self.daemons[number].shared().settings;
         EndpointRecord {
@@ -188,8 +190,8 @@
         }
     }
 
-    /// Starts another daemon with an endpoint beside it that nobody is told of; returns its number.
-    pub async fn join(&mut self) -> usize {
+    /// Starts another daemon without an endpoint; returns its number.
+    pub async fn add_daemon(&mut self) -> usize {
         let number = self.daemons.len();
         let service = self.control.addresses()[0];
         let daemon = self.start_daemon(number, service).await;
@@ -197,11 +199,11 @@
         number
     }
 
-    /// Another start of an endpoint that has ended, under another id; it is recorded when this returns.
-    pub async fn start_again(&mut self, number: usize) {
-        let start = self.starts + 1;
-        self.starts = start;
-        let name = format!("e-{number}-{start}");
+    /// Restarts a crashed endpoint under a new id; returns once the endpoint takes work.
+    pub async fn restart_under_new_id(&mut self, number: usize) {
+        let restart = self.restarts + 1;
+        self.restarts = restart;
+        let name = format!("e-{number}-{restart}");
         self.endpoints[number] = ScriptedEndpoint::start(&name).await;
         let record = EndpointRecord {
             endpoint: EndpointId::new(&name).expect("a name"),
@@ -211,12 +213,12 @@
             .registrar()
             .take_ready_heartbeat(record);
         let shared = self.daemons[number].shared();
-        eventually(|| shared.local.is_open()).await;
+        wait_until(|| shared.local.is_open()).await;
     }
 
-    /// An endpoint ends without a word and starts again under its id, at this time; returns at once.
-    pub async fn restart_under_its_id(&mut self, number: usize, started: u64) {
-        self.endpoints[number].end();
+    /// Crashes an endpoint and restarts it under the same id with the given start time; returns at once.
+    pub async fn restart_under_same_id(&mut self, number: usize, started: u64) {
+        self.endpoints[number].crash();
         self.endpoints[number] = ScriptedEndpoint::start(&format!("e-{number}")).await;
         let record = self.record(number, EndpointState::Ready, 1);
         let record = EndpointRecord {
@@ -228,7 +230,7 @@
             .take_ready_heartbeat(record);
     }
 
-    pub async fn say(&self, number: usize, state: EndpointState, sequence: u64) {
+    pub async fn send_heartbeat(&self, number: usize, state: EndpointState, sequence: u64) {
         let record = self.record(number, state, sequence);
         let registrar = self.daemons[number].registrar();
         if state == EndpointState::Ready {
@@ -240,21 +242,21 @@
                 return;
             }
         }
-        panic!("not recorded");
+        panic!("final state of the endpoint was not recorded");
     }
 
-    /// Until a daemon has the table and can reach all endpoints.
-    async fn until_ready(&self, number: usize, endpoints: usize) {
+    /// Waits until a daemon has the table, knows all endpoints and its own endpoint takes work.
+    async fn wait_until_ready(&self, number: usize, endpoints: usize) {
         let shared = self.daemons[number].shared();
         let kassa = ServiceName::new("kassa").expect("a name");
-        eventually(|| {
-            let known = shared.routing().directory.endpoints_of(&kassa);
-            shared.is_ready() && known == endpoints && shared.local.is_open()
+        wait_until(|| {
+            let known_endpoints = shared.routing().directory.endpoints_of(&kassa);
+            shared.is_ready() && known_endpoints == endpoints && shared.local.is_open()
         })
         .await;
     }
 
-    /// Sends a request to the daemon `number` as a caller on its machine does.
+    /// Sends a request to the daemon `number` as a caller on its machine.
     pub async fn call(&self, number: usize, path: &str, id: &str) -> Result<Answer, hyper::Error> {
         let headers = [("bw-request-id", id), ("bw-remaining-ms", "3000")];
         self.call_with(number, path, &headers, Bytes::new()).await
@@ -273,7 +275,7 @@
     }
 }
 
-/// Who runs on the machine of a daemon beside an endpoint of this service.
+/// Identity of a machine with an endpoint of this service.
 pub fn identity(service: &str) -> MachineIdentity {
     MachineIdentity {
         service: Some(ServiceName::new(service).expect("a name")),
@@ -282,7 +284,7 @@
     }
 }
 
-/// Sends a request on a connection that was opened for it.
+/// Sends a request on a new connection.
 pub async fn call_on(
     stream: TcpStream,
     path: &str,
@@ -307,7 +309,7 @@
     })
 }
 
-/// An answer as a caller sees it, whole.
+/// A complete answer as received by a caller.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
@@ -315,15 +317,15 @@
     pub body: Bytes,
 }
 
-/// Waits until something holds.
-pub async fn eventually(holds: impl Fn() -> bool) {
+/// Waits until a condition is true.
+pub async fn wait_until(holds: impl Fn() -> bool) {
     let waiting = async {
         while !holds() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let held = tokio::time::timeout(PATIENCE, waiting).await;
-    assert!(held.is_ok(), "did not come to pass");
+    let held = tokio::time::timeout(TEST_TIMEOUT, waiting).await;
+    assert!(held.is_ok(), "the condition did not become true in time");
 }
 
 fn table(text: &[u8]) -> RouteTable {
@@ -345,7 +347,7 @@
         rank: 1,
         is_public: name == "public",
     };
-    let terms = ServiceSettings {
+    let service_settings = ServiceSettings {
         max_connections: 100,
     };
     RouteTable {
@@ -355,14 +357,14 @@
             route("once", false),
             route("public", true),
         ],
-        services: [(kassa.clone(), terms)].into(),
-        caller_rest: Some(CALLER_REST),
-        longest_body: Some(LONGEST_BODY),
+        services: [(kassa.clone(), service_settings)].into(),
+        caller_rest: Some(CALLER_IDLE_TIMEOUT),
+        longest_body: Some(MAX_BODY_BYTES),
         tenants: tenants(stated),
     }
 }
 
-/// Tenants from `name=key,key@rate;name=key`; keys and rate may be left out.
+/// Parses tenants in the form `name=key,key@rate;name=key`; keys and rate are optional.
 fn tenants(text: &str) -> Vec<Tenant> {
     let tenant = |stated: &str| {
         let (name, rest) = stated.split_once('=').expect("a name");
--- a/crates/bramblewheel-proxy/tests/sockets/support/replica.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/support/replica.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Settings of a replica that founds a group alone.
+/// Settings of a replica that forms a group on its own.
 pub(super) fn replica_settings(
     folder: &Path,
     peer: SocketAddr,
--- a/crates/bramblewheel-proxy/tests/wire.rs
+++ b/crates/bramblewheel-proxy/tests/wire.rs
@@ -1,4 +1,4 @@
-//! What daemons hand over and report to each other in headers.
+//! Headers between daemons: handovers and reports survive a round trip, and invalid ones are refused or ignored.
 
 use bramblewheel_decisions::directory::LoadReport;
 use bramblewheel_decisions::request_class::RequestClass;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_handover_is_read_as_it_was_written() {
+fn handover_round_trip_preserves_all_fields() {
     let mut headers = HeaderMap::new();
     handover().write(&mut headers);
     assert!(Handover::is_present(&headers));
@@ -47,9 +47,9 @@
     assert!(headers.is_empty(), "{headers:?}");
 }
 
-/// A caller must not be able to set what its daemon leaves out.
+/// A caller must not be able to set headers that its daemon omits.
 #[test]
-fn a_handover_without_a_tenant_removes_what_a_caller_set_in_its_place() {
+fn handover_without_tenant_and_caller_removes_headers_set_by_the_caller() {
     let mut headers = HeaderMap::new();
     headers.insert("bw-for-tenant", HeaderValue::from_static("somebody"));
     headers.insert("bw-caller", HeaderValue::from_static("somebody"));
@@ -63,16 +63,16 @@
 }
 
 #[test]
-fn a_handover_whose_tree_has_no_valid_rank_is_refused() {
+fn handover_with_an_invalid_root_rank_is_refused() {
     let mut headers = HeaderMap::new();
     handover().write(&mut headers);
     headers.insert("bw-root-rank", HeaderValue::from_static("-1"));
-    let refused = Handover::take(&mut headers).expect_err("not a rank");
-    assert!(refused.to_string().contains("bw-root-rank"), "{refused}");
+    let error = Handover::take(&mut headers).expect_err("the root rank is invalid");
+    assert!(error.to_string().contains("bw-root-rank"), "{error}");
 }
 
 #[test]
-fn what_is_told_with_an_answer_is_read_as_it_was_written() {
+fn answer_report_round_trip_preserves_all_fields() {
     for report in [report(), AnswerReport::default()] {
         let mut headers = HeaderMap::new();
         report.write(AttemptResult::Answered, &mut headers);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_daemon_that_does_not_tell_the_rank_of_the_tree_means_that_of_the_request() {
+fn missing_root_rank_defaults_to_the_rank_of_the_request() {
     let mut headers = HeaderMap::new();
     handover().write(&mut headers);
     headers.remove("bw-root-rank");
@@ -91,9 +91,8 @@
     assert_eq!(taken.root_rank, taken.rank);
 }
 
-/// What can't be read counts as not reported.
 #[test]
-fn nonsense_counts_as_not_told() {
+fn invalid_report_headers_count_as_missing() {
     let mut headers = HeaderMap::new();
     report().write(AttemptResult::Full, &mut headers);
     headers.insert("bw-short-below", HeaderValue::from_static("no name at all"));
