--- a/crates/bramblewheel-decisions/src/stop_schedule.rs
+++ b/crates/bramblewheel-decisions/src/stop_schedule.rs
@@ -112,7 +112,7 @@
     ///
     /// The inference that endpoints call a route never admits a request by itself. Where it did, callers of a route
     /// whose requests seemed to come from few machines were taken until the end by force and cut off: 7 of 30 in
-    /// `planned_stops::a_planned_stop_rests_on_no_guess_who_calls_a_route`.
+    /// `planned_stops::planned_stop_answers_callers_of_a_route_wrongly_considered_nested`.
     pub fn decide(&self, now: Timestamp, request: LateRequest) -> LateDecision {
         if now < self.taking_until {
             return LateDecision::Early;
--- a/crates/bramblewheel-proxy/src/daemon.rs
+++ b/crates/bramblewheel-proxy/src/daemon.rs
@@ -1,6 +1,6 @@
 //! The daemon of the routed data path: its start and its planned stop.
 //!
-//! Runs the tasks of the daemon; [`parts`] creates their shared state, and [`listeners`] opens and serves the three
+//! Runs the tasks of the daemon; `parts` creates their shared state, and `listeners` opens and serves the three
 //! listeners. The settings must have been checked by the program that read them.
 
 mod listeners;
--- a/crates/bramblewheel-proxy/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-proxy/src/inbound/dispatch.rs
@@ -69,7 +69,7 @@
     let is_likely_nested = record_caller(shared, handover, id) || handover.is_likely_nested;
     let RunOutcome {
         dispatched,
-        short_downstream,
+        full_downstream,
     } = run(
         shared,
         handover,
@@ -85,7 +85,7 @@
     let report = AnswerReport {
         load: Some(load),
         is_likely_nested,
-        short_downstream,
+        full_downstream,
         bound_used_percent: whole_percent(used),
     };
     AttemptOutcome { dispatched, report }
@@ -95,14 +95,14 @@
 struct RunOutcome {
     dispatched: DispatchOutcome,
     /// Service at which a call of the endpoint found no capacity right before the endpoint failed the request.
-    short_downstream: Option<ServiceName>,
+    full_downstream: Option<ServiceName>,
 }
 
 impl From<DispatchOutcome> for RunOutcome {
     fn from(dispatched: DispatchOutcome) -> Self {
         Self {
             dispatched,
-            short_downstream: None,
+            full_downstream: None,
         }
     }
 }
@@ -244,7 +244,7 @@
 
     /// Reads the endpoint's answer, which tells whether it ran the request.
     async fn read(&self, mut permit: Permit, received: Received) -> RunOutcome {
-        let short_downstream = permit.mark_answered(received.head.status.is_server_error());
+        let full_downstream = permit.mark_answered(received.head.status.is_server_error());
         let head = &received.head;
         let dialect = &self.shared.settings.dialect;
         let dispatched = match dialect.kind(head.status, &head.headers, &self.id) {
@@ -269,7 +269,7 @@
         };
         RunOutcome {
             dispatched,
-            short_downstream,
+            full_downstream,
         }
     }
 
--- a/crates/bramblewheel-proxy/src/outbound/caller_request.rs
+++ b/crates/bramblewheel-proxy/src/outbound/caller_request.rs
@@ -175,15 +175,15 @@
         self.shared.metrics.request(&route.name, outcome, time);
         if outcome != "completed" {
             let report = lock(&self.last_report);
-            let short = report
-                .short_downstream
+            let full_downstream = report
+                .full_downstream
                 .as_ref()
                 .map_or("", ServiceName::as_str);
             slog::info!(self.shared.log, "request ended"; "id" => id_text(&self.id),
                 "route" => &route.name, "table" => self.table.0, "outcome" => outcome,
                 "content" => %self.content, "caller" => self.caller_service().as_ref().map_or("", id_text),
                 "after_ms" => Millis::of(time).0, "rank" => self.rank, "root_rank" => self.root_rank,
-                "tenant" => self.tenant_name(), "short" => short);
+                "tenant" => self.tenant_name(), "short" => full_downstream);
         }
     }
 
--- a/crates/bramblewheel-proxy/src/outbound/capacity.rs
+++ b/crates/bramblewheel-proxy/src/outbound/capacity.rs
@@ -80,7 +80,7 @@
     fn capacity_found(&self, outcome: &RequestOutcome) -> Option<CapacityFound> {
         match outcome {
             RequestOutcome::Answered(answer) if answer.status().is_server_error() => {
-                let full_downstream = lock(&self.last_report).short_downstream.clone();
+                let full_downstream = lock(&self.last_report).full_downstream.clone();
                 Some(full_downstream.map_or(CapacityFound::Enough, CapacityFound::NoneDownstream))
             }
             RequestOutcome::Answered(_) => Some(CapacityFound::Enough),
--- a/crates/bramblewheel-proxy/src/outbound/mod.rs
+++ b/crates/bramblewheel-proxy/src/outbound/mod.rs
@@ -41,7 +41,7 @@
 /// of 1,149 and used 5.43 instead of 6.31 GB x s of memory (one run each).
 const MAX_CALLER_IDLE_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Idle time-out of callers' connections: that of the route table in force, up to [`MAX_CALLER_IDLE_TIMEOUT`].
+/// Idle time-out of callers' connections: that of the route table in force, up to `MAX_CALLER_IDLE_TIMEOUT`.
 pub fn caller_idle_timeout(shared: &Shared) -> Duration {
     let router = shared.router.load();
     let stated = router.as_ref().and_then(|router| router.caller_rest());
--- a/crates/bramblewheel-proxy/src/outbound/retry.rs
+++ b/crates/bramblewheel-proxy/src/outbound/retry.rs
@@ -51,7 +51,7 @@
     }
 
     fn service_state(&self, service: &ServiceName) -> ServiceState {
-        let has_no_capacity_downstream = lock(&self.last_report).short_downstream.is_some();
+        let has_no_capacity_downstream = lock(&self.last_report).full_downstream.is_some();
         let now = self.shared.clock.now();
         let routing = self.shared.routing();
         ServiceState {
--- a/crates/bramblewheel-proxy/src/wire.rs
+++ b/crates/bramblewheel-proxy/src/wire.rs
@@ -42,7 +42,7 @@
 /// endpoint.
 const NESTED: HeaderName = HeaderName::from_static("bw-nested");
 /// On an error answer: service at which a call that the endpoint made for the request found no capacity.
-const SHORT_DOWNSTREAM: HeaderName = HeaderName::from_static("bw-short-below");
+const FULL_DOWNSTREAM: HeaderName = HeaderName::from_static("bw-short-below");
 /// On an answer: used share of the bound on retries for the endpoint's calls, in percent.
 const BOUND_USED: HeaderName = HeaderName::from_static("bw-bound-used");
 /// Load of the endpoint: busy slots, limit and percentage of failures, separated by commas.
@@ -255,7 +255,7 @@
     pub is_likely_nested: bool,
     /// Service at which a call of the endpoint found no capacity right before the endpoint failed the request; header
     /// `bw-short-below`.
-    pub short_downstream: Option<ServiceName>,
+    pub full_downstream: Option<ServiceName>,
     /// Used share of the bound on retries for the endpoint's calls, in percent; header `bw-bound-used`, 0 if it is
     /// missing or invalid.
     pub bound_used_percent: u32,
@@ -273,10 +273,10 @@
         if self.is_likely_nested {
             headers.insert(NESTED, HeaderValue::from_static(PRESENT));
         }
-        if let Some(service) = &self.short_downstream {
+        if let Some(service) = &self.full_downstream {
             let service =
                 HeaderValue::try_from(service.as_str()).expect("names consist of visible ASCII");
-            headers.insert(SHORT_DOWNSTREAM, service);
+            headers.insert(FULL_DOWNSTREAM, service);
         }
         if self.bound_used_percent > 0 {
             headers.insert(BOUND_USED, HeaderValue::from(self.bound_used_percent));
@@ -294,8 +294,8 @@
         let report = Self {
             load: load.and_then(read_load),
             is_likely_nested: headers.remove(NESTED).is_some(),
-            short_downstream: headers
-                .remove(SHORT_DOWNSTREAM)
+            full_downstream: headers
+                .remove(FULL_DOWNSTREAM)
                 .as_ref()
                 .and_then(read_service),
             bound_used_percent: read_percent(headers.remove(BOUND_USED)),
--- a/crates/bramblewheel-proxy/tests/pinned_wire.rs
+++ b/crates/bramblewheel-proxy/tests/pinned_wire.rs
@@ -105,7 +105,7 @@
             failed_percent: 4,
         }),
         is_likely_nested: true,
-        short_downstream: Some(ServiceName::new("lager").expect("a name")),
+        full_downstream: Some(ServiceName::new("lager").expect("a name")),
         bound_used_percent: 42,
     }
 }
--- a/crates/bramblewheel-proxy/tests/wire.rs
+++ b/crates/bramblewheel-proxy/tests/wire.rs
@@ -33,7 +33,7 @@
             failed_percent: 4,
         }),
         is_likely_nested: true,
-        short_downstream: Some(ServiceName::new("lager").expect("a name")),
+        full_downstream: Some(ServiceName::new("lager").expect("a name")),
         bound_used_percent: 42,
     }
 }
@@ -99,6 +99,6 @@
     headers.insert("bw-load", HeaderValue::from_static("many"));
     let (result, report) = AnswerReport::take(&mut headers).expect("a result");
     assert_eq!(result, AttemptResult::Full);
-    assert_eq!(report.short_downstream, None);
+    assert_eq!(report.full_downstream, None);
     assert_eq!(report.load, None);
 }
