--- a/crates/bramblewheel-proxy/src/local/state.rs
+++ b/crates/bramblewheel-proxy/src/local/state.rs
@@ -61,7 +61,7 @@
     pub(super) waiting: HashMap<Ticket, oneshot::Sender<bool>>,
     /// The order of the endpoint's incarnations.
     pub(super) incarnations: Incarnations,
-    /// The current incarnation.
+    /// The incarnation whose heartbeat was taken last; watched by running requests.
     pub(super) newest: watch::Sender<Option<EndpointId>>,
     /// Last sequence number of each incarnation, so that a late heartbeat does not reopen it.
     pub(super) last_sequences: HashMap<EndpointId, u64>,
--- a/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons of the routed data path over sockets, with a real control replica and scripted
+//! Test cluster: daemons of the routed data path over sockets, a real control replica and scripted
 //! endpoints.
 
 pub mod endpoint;
