--- a/crates/bramblewheel-decisions/src/admission.rs
+++ b/crates/bramblewheel-decisions/src/admission.rs
@@ -99,7 +99,7 @@
     }
 
     /// Requests that may run and wait together.
-    pub fn held(&self) -> u32 {
+    pub fn capacity(&self) -> u32 {
         let waiting = u32::try_from(self.queue_length()).unwrap_or(u32::MAX);
         self.limit.saturating_add(waiting)
     }
--- a/crates/bramblewheel-decisions/src/attempt_result.rs
+++ b/crates/bramblewheel-decisions/src/attempt_result.rs
@@ -82,13 +82,13 @@
     }
 
     /// Whether the endpoint or its daemon was unavailable for new requests.
-    pub fn is_not_there(self) -> bool {
+    pub fn is_unavailable(self) -> bool {
         matches!(self, Self::Leaving | Self::Unreachable)
     }
 
     /// The result as far as it concerns later choices of an endpoint. `has_failed` says whether the answer is an error
     /// of the endpoint; `time` is the time from the send to the end of the attempt.
-    pub fn end_for_directory(self, has_failed: bool, time: Duration) -> AttemptEnd {
+    pub fn attempt_end(self, has_failed: bool, time: Duration) -> AttemptEnd {
         match self {
             Self::Answered if has_failed => AttemptEnd::Failed(time),
             Self::Answered => AttemptEnd::Answered(time),
--- a/crates/bramblewheel-decisions/src/credential.rs
+++ b/crates/bramblewheel-decisions/src/credential.rs
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// [`NoKey`] if the headers do not hold exactly one well-formed key.
-pub fn key_in(headers: &HeaderMap, scheme: &str) -> Result<KeyDigest, NoKey> {
+pub fn key_digest(headers: &HeaderMap, scheme: &str) -> Result<KeyDigest, NoKey> {
     let mut fields = headers.get_all(AUTHORIZATION).iter();
     let field = fields.next().ok_or(NoKey::Missing)?;
     if fields.next().is_some() {
--- a/crates/bramblewheel-decisions/src/fading_share.rs
+++ b/crates/bramblewheel-decisions/src/decaying_share.rs
@@ -21,21 +21,21 @@
 /// A moving average of outcomes that decays while nothing is recorded.
 ///
 /// ```
-/// use bramblewheel_decisions::fading_share::FadingShare;
+/// use bramblewheel_decisions::decaying_share::DecayingShare;
 /// use bramblewheel_types::Timestamp;
 ///
-/// let mut failures = FadingShare::default();
+/// let mut failures = DecayingShare::default();
 /// failures.record(Timestamp::ZERO, true, 0.5);
 /// assert_eq!(failures.at(Timestamp::ZERO), 0.5);
 /// assert_eq!(failures.at(Timestamp::from_millis(60_000)), 0.0);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FadingShare {
+pub struct DecayingShare {
     share: f64,
     recorded: Timestamp,
 }
 
-impl FadingShare {
+impl DecayingShare {
     /// A share, 0 to 1, measured by another process at `now`.
     pub fn measured(now: Timestamp, share: f64) -> Self {
         Self {
--- a/crates/bramblewheel-decisions/src/directory/endpoint.rs
+++ b/crates/bramblewheel-decisions/src/directory/endpoint.rs
@@ -14,7 +14,7 @@
 
 use super::ejection::Ejection;
 use super::{AttemptEnd, LoadReport};
-use crate::fading_share::{FadingShare, remaining_weight};
+use crate::decaying_share::{DecayingShare, remaining_weight};
 use bramblewheel_protocol::routing::EndpointRecord;
 use bramblewheel_types::{Timestamp, ZoneName};
 use std::time::Duration;
@@ -56,9 +56,9 @@
     /// Mean of answer times relative to those of all endpoints on the same route; 1 is usual.
     slowness: f64,
     /// Share of failures among this daemon's requests.
-    failed_here: FadingShare,
+    failed_here: DecayingShare,
     /// The same among all requests, as reported by the endpoint's daemon.
-    failed_reported: FadingShare,
+    failed_reported: DecayingShare,
     ejection: Ejection,
     /// When it last answered, or when the first of the outstanding requests was sent.
     waiting_since: Timestamp,
@@ -98,8 +98,8 @@
             outstanding: 0,
             report: None,
             slowness: 1.0,
-            failed_here: FadingShare::default(),
-            failed_reported: FadingShare::default(),
+            failed_here: DecayingShare::default(),
+            failed_reported: DecayingShare::default(),
             ejection: Ejection::default(),
             waiting_since: Timestamp::ZERO,
             expected_seconds: None,
@@ -185,7 +185,7 @@
             load,
         });
         let reported = f64::from(load.failed_percent) / 100.0;
-        self.failed_reported = FadingShare::measured(now, reported);
+        self.failed_reported = DecayingShare::measured(now, reported);
     }
 
     /// Records how an attempt has ended; `relative` is its time relative to the usual one, if it shows anything about
--- a/crates/bramblewheel-decisions/src/directory/mod.rs
+++ b/crates/bramblewheel-decisions/src/directory/mod.rs
@@ -180,7 +180,7 @@
     }
 
     /// Number of endpoints of a service that accept requests.
-    pub fn endpoints_of(&self, service: &ServiceName) -> usize {
+    pub fn endpoint_count(&self, service: &ServiceName) -> usize {
         let service = self.by_service.get(service);
         service.map_or(0, |service| service.members().len())
     }
@@ -213,11 +213,16 @@
             one.is_ejected.cmp(&other.is_ejected).then(by_cost)
         });
         let id = best?.id.clone();
-        self.choose_this(now, &id, route)
+        self.choose_endpoint(now, &id, route)
     }
 
     /// Chooses this endpoint for a request of `route`; none if it is unknown.
-    pub fn choose_this(&mut self, now: Timestamp, id: &EndpointId, route: &str) -> Option<Choice> {
+    pub fn choose_endpoint(
+        &mut self,
+        now: Timestamp,
+        id: &EndpointId,
+        route: &str,
+    ) -> Option<Choice> {
         let endpoint = self.endpoints.get_mut(id)?;
         endpoint.record_send(now, self.route_times.usual_seconds(route));
         Some(Choice {
--- a/crates/bramblewheel-decisions/src/early_refusal/class_state.rs
+++ b/crates/bramblewheel-decisions/src/early_refusal/class_state.rs
@@ -32,7 +32,8 @@
 }
 
 impl ClassState {
-    /// A class without records; it has the least important rank until [`describe`](Self::describe) is called.
+    /// A class without records; it has the least important rank until
+    /// [`set_rank_and_target`](Self::set_rank_and_target) is called.
     pub(super) fn new(now: Timestamp) -> Self {
         Self {
             at_service: RefusedPart::new(&AT_SERVICE),
@@ -46,7 +47,7 @@
     }
 
     /// Sets the rank of the requests and the service that they are sent to.
-    pub(super) fn describe(&mut self, rank: u32, target: &ServiceName) {
+    pub(super) fn set_rank_and_target(&mut self, rank: u32, target: &ServiceName) {
         self.rank = rank;
         if self.target.as_ref() != Some(target) {
             self.target = Some(target.clone());
--- a/crates/bramblewheel-decisions/src/early_refusal/mod.rs
+++ b/crates/bramblewheel-decisions/src/early_refusal/mod.rs
@@ -103,9 +103,9 @@
 
     /// Records the rank of a class's requests (0 is the most important) and the service that they are sent to. Does
     /// nothing for a class without state.
-    pub fn describe(&mut self, class: RequestClass, rank: u32, target: &ServiceName) {
+    pub fn set_rank_and_target(&mut self, class: RequestClass, rank: u32, target: &ServiceName) {
         if let Some(state) = self.classes.get_mut(&class) {
-            state.describe(rank, target);
+            state.set_rank_and_target(rank, target);
         }
     }
 
--- a/crates/bramblewheel-decisions/src/early_refusal/refused_part.rs
+++ b/crates/bramblewheel-decisions/src/early_refusal/refused_part.rs
@@ -5,7 +5,7 @@
 //! excess; otherwise it falls at a constant rate. The settings of this control loop are defined here, one set for each
 //! reason.
 
-use crate::fading_share::FadingShare;
+use crate::decaying_share::DecayingShare;
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
@@ -65,7 +65,7 @@
     /// The part, 0 to [`MAX_REFUSED`], as of the last record.
     part: f64,
     /// Decaying share of the requests sent that found no capacity.
-    without_capacity: FadingShare,
+    without_capacity: DecayingShare,
 }
 
 impl RefusedPart {
@@ -74,7 +74,7 @@
         Self {
             settings,
             part: 0.0,
-            without_capacity: FadingShare::default(),
+            without_capacity: DecayingShare::default(),
         }
     }
 
--- a/crates/bramblewheel-decisions/src/endpoint_crash.rs
+++ b/crates/bramblewheel-decisions/src/endpoint_crash.rs
@@ -69,7 +69,7 @@
 
     /// Removes and returns what a crashed endpoint was running; none if it was running nothing or if the crash was
     /// taken before.
-    pub fn take_end(&mut self, endpoint: &EndpointId) -> Option<EndpointCrash> {
+    pub fn take_crash(&mut self, endpoint: &EndpointId) -> Option<EndpointCrash> {
         let of_endpoint = |request: &&Unanswered| request.endpoint == *endpoint;
         let last = self.recent.iter().rfind(of_endpoint)?.at;
         let was_running = |request: &&Unanswered| {
--- a/crates/bramblewheel-decisions/src/incarnations.rs
+++ b/crates/bramblewheel-decisions/src/incarnations.rs
@@ -27,13 +27,13 @@
 
 /// Incarnation that a heartbeat comes from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Origin {
+pub enum HeartbeatOrigin {
     /// The newest incarnation, with the id that it has from now on.
     Newest(EndpointId),
     /// An incarnation that a later one has replaced.
     Earlier,
     /// Unknown: the heartbeat states no start, although an earlier one of the same name did.
-    Unstated,
+    Unknown,
 }
 
 /// Heartbeats of one incarnation whose stated start is earlier than that of the newest.
@@ -65,13 +65,13 @@
 impl Incarnations {
     /// Records a heartbeat of an endpoint that accepts requests; `has_ended` says whether an incarnation has stopped as
     /// planned.
-    pub fn take_heartbeat(
+    pub fn record_heartbeat(
         &mut self,
         now: Timestamp,
         stated: &EndpointId,
         sequence: u64,
         has_ended: impl Fn(&EndpointId) -> bool,
-    ) -> Origin {
+    ) -> HeartbeatOrigin {
         if self.by_name.len() >= MAX_NAMES && !self.by_name.contains_key(stated.name()) {
             self.by_name.clear();
         }
@@ -80,14 +80,14 @@
         if stated.started() == newest.stated_start {
             newest.last_heartbeat = now;
             newest.late = None;
-            return Origin::Newest(newest.id.clone());
+            return HeartbeatOrigin::Newest(newest.id.clone());
         }
         if newest.id.is_earlier_start_of(stated) {
             *newest = Newest::of(now, stated);
-            return Origin::Newest(stated.clone());
+            return HeartbeatOrigin::Newest(stated.clone());
         }
         if stated.started().is_none() {
-            return Origin::Unstated;
+            return HeartbeatOrigin::Unknown;
         }
         // After a planned stop a delayed heartbeat must never make the endpoint available again, so a clock is never
         // assumed to have stepped back then.
@@ -98,27 +98,31 @@
                 stated_start: stated.started(),
                 ..Newest::of(now, &id.started_at(successor_start))
             };
-            return Origin::Newest(newest.id.clone());
+            return HeartbeatOrigin::Newest(newest.id.clone());
         }
-        Origin::Earlier
+        HeartbeatOrigin::Earlier
     }
 
     /// Records a heartbeat of an endpoint that is draining or gone. One without a start refers to the newest
     /// incarnation.
-    pub fn take_final_heartbeat(&mut self, now: Timestamp, stated: &EndpointId) -> Origin {
+    pub fn record_final_heartbeat(
+        &mut self,
+        now: Timestamp,
+        stated: &EndpointId,
+    ) -> HeartbeatOrigin {
         let Some(newest) = self.by_name.get_mut(stated.name()) else {
             let newest = Newest::of(now, stated);
             self.by_name.insert(stated.name().to_owned(), newest);
-            return Origin::Newest(stated.clone());
+            return HeartbeatOrigin::Newest(stated.clone());
         };
         if stated.started().is_none() || stated.started() == newest.stated_start {
-            return Origin::Newest(newest.id.clone());
+            return HeartbeatOrigin::Newest(newest.id.clone());
         }
         if newest.id.is_earlier_start_of(stated) {
             *newest = Newest::of(now, stated);
-            return Origin::Newest(stated.clone());
+            return HeartbeatOrigin::Newest(stated.clone());
         }
-        Origin::Earlier
+        HeartbeatOrigin::Earlier
     }
 
     /// Takes over an incarnation that was recorded before the daemon started.
--- a/crates/bramblewheel-decisions/src/quarantine.rs
+++ b/crates/bramblewheel-decisions/src/quarantine.rs
@@ -110,7 +110,7 @@
     }
 
     /// Records that a content was completed; returns whether to report it to the group.
-    pub fn ended_well(&mut self, now: Timestamp, content: ContentDigest) -> bool {
+    pub fn record_completion(&mut self, now: Timestamp, content: ContentDigest) -> bool {
         self.completed.record(now, content);
         self.is_watched(content) && self.reported.insert(content)
     }
--- a/crates/bramblewheel-decisions/src/retry.rs
+++ b/crates/bramblewheel-decisions/src/retry.rs
@@ -4,7 +4,7 @@
 //! run twice, and the bound on retries is not used up at its service or downstream. [`after_failure`] decides on
 //! everything but that bound. After [`AfterFailure::Retry`] the caller of the function asks
 //! [`RetryBound::decide_retry`](crate::retry_bound::RetryBound::decide_retry), which counts the retry if it allows it;
-//! [`GiveUp::of_bound`] gives the reason of its refusal.
+//! [`GiveUp::from_bound`] gives the reason of its refusal.
 //!
 //! Observability: log line `attempt failed` (`again`, `reason`); metrics `bramblewheel_repeats_total` and
 //! `bramblewheel_over_budget_total` (label `after`).
@@ -50,7 +50,7 @@
     /// Those that reached an endpoint, or may have.
     pub arrived: u32,
     /// Those for which the endpoint or its daemon was unavailable.
-    pub not_there: u32,
+    pub unavailable: u32,
     /// Those for which the daemon beside the endpoint had no slot.
     pub found_full: u32,
 }
@@ -59,7 +59,7 @@
     /// Counts an attempt by its result.
     pub fn record(&mut self, result: AttemptResult) {
         self.arrived += u32::from(result.has_arrived());
-        self.not_there += u32::from(result.is_not_there());
+        self.unavailable += u32::from(result.is_unavailable());
         self.found_full += u32::from(result == AttemptResult::Full);
     }
 
@@ -123,7 +123,7 @@
 
 impl AfterFailure {
     /// Whether the request is attempted again.
-    pub fn is_again(self) -> bool {
+    pub fn is_attempted_again(self) -> bool {
         !matches!(self, Self::GiveUp(_))
     }
 
@@ -151,7 +151,7 @@
     /// The next endpoint might crash while running its content, as others did.
     SuspectContent,
     /// Endpoints or their daemons were unavailable too often.
-    NobodyThere,
+    Unavailable,
     /// No slot became free at any of the endpoints that were tried.
     Full,
     /// It may have run, and must not run twice.
@@ -170,7 +170,7 @@
 
 impl GiveUp {
     /// The reason if the bound on retries refuses a retry; none if it allows it.
-    pub fn of_bound(decision: &RetryDecision) -> Option<Self> {
+    pub fn from_bound(decision: &RetryDecision) -> Option<Self> {
         match decision {
             RetryDecision::Allowed => None,
             RetryDecision::UsedDownstream { .. } => Some(Self::BoundUsedDownstream),
@@ -186,7 +186,7 @@
             Self::NoTimeLeft => "no-time-left",
             Self::Quarantined => "quarantined",
             Self::SuspectContent => "suspect-content",
-            Self::NobodyThere => "nobody-there",
+            Self::Unavailable => "nobody-there",
             Self::Full => "full",
             Self::MayHaveRun => "may-have-run",
             Self::AttemptsUsedUp => "attempts-used-up",
@@ -207,7 +207,7 @@
             (self.time_left < MIN_RETRY_TIME, GiveUp::NoTimeLeft),
             (self.is_quarantined(), GiveUp::Quarantined),
             (self.might_crash_endpoint(), GiveUp::SuspectContent),
-            (self.is_unavailable_too_often(), GiveUp::NobodyThere),
+            (self.is_unavailable_too_often(), GiveUp::Unavailable),
             (self.is_full(), GiveUp::Full),
             (self.must_not_run_again(), GiveUp::MayHaveRun),
             (self.has_used_up_attempts(), GiveUp::AttemptsUsedUp),
@@ -232,7 +232,7 @@
     }
 
     fn is_unavailable_too_often(&self) -> bool {
-        self.result.is_not_there() && self.counts.not_there > MAX_REROUTES_WHEN_UNAVAILABLE
+        self.result.is_unavailable() && self.counts.unavailable > MAX_REROUTES_WHEN_UNAVAILABLE
     }
 
     fn is_full(&self) -> bool {
--- a/crates/bramblewheel-decisions/src/retry_bound.rs
+++ b/crates/bramblewheel-decisions/src/retry_bound.rs
@@ -20,7 +20,7 @@
 //! log lines say "repeat" for a retry.
 
 use crate::bounded_map::clear_if_full;
-use crate::fading_share::remaining_weight;
+use crate::decaying_share::remaining_weight;
 use crate::request_class::RequestClass;
 use crate::retry_budget::{BoundUse, FirstSend, RetryBoundSettings, RetryBudget};
 use bramblewheel_types::{ServiceName, Timestamp};
@@ -120,7 +120,8 @@
 }
 
 impl RetryBound {
-    /// The bound of a daemon that starts now and is the only one until [`share_among`](Self::share_among) is called.
+    /// The bound of a daemon that starts now and is the only one until [`set_daemon_count`](Self::set_daemon_count) is
+    /// called.
     pub fn new(settings: RetryBoundSettings, now: Timestamp) -> Self {
         Self {
             budget: RetryBudget::new(settings, now),
@@ -130,13 +131,13 @@
     }
 
     /// Sets how many daemons share the fixed part of the bound.
-    pub fn share_among(&mut self, daemons: u32) {
-        self.budget.share_among(daemons);
+    pub fn set_daemon_count(&mut self, daemons: u32) {
+        self.budget.set_daemon_count(daemons);
     }
 
     /// Decides whether a request may be sent for the first time, and counts it if so. `drawn` is a random number
     /// between 0 and 1: calls with a retried share are refused with that probability once the budget is used up.
-    pub fn may_begin(
+    pub fn admit_first_send(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
@@ -144,9 +145,7 @@
         drawn: f64,
     ) -> bool {
         let is_refused = drawn < send.retried_share
-            && !self
-                .budget
-                .has_room_for_call(now, service, send.retried_share);
+            && !self.budget.allows_call(now, service, send.retried_share);
         if !is_refused {
             self.budget.record_first(now, service, send);
         }
@@ -176,7 +175,7 @@
 
     /// Records a report from an endpoint's daemon: the used part of the bound (0 to 1 or slightly more) at the services
     /// that are called for this class.
-    pub fn note_used_downstream(
+    pub fn record_used_downstream(
         &mut self,
         now: Timestamp,
         class: RequestClass,
--- a/crates/bramblewheel-decisions/src/retry_budget/mod.rs
+++ b/crates/bramblewheel-decisions/src/retry_budget/mod.rs
@@ -119,7 +119,7 @@
 }
 
 impl RetryBudget {
-    /// A budget that starts now, with the whole slack until [`share_among`](Self::share_among) is called.
+    /// A budget that starts now, with the whole slack until [`set_daemon_count`](Self::set_daemon_count) is called.
     pub fn new(settings: RetryBoundSettings, now: Timestamp) -> Self {
         Self {
             settings,
@@ -130,7 +130,7 @@
     }
 
     /// Sets how many daemons share the slack; 0 counts as 1.
-    pub fn share_among(&mut self, daemons: u32) {
+    pub fn set_daemon_count(&mut self, daemons: u32) {
         self.daemons = daemons.max(1);
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Whether the bound allows a call with this retried share (0 to 1).
-    pub fn has_room_for_call(
+    pub fn allows_call(
         &mut self,
         now: Timestamp,
         service: &ServiceName,
--- a/crates/bramblewheel-decisions/src/stop_schedule.rs
+++ b/crates/bramblewheel-decisions/src/stop_schedule.rs
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopSchedule {
     /// From this time on, clients of the readiness check have seen that the daemon is not ready.
-    pub noticed: Timestamp,
+    pub not_ready_noticed: Timestamp,
     /// Until this time all callers' requests are admitted.
-    pub taking_until: Timestamp,
+    pub admitting_until: Timestamp,
     /// Until this time callers' requests are sent to endpoints, for the first time or again. One sent later would
     /// rarely finish.
     pub latest_send: Timestamp,
@@ -99,8 +99,8 @@
             .min(listening);
         let answers = grace.saturating_sub(ANSWER_TIME).max(admitting);
         Self {
-            noticed: now + NOTICE_TIME.min(listening),
-            taking_until: now + admitting,
+            not_ready_noticed: now + NOTICE_TIME.min(listening),
+            admitting_until: now + admitting,
             latest_send: now + (admitting + answers) / 2,
             listening_until: now + listening,
             answers_by: now + answers,
@@ -114,7 +114,7 @@
     /// whose requests seemed to come from few machines were admitted until the forced stop and cut off: 7 of 30 in
     /// `planned_stops::a_planned_stop_rests_on_no_guess_who_calls_a_route`.
     pub fn decide(&self, now: Timestamp, request: LateRequest) -> LateDecision {
-        if now < self.taking_until {
+        if now < self.admitting_until {
             return LateDecision::Early;
         }
         if request.deadline <= self.answers_by {
--- a/crates/bramblewheel-decisions/src/table/check.rs
+++ b/crates/bramblewheel-decisions/src/table/check.rs
@@ -24,7 +24,7 @@
     },
     /// Two routes have the same host and prefix.
     #[error("routes {first} and {second} have the same host and prefix")]
-    SamePlace {
+    SameHostAndPrefix {
         /// One of them.
         first: String,
         /// The other.
@@ -77,7 +77,7 @@
                 prefix: &route.prefix,
             };
             if let Some(other) = known.insert(requests, route) {
-                return Err(TableError::SamePlace {
+                return Err(TableError::SameHostAndPrefix {
                     first: other.name.clone(),
                     second: route.name.clone(),
                 });
--- a/crates/bramblewheel-decisions/src/table/mod.rs
+++ b/crates/bramblewheel-decisions/src/table/mod.rs
@@ -34,9 +34,9 @@
     /// Services that routes may name.
     pub services: BTreeMap<ServiceName, ServiceSettings>,
     /// Idle time-out of callers' connections, if configured.
-    pub caller_rest: Option<Duration>,
+    pub caller_idle_timeout: Option<Duration>,
     /// Maximum size of a request body in bytes, if configured.
-    pub longest_body: Option<usize>,
+    pub max_body_bytes: Option<usize>,
     /// Tenants; requests need no key if there are none.
     pub tenants: Vec<Tenant>,
 }
--- a/crates/bramblewheel-decisions/src/table/router.rs
+++ b/crates/bramblewheel-decisions/src/table/router.rs
@@ -22,8 +22,8 @@
 pub struct Router {
     version: TableVersion,
     by_host: HashMap<String, HashMap<String, Arc<ActiveRoute>>>,
-    caller_rest: Option<Duration>,
-    longest_body: usize,
+    caller_idle_timeout: Option<Duration>,
+    max_body_bytes: usize,
     tenants: TenantDirectory,
     services: BTreeSet<ServiceName>,
 }
@@ -59,16 +59,16 @@
         Self {
             version: table.version,
             by_host,
-            caller_rest: table.caller_rest,
-            longest_body: table.longest_body.unwrap_or(usize::MAX),
+            caller_idle_timeout: table.caller_idle_timeout,
+            max_body_bytes: table.max_body_bytes.unwrap_or(usize::MAX),
             tenants: TenantDirectory::new(table.tenants),
             services: table.services.into_keys().collect(),
         }
     }
 
     /// Idle time-out of callers' connections, if configured.
-    pub fn caller_rest(&self) -> Option<Duration> {
-        self.caller_rest
+    pub fn caller_idle_timeout(&self) -> Option<Duration> {
+        self.caller_idle_timeout
     }
 
     /// Version of the table.
@@ -87,8 +87,8 @@
     }
 
     /// Maximum size of a request body, in bytes.
-    pub fn longest_body(&self) -> usize {
-        self.longest_body
+    pub fn max_body_bytes(&self) -> usize {
+        self.max_body_bytes
     }
 
     /// The route with the longest prefix of `path`. Takes one look-up for each slash of the path.
--- a/crates/bramblewheel-decisions/src/table_lease.rs
+++ b/crates/bramblewheel-decisions/src/table_lease.rs
@@ -99,7 +99,7 @@
     }
 
     /// Time for which keys may still be used; none if unlimited.
-    pub fn left(&self, now: Timestamp) -> Option<Duration> {
+    pub fn remaining(&self, now: Timestamp) -> Option<Duration> {
         self.length.map(|_| self.valid_until.since(now))
     }
 }
--- a/crates/bramblewheel-decisions/src/tenant_quota/mod.rs
+++ b/crates/bramblewheel-decisions/src/tenant_quota/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// Sets how many daemons admit requests; 0 counts as 1.
-    pub fn share_among(&mut self, daemons: u32) {
+    pub fn set_daemon_count(&mut self, daemons: u32) {
         self.daemons = daemons.max(1);
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Takes over the sums over all daemons for the tenants in `own`, the use that this daemon had reported before.
-    pub fn take_sums(&mut self, now: Timestamp, own: &[TenantUsage], sums: &[TenantUsage]) {
+    pub fn record_sums(&mut self, now: Timestamp, own: &[TenantUsage], sums: &[TenantUsage]) {
         self.sums_received = Some(now);
         self.has_sums |= !sums.is_empty();
         let own: HashMap<u64, TenantUsage> = own.iter().map(|own| (own.tenant, *own)).collect();
--- a/crates/bramblewheel-decisions/tests/decide/retry_budget.rs
+++ b/crates/bramblewheel-decisions/tests/decide/retry_budget.rs
@@ -29,7 +29,7 @@
             .map(|_| RetryBudget::new(terms, Timestamp::ZERO))
             .collect();
         for budget in &mut budgets {
-            budget.share_among(17);
+            budget.set_daemon_count(17);
         }
         let (mut firsts, mut retries): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
         for step in 0..40_000_u64 {
--- a/crates/bramblewheel-decisions/tests/decide/routes.rs
+++ b/crates/bramblewheel-decisions/tests/decide/routes.rs
@@ -35,8 +35,8 @@
         version: TableVersion(1),
         routes,
         services: ["kassa", "pris"].map(|name| (service(name), terms)).into(),
-        caller_rest: None,
-        longest_body: None,
+        caller_idle_timeout: None,
+        max_body_bytes: None,
         tenants: Vec::new(),
     }
 }
@@ -94,7 +94,7 @@
         },
     ])
     .check();
-    assert!(matches!(same, Err(TableError::SamePlace { .. })));
+    assert!(matches!(same, Err(TableError::SameHostAndPrefix { .. })));
 }
 
 /// Over 300 requests each part gets its share within a few in a hundred, wherever a daemon begins.
--- a/crates/bramblewheel-decisions/tests/directory.rs
+++ b/crates/bramblewheel-decisions/tests/directory.rs
@@ -112,7 +112,7 @@
                     record.service == of_service && record.state == EndpointState::Ready
                 };
                 let known = newest.values().filter(takes_work).count();
-                assert_eq!(directory.endpoints_of(&of_service), known, "seed {seed}");
+                assert_eq!(directory.endpoint_count(&of_service), known, "seed {seed}");
                 let chosen = choose(&mut directory, service_name);
                 let chosen = chosen.map(|endpoint| &newest[&endpoint]);
                 assert!(
--- a/crates/bramblewheel-decisions/tests/early_refusal.rs
+++ b/crates/bramblewheel-decisions/tests/early_refusal.rs
@@ -263,7 +263,7 @@
         early.record(now, OTHER_TREES, other);
         early.record(now, ELSEWHERE, none_there_if(met));
         for (class, rank, target) in described {
-            early.describe(class, rank, &name(target));
+            early.set_rank_and_target(class, rank, &name(target));
         }
     }
     let now = Timestamp::from_millis(1_000);
--- a/crates/bramblewheel-decisions/tests/endpoint_crash.rs
+++ b/crates/bramblewheel-decisions/tests/endpoint_crash.rs
@@ -85,11 +85,13 @@
     unanswered.record(at(5_001), &endpoint(2), ContentDigest(3));
     unanswered.record(at(5_002), &endpoint(1), ContentDigest(1));
     unanswered.record(at(5_003), &endpoint(1), ContentDigest(2));
-    let end = unanswered.take_end(&endpoint(1)).expect("it ran something");
+    let end = unanswered
+        .take_crash(&endpoint(1))
+        .expect("it ran something");
     assert_eq!(end.endpoint, endpoint(1));
     assert_eq!(end.contents, [ContentDigest(1), ContentDigest(2)]);
-    assert_eq!(unanswered.take_end(&endpoint(1)), None, "each end once");
-    assert!(unanswered.take_end(&endpoint(2)).is_some());
+    assert_eq!(unanswered.take_crash(&endpoint(1)), None, "each end once");
+    assert!(unanswered.take_crash(&endpoint(2)).is_some());
 }
 
 #[test]
@@ -103,7 +105,7 @@
             unanswered.record(now, &endpoint(number), ContentDigest(content));
         }
         let end = unanswered
-            .take_end(&endpoint(number))
+            .take_crash(&endpoint(number))
             .expect("it ran something");
         named = counts.record(&end);
     }
--- a/crates/bramblewheel-decisions/tests/failures.rs
+++ b/crates/bramblewheel-decisions/tests/failures.rs
@@ -148,7 +148,7 @@
         retried_share: 0.0,
     };
     for _ in 0..1_000 {
-        assert!(bound.may_begin(now, &kassa(), send, 0.0));
+        assert!(bound.admit_first_send(now, &kassa(), send, 0.0));
     }
     let mut may_repeat = |reason| {
         let decision = bound.decide_retry(now, &kassa(), RequestClass(1), reason);
--- a/crates/bramblewheel-decisions/tests/quarantine_fleet/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/quarantine_fleet/fleet.rs
@@ -185,7 +185,7 @@
     fn noticed(&mut self, daemon: usize, endpoint: &EndpointId) {
         let now = self.at();
         let known = &mut self.daemons[daemon];
-        let Some(end) = known.unanswered.take_end(endpoint) else {
+        let Some(end) = known.unanswered.take_crash(endpoint) else {
             return;
         };
         let contents = match self.variant {
@@ -316,7 +316,7 @@
 
     fn ended_well(&mut self, daemon: usize, content: ContentDigest) {
         let now = self.at();
-        if self.daemons[daemon].view.ended_well(now, content) {
+        if self.daemons[daemon].view.record_completion(now, content) {
             let contents = vec![content];
             let report = ContentReport::Succeeded { contents };
             self.later(5..60, Message::Report(daemon, report));
--- a/crates/bramblewheel-decisions/tests/repeat_bound/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/repeat_bound/fleet.rs
@@ -168,7 +168,7 @@
         let drawn = self.random.random_range(0.0..1.0);
         let drawn = if self.way.refuses() { drawn } else { 1.0 };
         let service = &self.names[call.service];
-        let may_begin = daemon.bound.may_begin(at(now), service, send, drawn);
+        let may_begin = daemon.bound.admit_first_send(at(now), service, send, drawn);
         self.calls.push(Call {
             retried_share,
             ..call
@@ -237,7 +237,7 @@
         let class = class_of(call.service, call.makes_calls);
         let is_likely_nested = call.parent.is_some();
         let caller = &mut self.daemons[call.daemon].bound;
-        caller.note_used_downstream(at(now), class, is_likely_nested, used);
+        caller.record_used_downstream(at(now), class, is_likely_nested, used);
     }
 
     /// The calls of a run, if its service makes some for such requests.
@@ -390,6 +390,6 @@
 
 fn bound(daemons: usize, now: Timestamp) -> RetryBound {
     let mut bound = RetryBound::new(TERMS, now);
-    bound.share_among(u32::try_from(daemons).expect("few"));
+    bound.set_daemon_count(u32::try_from(daemons).expect("few"));
     bound
 }
--- a/crates/bramblewheel-decisions/tests/retry.rs
+++ b/crates/bramblewheel-decisions/tests/retry.rs
@@ -109,12 +109,12 @@
             GiveUp::SuspectContent,
         ),
         (
-            with(Result::Leaving, |it| it.counts.not_there = 4),
-            GiveUp::NobodyThere,
+            with(Result::Leaving, |it| it.counts.unavailable = 4),
+            GiveUp::Unavailable,
         ),
         (
-            with(Result::Unreachable, |it| it.counts.not_there = 4),
-            GiveUp::NobodyThere,
+            with(Result::Unreachable, |it| it.counts.unavailable = 4),
+            GiveUp::Unavailable,
         ),
         (
             with(Result::Full, |it| it.counts.found_full = 3),
@@ -176,7 +176,7 @@
         ),
         (
             "three reroutes where nobody is there",
-            with(Result::Leaving, |it| it.counts.not_there = 3),
+            with(Result::Leaving, |it| it.counts.unavailable = 3),
             Reroute,
         ),
         (
@@ -287,7 +287,7 @@
     }
     let expected = AttemptCounts {
         arrived: 5,
-        not_there: 2,
+        unavailable: 2,
         found_full: 1,
     };
     assert_eq!(counts, expected);
@@ -316,10 +316,10 @@
     };
     let downstream = RetryDecision::UsedDownstream { part: 0.7 };
     let here = RetryDecision::UsedUp(used_up);
-    assert_eq!(GiveUp::of_bound(&RetryDecision::Allowed), None);
+    assert_eq!(GiveUp::from_bound(&RetryDecision::Allowed), None);
     assert_eq!(
-        GiveUp::of_bound(&downstream),
+        GiveUp::from_bound(&downstream),
         Some(GiveUp::BoundUsedDownstream)
     );
-    assert_eq!(GiveUp::of_bound(&here), Some(GiveUp::BoundUsedHere));
+    assert_eq!(GiveUp::from_bound(&here), Some(GiveUp::BoundUsedHere));
 }
--- a/crates/bramblewheel-decisions/tests/stop_schedule.rs
+++ b/crates/bramblewheel-decisions/tests/stop_schedule.rs
@@ -21,9 +21,12 @@
 fn its_times_follow_one_another_whatever_the_grace_time() {
     for grace in [0, 100, 400, 1_000, 2_000, 3_000, 4_000, 6_000, 30_000] {
         let schedule = StopSchedule::new(at(1_000), Duration::from_millis(grace));
-        assert!(schedule.noticed <= schedule.listening_until, "{schedule:?}");
         assert!(
-            schedule.taking_until <= schedule.latest_send,
+            schedule.not_ready_noticed <= schedule.listening_until,
+            "{schedule:?}"
+        );
+        assert!(
+            schedule.admitting_until <= schedule.latest_send,
             "{schedule:?}"
         );
         assert!(schedule.latest_send <= schedule.answers_by, "{schedule:?}");
--- a/crates/bramblewheel-decisions/tests/table_lease.rs
+++ b/crates/bramblewheel-decisions/tests/table_lease.rs
@@ -21,7 +21,7 @@
     let lease = TableLease::new(None);
     assert!(!lease.is_required());
     assert!(lease.is_valid(at(1_000_000)));
-    assert_eq!(lease.left(at(0)), None);
+    assert_eq!(lease.remaining(at(0)), None);
 }
 
 #[test]
@@ -34,7 +34,7 @@
     // Most of the bound can be used, so that the loss of the control group is outlasted.
     assert!(lease.is_valid(at(1_000 + 4_700)));
     assert!(!lease.is_valid(at(1_000 + 5_000)));
-    let left = lease.left(at(1_000)).expect("required");
+    let left = lease.remaining(at(1_000)).expect("required");
     assert!(left > Duration::from_millis(4_700) && left < BOUND);
 }
 
--- a/crates/bramblewheel-decisions/tests/tenant_quota/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/tenant_quota/fleet.rs
@@ -216,8 +216,8 @@
             answers.into_iter().partition(|answer| answer.due <= now);
         answers = waiting;
         for answer in arrived {
-            daemons[answer.daemon].share_among(DAEMONS as u32);
-            daemons[answer.daemon].take_sums(at, &answer.own, &answer.sums);
+            daemons[answer.daemon].set_daemon_count(DAEMONS as u32);
+            daemons[answer.daemon].record_sums(at, &answer.own, &answer.sums);
         }
         for (daemon, quotas) in daemons.iter_mut().enumerate() {
             let turn = (daemon as u64 * 37) % REPORT_MILLIS / STEP_MILLIS * STEP_MILLIS;
--- a/crates/bramblewheel-decisions/tests/tenant_quota/single.rs
+++ b/crates/bramblewheel-decisions/tests/tenant_quota/single.rs
@@ -28,7 +28,7 @@
         let own = quotas.usage(now);
         assert_eq!(own[0].admitted, admitted_for_good);
         assert_eq!(own[0].asked, admitted_for_good);
-        quotas.take_sums(now, &own, &own);
+        quotas.record_sums(now, &own, &own);
     }
 }
 
@@ -37,8 +37,8 @@
 fn requests_that_begin_without_any_sums_get_an_even_part() {
     let now = Timestamp::from_millis(10_000);
     let mut quotas = TenantQuotas::new(TERMS);
-    quotas.share_among(72);
-    quotas.take_sums(Timestamp::from_millis(5_000), &[], &[]);
+    quotas.set_daemon_count(72);
+    quotas.record_sums(Timestamp::from_millis(5_000), &[], &[]);
     let quota = QUOTAS[0];
     let decided = (0..100).map(|_| quotas.decide(now, TENANT, quota, 0.5));
     let admitted = decided.filter(|decided| matches!(decided, QuotaDecision::Admitted(_)));
--- a/crates/bramblewheel-decisions/tests/tenants.rs
+++ b/crates/bramblewheel-decisions/tests/tenants.rs
@@ -1,6 +1,6 @@
 //! Tenants and the keys of requests: what is valid, who holds a key, what is never shown.
 
-use bramblewheel_decisions::credential::{NoKey, key_in};
+use bramblewheel_decisions::credential::{NoKey, key_digest};
 use bramblewheel_decisions::request_class::RequestClass;
 use bramblewheel_decisions::tenants::{
     ActiveTenant, KeyDigest, Quota, Tenant, TenantDirectory, TenantError, check,
@@ -125,14 +125,15 @@
 fn a_key_is_taken_in_any_case_of_its_scheme() {
     let expected = Ok(KeyDigest::of(b"k1"));
     for field in ["Token k1", "token k1", "TOKEN   k1 "] {
-        assert_eq!(key_in(&headers(&[field]), SCHEME), expected, "{field}");
+        assert_eq!(key_digest(&headers(&[field]), SCHEME), expected, "{field}");
     }
-    assert_ne!(key_in(&headers(&["Token K1"]), SCHEME), expected);
+    assert_ne!(key_digest(&headers(&["Token K1"]), SCHEME), expected);
 }
 
 #[test]
 fn whatever_is_not_one_key_is_told_apart_and_not_shown() {
-    let reason = |fields: &[&'static str]| key_in(&headers(fields), SCHEME).expect_err("no key");
+    let reason =
+        |fields: &[&'static str]| key_digest(&headers(fields), SCHEME).expect_err("no key");
     assert_eq!(reason(&[]), NoKey::Missing);
     assert_eq!(reason(&["Token k1", "Token k1"]), NoKey::Several);
     assert_eq!(reason(&["Basic k1"]), NoKey::OtherScheme);
@@ -142,11 +143,11 @@
     let mut long = HeaderMap::new();
     let text = format!("Token {}", "k".repeat(5_000));
     long.insert(AUTHORIZATION, HeaderValue::try_from(text).expect("ASCII"));
-    assert_eq!(key_in(&long, SCHEME), Err(NoKey::TooLong));
+    assert_eq!(key_digest(&long, SCHEME), Err(NoKey::TooLong));
     let mut opaque = HeaderMap::new();
     let bytes = HeaderValue::from_bytes(b"Token k\xff").expect("opaque bytes");
     opaque.insert(AUTHORIZATION, bytes);
-    assert_eq!(key_in(&opaque, SCHEME), Err(NoKey::OtherScheme));
+    assert_eq!(key_digest(&opaque, SCHEME), Err(NoKey::OtherScheme));
 }
 
 #[test]
--- a/crates/bramblewheel-proxy/src/control/renewal.rs
+++ b/crates/bramblewheel-proxy/src/control/renewal.rs
@@ -109,8 +109,8 @@
         let mut access = self.shared.tenant_access();
         access.lease.confirm(asked_at, reply.table_version);
         if let Some(sums) = &reply.sums {
-            access.quotas.share_among(reply.daemons);
-            access.quotas.take_sums(now, usage, sums);
+            access.quotas.set_daemon_count(reply.daemons);
+            access.quotas.record_sums(now, usage, sums);
         }
     }
 
@@ -146,7 +146,7 @@
 
     fn left_millis(&self) -> Option<u64> {
         let now = self.shared.clock.now();
-        let left = self.shared.tenant_access().lease.left(now);
+        let left = self.shared.tenant_access().lease.remaining(now);
         left.map(|left| Millis::of(left).0)
     }
 }
--- a/crates/bramblewheel-proxy/src/control/watch.rs
+++ b/crates/bramblewheel-proxy/src/control/watch.rs
@@ -130,7 +130,10 @@
         }
         self.position = self.position.max(reply.position);
         self.shared.control.learn(reply.replicas);
-        self.shared.routing().retry_bound.share_among(reply.daemons);
+        self.shared
+            .routing()
+            .retry_bound
+            .set_daemon_count(reply.daemons);
         // Before the table, with which the daemon begins to send.
         if let Some(list) = &reply.quarantine {
             self.install_quarantine(list);
--- a/crates/bramblewheel-proxy/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-proxy/src/inbound/dispatch.rs
@@ -10,7 +10,7 @@
 use crate::local::{Permit, Refusal};
 use crate::shared::Shared;
 use crate::wire::{AnswerReport, AttemptResult, Handover};
-use bramblewheel_decisions::fading_share::whole_percent;
+use bramblewheel_decisions::decaying_share::whole_percent;
 use bramblewheel_protocol::content::ContentDigest;
 use bramblewheel_types::{ServiceName, Timestamp};
 use http::{HeaderMap, HeaderValue};
@@ -293,7 +293,7 @@
             return;
         };
         let now = self.shared.clock.now();
-        let is_to_be_reported = self.shared.quarantine().ended_well(now, content);
+        let is_to_be_reported = self.shared.quarantine().record_completion(now, content);
         if is_to_be_reported {
             self.shared.reporter.succeeded(vec![content]);
         }
--- a/crates/bramblewheel-proxy/src/local/mod.rs
+++ b/crates/bramblewheel-proxy/src/local/mod.rs
@@ -16,10 +16,10 @@
 pub use permit::Permit;
 
 use arc_swap::ArcSwap;
+use bramblewheel_decisions::decaying_share::whole_percent;
 use bramblewheel_decisions::directory::LoadReport;
 use bramblewheel_decisions::endpoint_crash::EndpointCrash;
-use bramblewheel_decisions::fading_share::whole_percent;
-use bramblewheel_decisions::incarnations::Origin;
+use bramblewheel_decisions::incarnations::HeartbeatOrigin;
 use bramblewheel_decisions::machine_identity::{IdentityMismatch, MachineIdentity};
 use bramblewheel_decisions::request_class::RequestClass;
 use bramblewheel_process::invariants::lock;
@@ -134,9 +134,9 @@
             return HeartbeatResult::OfAnotherMachine(mismatch);
         }
         match state.origin(now, record) {
-            Origin::Newest(id) => record.endpoint = id,
-            Origin::Earlier => return HeartbeatResult::Late,
-            Origin::Unstated => return HeartbeatResult::WithoutStart,
+            HeartbeatOrigin::Newest(id) => record.endpoint = id,
+            HeartbeatOrigin::Earlier => return HeartbeatResult::Late,
+            HeartbeatOrigin::Unknown => return HeartbeatResult::WithoutStart,
         }
         let record = record.clone();
         let endpoint = record.endpoint.clone();
@@ -335,7 +335,7 @@
 
     /// The endpoint has crashed: what it was running, if that was not taken yet.
     pub fn take_crash(&self, endpoint: &EndpointId) -> Option<EndpointCrash> {
-        self.lock().unanswered.take_end(endpoint)
+        self.lock().unanswered.take_crash(endpoint)
     }
 
     /// Counts a crash here; returns the contents under which most incarnations crashed, with the number of crashes.
--- a/crates/bramblewheel-proxy/src/local/state.rs
+++ b/crates/bramblewheel-proxy/src/local/state.rs
@@ -9,9 +9,9 @@
     Admission, AdmissionQueue, Arrival, QueuePosition, Ticket,
 };
 use bramblewheel_decisions::class_limit::{Answered, ClassLimit};
+use bramblewheel_decisions::decaying_share::DecayingShare;
 use bramblewheel_decisions::endpoint_crash::{CrashesByContent, UnansweredRequests};
-use bramblewheel_decisions::fading_share::FadingShare;
-use bramblewheel_decisions::incarnations::{Incarnations, Origin};
+use bramblewheel_decisions::incarnations::{HeartbeatOrigin, Incarnations};
 use bramblewheel_decisions::request_class::RequestClass;
 use bramblewheel_decisions::running_requests::RunningRequests;
 use bramblewheel_protocol::routing::{EndpointRecord, EndpointState};
@@ -59,7 +59,7 @@
     pub(super) queue: AdmissionQueue,
     pub(super) class_limits: HashMap<RequestClass, ClassLimit>,
     /// Share of the requests that the endpoint failed lately.
-    pub(super) failed: FadingShare,
+    pub(super) failed: DecayingShare,
     /// What tells the requests in the queue whether they may run.
     pub(super) waiting: HashMap<Ticket, oneshot::Sender<bool>>,
     /// The order of the endpoint's incarnations.
@@ -93,15 +93,15 @@
 
 impl State {
     /// Which incarnation of the endpoint a heartbeat comes from.
-    pub(super) fn origin(&mut self, now: Timestamp, record: &EndpointRecord) -> Origin {
+    pub(super) fn origin(&mut self, now: Timestamp, record: &EndpointRecord) -> HeartbeatOrigin {
         let stated = &record.endpoint;
         if record.state.is_final() {
-            return self.incarnations.take_final_heartbeat(now, stated);
+            return self.incarnations.record_final_heartbeat(now, stated);
         }
         let final_states = &self.final_states;
         let has_ended = |start: &EndpointId| final_states.contains_key(start);
         self.incarnations
-            .take_heartbeat(now, stated, record.sequence, has_ended)
+            .record_heartbeat(now, stated, record.sequence, has_ended)
     }
 
     /// Another incarnation is there from now on.
@@ -113,7 +113,7 @@
 
     /// Takes a request in among those of its class; returns whether the limit of the class allows it.
     pub(super) fn begin_in_class(&mut self, now: Timestamp, share: ClassShare) -> bool {
-        let capacity = self.queue.held();
+        let capacity = self.queue.capacity();
         let limits = &mut self.class_limits;
         if limits.len() >= MAX_CLASSES {
             limits.clear();
@@ -250,7 +250,7 @@
             return HeartbeatResult::Late;
         }
         self.refuse_waiting();
-        self.failed = FadingShare::default();
+        self.failed = DecayingShare::default();
         self.queue.set_slots(record.slots);
         self.note_succession(&record.endpoint);
         self.set_current(Current {
--- a/crates/bramblewheel-proxy/src/outbound/access.rs
+++ b/crates/bramblewheel-proxy/src/outbound/access.rs
@@ -8,7 +8,7 @@
 use crate::inbound::dispatch::text;
 use crate::outbound::reply::Reply;
 use crate::shared::Shared;
-use bramblewheel_decisions::credential::key_in;
+use bramblewheel_decisions::credential::key_digest;
 use bramblewheel_decisions::retry_after::RefusalReason;
 use bramblewheel_decisions::table::{Route, Router};
 use bramblewheel_decisions::tenant_quota::{OverQuota, QuotaCharge, QuotaDecision};
@@ -66,7 +66,7 @@
     if !has_lease {
         return without_lease(shared, router, route, id);
     }
-    let key = key_in(headers, shared.settings.dialect.key_scheme);
+    let key = key_digest(headers, shared.settings.dialect.key_scheme);
     let holder = key.map(|key| tenants.holder(&key).cloned());
     match holder {
         Ok(Some(tenant)) => within_quota(shared, router, route, id, tenant).map(Some),
--- a/crates/bramblewheel-proxy/src/outbound/arrival.rs
+++ b/crates/bramblewheel-proxy/src/outbound/arrival.rs
@@ -53,7 +53,7 @@
     // Calls of endpoints carry no key, and all others do.
     let is_nested_by_table = has_tenants && route.route.is_public && from.is_none();
     let remaining = dialect.remaining(&head.headers);
-    let body = read_body(shared, &id, incoming, router.longest_body()).await?;
+    let body = read_body(shared, &id, incoming, router.max_body_bytes()).await?;
     let content = content_of(&head, &host, from.as_ref(), &body);
     let request = NewCallerRequest {
         id,
--- a/crates/bramblewheel-proxy/src/outbound/attempt.rs
+++ b/crates/bramblewheel-proxy/src/outbound/attempt.rs
@@ -57,7 +57,7 @@
         }
         self.shared.metrics.attempt(result);
         let time = self.shared.clock.since(begun);
-        let end = result.end_for_directory(dispatched.has_failed(), time);
+        let end = result.attempt_end(dispatched.has_failed(), time);
         self.note_report(choice, end, &report);
         *lock(&self.last_report) = report;
         dispatched
@@ -100,7 +100,7 @@
         if report.load.is_some() {
             let used = f64::from(report.bound_used_percent) / 100.0;
             let bound = &mut routing.retry_bound;
-            bound.note_used_downstream(now, self.class, self.is_likely_nested, used);
+            bound.record_used_downstream(now, self.class, self.is_likely_nested, used);
         }
         let is_new = routing.note_nested(self.class, report);
         drop(routing);
--- a/crates/bramblewheel-proxy/src/outbound/attempts.rs
+++ b/crates/bramblewheel-proxy/src/outbound/attempts.rs
@@ -88,7 +88,7 @@
                 result.as_str()
             };
             self.log_failure(&service, &choice, named_result, &attempts, decision);
-            if !decision.is_again() {
+            if !decision.is_attempted_again() {
                 return self.without_success(EndReason::GaveUp(attempts.error));
             }
         }
@@ -133,7 +133,7 @@
     ) {
         slog::info!(self.shared.log, "attempt failed"; "id" => text(&self.id),
             "service" => %service, "endpoint" => %choice.endpoint, "result" => result,
-            "attempt" => attempts.tried.len(), "again" => decision.is_again(),
+            "attempt" => attempts.tried.len(), "again" => decision.is_attempted_again(),
             "reason" => decision.as_str(), "content" => %self.content,
             "caller" => self.caller().as_ref().map_or("", text),
             "left_ms" => Millis::of(self.shared.clock.left_until(self.deadline)).0);
@@ -149,7 +149,10 @@
         };
         let mut routing = self.shared.routing();
         let drawn = routing.random.random_range(0.0..1.0);
-        if routing.retry_bound.may_begin(now, service, send, drawn) {
+        if routing
+            .retry_bound
+            .admit_first_send(now, service, send, drawn)
+        {
             return true;
         }
         drop(routing);
@@ -187,6 +190,6 @@
         let number = routing.random.random_range(0..rejected_by.len());
         let route = &self.route.route.name;
         let directory = &mut routing.directory;
-        directory.choose_this(now, &rejected_by[number], route)
+        directory.choose_endpoint(now, &rejected_by[number], route)
     }
 }
--- a/crates/bramblewheel-proxy/src/outbound/capacity.rs
+++ b/crates/bramblewheel-proxy/src/outbound/capacity.rs
@@ -56,7 +56,7 @@
         let early_refusal = &mut routing.early_refusal;
         let change = early_refusal.record(now, self.class, found);
         let targets = &self.route.route.targets;
-        early_refusal.describe(self.class, self.rank, &targets[0].service);
+        early_refusal.set_rank_and_target(self.class, self.rank, &targets[0].service);
         let Some(change) = change else {
             return;
         };
--- a/crates/bramblewheel-proxy/src/outbound/mod.rs
+++ b/crates/bramblewheel-proxy/src/outbound/mod.rs
@@ -45,7 +45,9 @@
 /// for longer than the longest.
 pub fn caller_rest(shared: &Shared) -> Duration {
     let router = shared.router.load();
-    let stated = router.as_ref().and_then(|router| router.caller_rest());
+    let stated = router
+        .as_ref()
+        .and_then(|router| router.caller_idle_timeout());
     stated.map_or(LONGEST_CALLER_REST, |stated| {
         stated.min(LONGEST_CALLER_REST)
     })
--- a/crates/bramblewheel-proxy/src/outbound/retry.rs
+++ b/crates/bramblewheel-proxy/src/outbound/retry.rs
@@ -74,7 +74,7 @@
         let decision = bound.decide_retry(now, service, self.class, reason);
         drop(routing);
         self.note_bound_decision(service, after, &decision);
-        match GiveUp::of_bound(&decision) {
+        match GiveUp::from_bound(&decision) {
             Some(refused) => AfterFailure::GiveUp(refused),
             None => AfterFailure::Retry(reason),
         }
--- a/crates/bramblewheel-proxy/src/planned_stop.rs
+++ b/crates/bramblewheel-proxy/src/planned_stop.rs
@@ -87,12 +87,12 @@
         if shared.in_progress.count() > 0 {
             quiet_since = clock.now();
         }
-        if !are_callers_refused && clock.now() >= schedule.taking_until {
+        if !are_callers_refused && clock.now() >= schedule.admitting_until {
             are_callers_refused = true;
             slog::info!(shared.log, "callers refused from now on"; "reason" => "the daemon stops",
                 "in_progress" => shared.in_progress.count());
         }
-        let is_noticed = clock.now() >= schedule.noticed;
+        let is_noticed = clock.now() >= schedule.not_ready_noticed;
         let is_quiet = clock.since(quiet_since) >= QUIET_TIME;
         if is_noticed && is_quiet {
             break;
--- a/crates/bramblewheel-proxy/tests/sockets/foreign_heartbeats.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/foreign_heartbeats.rs
@@ -215,7 +215,7 @@
     send(&mesh, next).await;
     eventually(|| shared.local.is_open()).await;
     let kassa = ServiceName::new("kassa").expect("a name");
-    eventually(|| shared.routing().directory.endpoints_of(&kassa) == 1).await;
+    eventually(|| shared.routing().directory.endpoint_count(&kassa) == 1).await;
     assert_served(&mesh, &mesh.endpoints[0], "restarted").await;
 }
 
@@ -235,7 +235,7 @@
     let endpoints_of = |service: &ServiceName| {
         let daemons = mesh.daemons.iter();
         let counts =
-            daemons.map(|daemon| daemon.shared().routing().directory.endpoints_of(service));
+            daemons.map(|daemon| daemon.shared().routing().directory.endpoint_count(service));
         counts.collect::<Vec<_>>()
     };
     eventually(|| endpoints_of(&kassa) == [1, 1]).await;
@@ -290,5 +290,5 @@
     assert_eq!(ended, Ok(()));
     let other = mesh.daemons[0].shared();
     let kassa = ServiceName::new("kassa").expect("a name");
-    eventually(|| other.routing().directory.endpoints_of(&kassa) == 1).await;
+    eventually(|| other.routing().directory.endpoint_count(&kassa) == 1).await;
 }
--- a/crates/bramblewheel-proxy/tests/sockets/requests.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/requests.rs
@@ -302,7 +302,7 @@
     assert_eq!(reply.expect("decided"), ready);
     let shared = mesh.daemons[0].shared();
     let kassa = ServiceName::new("kassa").expect("a name");
-    eventually(|| shared.routing().directory.endpoints_of(&kassa) == 2).await;
+    eventually(|| shared.routing().directory.endpoint_count(&kassa) == 2).await;
     for number in 0..12 {
         let path = if number % 2 == 0 {
             "/once/pay"
--- a/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
@@ -244,7 +244,7 @@
         let shared = self.daemons[number].shared();
         let kassa = ServiceName::new("kassa").expect("a name");
         eventually(|| {
-            let known = shared.routing().directory.endpoints_of(&kassa);
+            let known = shared.routing().directory.endpoint_count(&kassa);
             shared.is_ready() && known == endpoints && shared.local.is_open()
         })
         .await;
@@ -352,8 +352,8 @@
             route("public", true),
         ],
         services: [(kassa.clone(), terms)].into(),
-        caller_rest: Some(CALLER_REST),
-        longest_body: Some(LONGEST_BODY),
+        caller_idle_timeout: Some(CALLER_REST),
+        max_body_bytes: Some(LONGEST_BODY),
         tenants: tenants(stated),
     }
 }
