--- a/crates/bramblewheel-decisions/src/admission.rs
+++ b/crates/bramblewheel-decisions/src/admission.rs
@@ -36,7 +36,7 @@
 pub struct QueuePosition {
     /// Rank; 0 is the most important.
     pub rank: u32,
-    /// When its answer should be there.
+    /// When its answer is due.
     pub due: Timestamp,
     /// Identifies the request.
     pub ticket: Ticket,
@@ -47,7 +47,7 @@
 pub struct Arrival {
     /// Rank; 0 is the most important.
     pub rank: u32,
-    /// When its answer should be there.
+    /// When its answer is due.
     pub due: Timestamp,
     /// Latest time until which it may wait.
     pub until: Timestamp,
--- a/crates/bramblewheel-decisions/src/retry_after.rs
+++ b/crates/bramblewheel-decisions/src/retry_after.rs
@@ -54,7 +54,7 @@
     },
     /// No endpoint had capacity for it, or requests of its class are refused early.
     NoCapacity {
-        /// Time within which an answer is of full use.
+        /// Latency objective of its route.
         objective: Duration,
         /// Part of the requests of its class that is refused early, 0 to 1.
         refused_part: f64,
--- a/crates/bramblewheel-decisions/src/table/mod.rs
+++ b/crates/bramblewheel-decisions/src/table/mod.rs
@@ -61,7 +61,7 @@
     pub targets: Vec<Target>,
     /// Whether a request may run more than once.
     pub is_repeatable: bool,
-    /// Longest time from the first byte to the answer.
+    /// Time-out: longest time from the first byte to the answer.
     pub timeout: Duration,
     /// Latency objective: time within which an answer has its full value.
     pub objective: Duration,
--- a/crates/bramblewheel-decisions/src/tenants/mod.rs
+++ b/crates/bramblewheel-decisions/src/tenants/mod.rs
@@ -73,7 +73,7 @@
     pub keys: Vec<KeyDigest>,
     /// Importance, which takes precedence over that of the route; 0 is the most important.
     pub rank: u32,
-    /// How much it may ask for; unlimited if none.
+    /// Its quota; unlimited if none.
     pub quota: Option<Quota>,
 }
 
@@ -86,7 +86,7 @@
     pub header: HeaderValue,
     /// Number derived from its name, the same at all daemons.
     pub number: u64,
-    /// How much it may ask for; unlimited if none.
+    /// Its quota; unlimited if none.
     pub quota: Option<Quota>,
     /// Position of its rank among the ranks of all tenants; 0 is the most important.
     rank_position: u32,
