--- a/crates/bramblewheel-control/src/clock.rs
+++ b/crates/bramblewheel-control/src/clock.rs
@@ -1,27 +1,27 @@
-//! The process's clocks, as the node's time.
+//! Reads the process's clocks for the node.
 
 use crate::node::Now;
 use bramblewheel_process::clock::Clock as ProcessClock;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Clocks of the process. The one that waits and leases go by counts all time that passes, so a lease checked
-/// after a pause of the process or a suspended machine is seen as over.
+/// Clocks of the process. The monotonic clock, which waits and leases use, also counts time while the process
+/// is paused or the machine is suspended, so a lease checked afterwards has expired.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     process: ProcessClock,
 }
 
 impl Clock {
-    /// Starts the process's clock at zero.
+    /// Starts the monotonic clock at zero.
     pub fn start() -> Self {
         Self {
             process: ProcessClock::start(),
         }
     }
 
-    /// The time now.
+    /// Current monotonic and wall-clock time.
     pub fn now(&self) -> Now {
-        // A wall clock before 1970 counts as 1970: the log's time does not go back anyway.
+        // A wall clock before 1970 reads as 1970. This is harmless because log time never goes back.
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         let unix = unix.unwrap_or_default().as_millis();
         Now {
--- a/crates/bramblewheel-control/src/lib.rs
+++ b/crates/bramblewheel-control/src/lib.rs
@@ -1,8 +1,8 @@
-//! The control replica process: bundles, the directory of daemons, the ledger of run-once
-//! operations.
+//! The control replica process: bundles, route tables, the directory of daemons, the endpoint
+//! registry and the ledger of run-once operations.
 //!
-//! [`state`] is the replicated state machine and [`node`] the replica that holds it; both are pure.
-//! [`server`] is the shell that owns the sockets, the clock and the disk.
+//! [`state`] is the replicated state machine and [`node`] the replica that holds it; neither does
+//! I/O. [`server`] drives them with sockets, clocks and the disk.
 
 pub mod clock;
 pub mod node;
--- a/crates/bramblewheel-control/src/node/applying.rs
+++ b/crates/bramblewheel-control/src/node/applying.rs
@@ -46,7 +46,7 @@
                 .state
                 .apply(position, &command)
                 .expect("a committed entry holds a command of this version of the program");
-            all.add(applied.changes);
+            all.merge(applied.changes);
             if !self.proposals.is_empty() {
                 self.outcomes.insert(position.index, applied.outcome);
             }
--- a/crates/bramblewheel-control/src/node/replacement.rs
+++ b/crates/bramblewheel-control/src/node/replacement.rs
@@ -55,7 +55,7 @@
             return self.not_leader(id);
         }
         let current = self.state.replacement();
-        if !current.is_some_and(|current| current.is_same(&request)) {
+        if !current.is_some_and(|current| current.is_requested_by(&request)) {
             self.queue.begin_replacement(request.clone());
         }
         let until = self.now.monotonic + WAIT;
@@ -68,7 +68,7 @@
             ReplicaId(request.lost),
             ReplicaId(request.replacement.replica),
         );
-        Replacement::requested(self.state.replacement(), request)?;
+        Replacement::from_request(self.state.replacement(), request)?;
         // One that is on its way into the log is not in the state yet.
         let mut waiting = self.replacement_clients.0.iter();
         if waiting.any(|client| client.request != *request && self.is_undecided(&client.request)) {
@@ -97,7 +97,7 @@
     /// Whether a request that was accepted here is neither in the state nor carried out.
     fn is_undecided(&self, request: &ReplaceRequest) -> bool {
         let current = self.state.replacement();
-        let is_begun = current.is_some_and(|current| current.is_same(request));
+        let is_begun = current.is_some_and(|current| current.is_requested_by(request));
         !is_begun && (self.queue.has_replacement() || self.proposals.has_replacement())
     }
 
@@ -199,7 +199,8 @@
         let is_changing = self.queue.has_replacement() || self.proposals.has_replacement();
         for client in std::mem::take(&mut self.replacement_clients.0) {
             let current = self.state.replacement();
-            let is_current = current.is_some_and(|current| current.is_same(&client.request));
+            let is_current =
+                current.is_some_and(|current| current.is_requested_by(&client.request));
             if !is_current && !is_changing {
                 let reply = self.end_of(&client.request);
                 self.reply(client.id, reply);
@@ -216,7 +217,7 @@
     pub(super) fn replacement_undecided(&mut self) {
         for client in std::mem::take(&mut self.replacement_clients.0) {
             let current = self.state.replacement();
-            if current.is_some_and(|current| current.is_same(&client.request)) {
+            if current.is_some_and(|current| current.is_requested_by(&client.request)) {
                 self.replacement_clients.0.push(client);
             } else {
                 self.unavailable(client.id, Unavailable::Undecided);
--- a/crates/bramblewheel-control/src/node/requests.rs
+++ b/crates/bramblewheel-control/src/node/requests.rs
@@ -62,7 +62,7 @@
             return;
         }
         // What can never become another answer needs no entry.
-        if let Some(reply) = self.state.bundles().settled(&signed) {
+        if let Some(reply) = self.state.bundles().final_reply(&signed) {
             return self.reply(id, ReplyBody::Publish(reply));
         }
         let decoded = Bundle::from_signed_bytes(&signed.bytes, signed.digest, signed.version);
@@ -83,7 +83,7 @@
         if !self.leads_or_refuses(id) {
             return;
         }
-        if let Some(reply) = self.state.tables().settled(&request) {
+        if let Some(reply) = self.state.tables().final_reply(&request) {
             return self.reply(id, ReplyBody::TableReplaced(reply));
         }
         self.queue.replace_table(id, request);
@@ -94,12 +94,12 @@
         if !self.leads_or_refuses(id) {
             return;
         }
-        if let Some(daemon) = self.state.registry().other_daemon_of(&record) {
+        if let Some(daemon) = self.state.registry().conflicting_daemon(&record) {
             let endpoint = &record.endpoint;
             let reason = format!("endpoint {endpoint} is beside {daemon}");
             return self.reply(id, ReplyBody::Rejected(reason));
         }
-        if self.state.registry().ends_unknown(&record) {
+        if self.state.registry().ends_unregistered(&record) {
             let (endpoint, daemon) = (&record.endpoint, &record.daemon);
             let reason = format!("no endpoint {endpoint} is known beside {daemon}");
             return self.reply(id, ReplyBody::Rejected(reason));
--- a/crates/bramblewheel-control/src/state/apply.rs
+++ b/crates/bramblewheel-control/src/state/apply.rs
@@ -1,7 +1,7 @@
-//! Carries committed commands out: one function for each command.
+//! Executes committed commands, one function per command.
 //!
-//! Owns no state of its own; changes [`ControlState`] through its parts. Relies on them to decide
-//! the same at every replica, from the command and the log time alone.
+//! Every decision depends only on the state, the command and the log time, so that all replicas
+//! reach the same result.
 
 use super::command::{Command, ExpiredDaemon, LoggedCommand};
 use super::{ControlState, MalformedState, Replacement};
@@ -15,35 +15,35 @@
 use bramblewheel_types::ServiceName;
 use std::collections::BTreeSet;
 
-/// Answer to the clients that asked for a command.
+/// Reply to the clients whose requests the command carries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answer to a publish.
+    /// Reply to a publish.
     Publish(PublishReply),
-    /// Answers to operations, in the same order.
+    /// Replies to operations, in the order of the requests.
     Operations(Vec<OperationReply>),
-    /// Answer to a replacement of the route table.
+    /// Reply to a replacement of the route table.
     Table(ReplaceTableReply),
-    /// States recorded of endpoints, in the order of the reports.
+    /// Recorded states of the endpoints, in the order of the reports.
     Endpoints(Vec<EndpointState>),
-    /// The command has no answer.
+    /// The command has no reply.
     Nothing,
 }
 
-/// Which updates commands have made for the daemons.
+/// Changes made by commands that daemons must be told of.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Another bundle is in force.
+    /// The bundle in force changed.
     pub bundle: bool,
     /// Services whose endpoints changed in the directory.
     pub services: BTreeSet<ServiceName>,
-    /// Another route table is in force, a registered endpoint changed, or the quarantine did.
+    /// The route table in force, a registered endpoint or the quarantine changed.
     pub routing: bool,
 }
 
 impl Changes {
-    /// Adds the changes of a later command.
-    pub fn add(&mut self, later: Self) {
+    /// Merges in the changes of a later command.
+    pub fn merge(&mut self, later: Self) {
         self.bundle |= later.bundle;
         self.services.extend(later.services);
         self.routing |= later.routing;
@@ -53,30 +53,30 @@
 /// Result of one command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// Answer to the clients that asked for it.
+    /// Reply to the clients.
     pub outcome: Outcome,
-    /// Which updates it made for the daemons.
+    /// Changes for the daemons.
     pub changes: Changes,
 }
 
 impl Applied {
-    /// A command with an answer that changed nothing for the daemons.
-    fn answered(outcome: Outcome) -> Self {
+    /// A command with a reply that changed nothing for the daemons.
+    fn with_reply(outcome: Outcome) -> Self {
         let changes = Changes::default();
         Self { outcome, changes }
     }
 
-    /// A command without an answer that changed nothing for the daemons.
-    fn unanswered() -> Self {
-        Self::answered(Outcome::Nothing)
+    /// A command without a reply that changed nothing for the daemons.
+    fn without_reply() -> Self {
+        Self::with_reply(Outcome::Nothing)
     }
 }
 
 impl ControlState {
-    /// Carries out the command of the entry at `position`.
+    /// Executes the command of the entry at `position`.
     ///
     /// # Errors
-    /// [`MalformedState`] when the bytes are no command.
+    /// [`MalformedState`] if the bytes are not a valid command.
     pub fn apply(
         &mut self,
         position: LogPosition,
@@ -86,18 +86,18 @@
         self.position = position;
         let quarantine_revision = self.quarantine.revision();
         self.advance_time(logged.proposed_at_unix_millis);
-        let mut applied = self.carry_out(logged.command);
-        // Time alone may end a quarantine, so that any command can change it.
+        let mut applied = self.execute(logged.command);
+        // Any command advances log time, and a quarantine may end by time alone.
         applied.changes.routing |= self.quarantine.revision() != quarantine_revision;
         Ok(applied)
     }
 
-    /// Notes an entry without a command.
+    /// Advances the position over an entry without a command.
     pub fn skip(&mut self, position: LogPosition) {
         self.position = position;
     }
 
-    /// Log time never goes back, whatever the clock of a new leader reads.
+    /// Advances log time. It never goes back, even if the clock of a new leader is behind.
     fn advance_time(&mut self, proposed_at_unix_millis: u64) {
         self.log_time_unix_millis = self.log_time_unix_millis.max(proposed_at_unix_millis);
         if let Some(bundle) = self.bundles.in_force() {
@@ -108,7 +108,7 @@
         self.quarantine.advance_time(self.log_time_unix_millis);
     }
 
-    fn carry_out(&mut self, command: Command) -> Applied {
+    fn execute(&mut self, command: Command) -> Applied {
         match command {
             Command::Publish(signed) => self.publish(signed),
             Command::Operations(requests) => self.decide_operations(requests),
@@ -141,7 +141,7 @@
         let now = self.log_time_unix_millis;
         let requests = requests.into_iter();
         let replies = requests.map(|request| self.ledger.apply(now, request));
-        Applied::answered(Outcome::Operations(replies.collect()))
+        Applied::with_reply(Outcome::Operations(replies.collect()))
     }
 
     fn change_directory(
@@ -153,9 +153,10 @@
             services: self.directory.apply(registered, expired),
             ..Changes::default()
         };
-        for gone in expired {
-            let is_back = self.directory.daemon(&gone.daemon).is_some();
-            changes.routing |= !is_back && self.registry.silence_daemon(&gone.daemon);
+        for expired in expired {
+            let is_registered = self.directory.daemon(&expired.daemon).is_some();
+            changes.routing |=
+                !is_registered && self.registry.mark_endpoints_silent(&expired.daemon);
         }
         Applied {
             outcome: Outcome::Nothing,
@@ -165,24 +166,25 @@
 
     fn change_address(&mut self, address: ReplicaAddress) -> Applied {
         self.addresses.insert(address.replica, address);
-        Applied::unanswered()
+        Applied::without_reply()
     }
 
-    /// Left out when another one was begun before it; the node answers its client by the state.
+    /// Ignores the request if it conflicts with the replacement in progress; the node derives the
+    /// reply to its client from the state.
     fn begin_replacement(&mut self, request: &ReplaceRequest) -> Applied {
         let current = self.replacement.as_ref();
-        if let Ok(next) = Replacement::requested(current, request) {
+        if let Ok(next) = Replacement::from_request(current, request) {
             self.replacement = Some(next);
             self.replacement_begun_unix_millis = self.log_time_unix_millis;
         }
-        Applied::unanswered()
+        Applied::without_reply()
     }
 
-    /// Left alone when the one in progress is by another replica than `new`.
+    /// Ends the replacement in progress if `new` is its new replica, otherwise does nothing.
     fn end_replacement(&mut self, new: u64) -> Applied {
         let is_current = |current: &mut Replacement| current.new_replica().replica == new;
         self.replacement.take_if(is_current);
-        Applied::unanswered()
+        Applied::without_reply()
     }
 
     fn replace_table(&mut self, request: ReplaceTable) -> Applied {
@@ -211,11 +213,11 @@
         }
     }
 
-    /// Whether the quarantine changed is found in [`ControlState::apply`].
+    /// [`ControlState::apply`] detects whether the quarantine changed.
     fn report_contents(&mut self, reports: &[ContentReport]) -> Applied {
         for report in reports {
             self.quarantine.report(self.log_time_unix_millis, report);
         }
-        Applied::unanswered()
+        Applied::without_reply()
     }
 }
--- a/crates/bramblewheel-control/src/state/bundle_history.rs
+++ b/crates/bramblewheel-control/src/state/bundle_history.rs
@@ -1,5 +1,5 @@
-//! What leads daemons from older bundles to the one in force: deltas between the last versions,
-//! and every change of the operators since the first bundle.
+//! History that brings daemons from older bundles to the one in force: deltas between the latest
+//! versions, and every change of the operators since the first bundle.
 
 use bramblewheel_bundle::digest::rest_digest;
 use bramblewheel_bundle::sections::split;
@@ -10,16 +10,17 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Bound::Excluded;
 
-/// Deltas kept: 77 minutes at the 4,800 changes a day of `CONTRIBUTING.md`. A daemon that is
-/// further behind gets the bundle whole.
+/// Deltas kept: 77 minutes at 4,800 changes a day. A daemon that is further behind gets the whole
+/// bundle.
 pub const MAX_DELTAS: usize = 256;
-/// Longest sum of the deltas kept, in bytes; longer than most bundles it saves nothing. Chosen, not measured.
+/// Limit on the total size of the deltas kept, in bytes. Deltas larger than the bundle itself save nothing, and
+/// most bundles are smaller than this.
 pub const MAX_DELTA_BYTES: usize = 1024 * 1024;
-/// Changes of the operators in one reply. With the longest ones, 64 keys and as many signatures in
-/// 17 KB, a reply with a bundle still fits a frame.
+/// Operator changes in one reply at most. Even with the largest changes (64 keys and 64 signatures,
+/// 17 KB), a reply that also holds a bundle fits in one frame.
 pub const MAX_CHANGES_PER_REPLY: usize = 64;
 
-/// A delta and the version it starts from; it ends where the next one starts.
+/// A delta and the version it starts from. It leads to the version that the next step starts from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Step {
     from: BundleVersion,
@@ -27,17 +28,17 @@
     delta: Delta,
 }
 
-/// What leads daemons from older bundles to the one in force.
+/// Deltas and operator changes that bring daemons from older bundles to the one in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleHistory {
     steps: VecDeque<Step>,
-    /// Never forgotten, so that a daemon gets through however long it was away: each is some
-    /// hundred bytes, and operators change rarely.
+    /// Kept forever, so that a daemon can catch up after any absence. Each entry takes some hundred
+    /// bytes, and operators change rarely.
     operator_changes: BTreeMap<BundleVersion, OperatorChange>,
 }
 
 impl BundleHistory {
-    /// Notes that `after` follows `before`.
+    /// Records the step from `before` to `after`.
     pub fn record(&mut self, before: &Bundle, after: &Bundle, signed: &SignedBundle) {
         if before.operators != after.operators {
             let change = operator_change(before, signed);
@@ -58,7 +59,8 @@
         self.steps.iter().map(|step| step.length).sum()
     }
 
-    /// One delta from a version to the one in force; none if that version is not kept.
+    /// A single delta from `version` to the version in force; `None` if no delta from `version` is
+    /// kept.
     pub fn delta_from(&self, version: BundleVersion) -> Option<Delta> {
         let start = self
             .steps
@@ -68,8 +70,8 @@
         deltas.reduce(Delta::then)
     }
 
-    /// Changes of the operators between two versions, both left out, oldest first; at most
-    /// [`MAX_CHANGES_PER_REPLY`], and whether these are all.
+    /// Operator changes between two versions, both exclusive, oldest first, and whether these are
+    /// all. Returns at most [`MAX_CHANGES_PER_REPLY`].
     pub fn operator_changes(
         &self,
         after: BundleVersion,
@@ -87,16 +89,16 @@
     }
 }
 
-/// Signatures by others than the operators before count for nothing and are left out.
+/// Drops signatures by anyone but the previous operators, since they are not valid for the change.
 fn operator_change(before: &Bundle, signed: &SignedBundle) -> OperatorChange {
     let (head, rest) = split(&signed.bytes);
-    let counts = |operator: &str| before.operators.keys.contains_key(operator);
+    let is_operator = |operator: &str| before.operators.keys.contains_key(operator);
     let signatures = signed.signatures.iter();
     OperatorChange {
         head: head.to_vec(),
         rest_digest: rest_digest(rest),
         signatures: signatures
-            .filter(|s| counts(&s.operator))
+            .filter(|s| is_operator(&s.operator))
             .cloned()
             .collect(),
     }
--- a/crates/bramblewheel-control/src/state/bundles.rs
+++ b/crates/bramblewheel-control/src/state/bundles.rs
@@ -1,7 +1,5 @@
-//! Bundles accepted: the rule of acceptance, and the bundle in force.
-//!
-//! Owns the bundle in force and the digests of those before it. Relies on the bundle crate for decoding
-//! and signatures.
+//! The bundle in force, the digests of earlier accepted bundles, and the rules by which a new bundle is
+//! accepted.
 
 use super::BundleHistory;
 use bramblewheel_bundle::{Bundle, verify};
@@ -12,11 +10,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Accepted versions remembered, so that a resend gets its first answer: 27 days at the 4,800
-/// changes a day of `CONTRIBUTING.md`, in 8 MB.
-pub const MAX_REMEMBERED: usize = 131_072;
+/// Accepted versions kept, so that a resent publish gets the same reply as the first one. Covers 27
+/// days at 4,800 changes a day and takes 8 MB.
+pub const MAX_ACCEPTED_VERSIONS: usize = 131_072;
 
-/// An accepted version in few bytes: digest, index and term.
+/// Compact record of an accepted version: digest, index and term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Accepted(ByteArray<32>, u64, u64);
 
@@ -49,9 +47,9 @@
 }
 
 impl Bundles {
-    /// Answer to a publish as far as no later entry can change it: it is the same at every replica
-    /// that has applied this much of the log.
-    pub fn settled(&self, signed: &SignedBundle) -> Option<PublishReply> {
+    /// Reply to a publish, if no later entry can change it. Every replica that has applied the log
+    /// up to this position gives the same reply.
+    pub fn final_reply(&self, signed: &SignedBundle) -> Option<PublishReply> {
         let version = signed.version;
         if let Some(accepted) = self.accepted.get(&version) {
             let position = accepted.position();
@@ -71,7 +69,7 @@
 
     /// Accepts or refuses a bundle.
     pub fn publish(&mut self, signed: SignedBundle, position: LogPosition) -> PublishReply {
-        if let Some(reply) = self.settled(&signed) {
+        if let Some(reply) = self.final_reply(&signed) {
             return reply;
         }
         match self.check(&signed) {
@@ -93,7 +91,7 @@
                 digest,
             });
         }
-        // The very first bundle is signed by its own operators.
+        // The first bundle is signed by the operators that it names.
         let signers = self.in_force.as_deref().unwrap_or(&bundle);
         let signatures = signed.signatures.iter();
         let signatures = signatures.map(|s| (s.operator.as_str(), s.signature.as_slice()));
@@ -108,21 +106,21 @@
         }
         let accepted = Accepted::new(signed.digest, position);
         self.accepted.insert(signed.version, accepted);
-        while self.accepted.len() > MAX_REMEMBERED {
+        while self.accepted.len() > MAX_ACCEPTED_VERSIONS {
             self.accepted.pop_first();
         }
         self.current = Some(signed);
         self.in_force = Some(Arc::new(bundle));
     }
 
-    /// The bundle in force, if it is newer than `held`.
-    pub fn newer_than(&self, held: BundleVersion) -> Option<&SignedBundle> {
+    /// The bundle in force, if it is newer than `version`.
+    pub fn newer_than(&self, version: BundleVersion) -> Option<&SignedBundle> {
         self.current
             .as_ref()
-            .filter(|current| current.version > held)
+            .filter(|current| current.version > version)
     }
 
-    /// What leads daemons from older bundles to the one in force.
+    /// Deltas and operator changes that bring daemons from older bundles to the one in force.
     pub fn history(&self) -> &BundleHistory {
         &self.history
     }
@@ -137,13 +135,13 @@
         self.current.as_ref()
     }
 
-    /// Version in force, 0 if none.
+    /// Version of the bundle in force; 0 if there is none.
     pub fn version(&self) -> BundleVersion {
         self.current.as_ref().map(|b| b.version).unwrap_or_default()
     }
 
-    /// Decodes the bundle in force after the rest was read back.
-    pub(super) fn restore(&mut self) -> Result<(), String> {
+    /// Decodes the bundle in force after the state was deserialized.
+    pub(super) fn restore_derived(&mut self) -> Result<(), String> {
         let decode = |signed: &SignedBundle| {
             Bundle::from_signed_bytes(&signed.bytes, signed.digest, signed.version)
         };
--- a/crates/bramblewheel-control/src/state/directory/mod.rs
+++ b/crates/bramblewheel-control/src/state/directory/mod.rs
@@ -1,7 +1,7 @@
-//! Daemons and the endpoints beside them, with a revision for each change.
+//! Directory of daemons and their endpoints, with a revision for each change.
 //!
-//! Owns the registrations and the removals remembered; `updates` derives from them what a daemon lacks.
-//! Relies on the node to expire a daemon whose lease is over.
+//! `updates` derives from the registrations and recent removals which changes a daemon has not seen. The
+//! node expires daemons whose lease is over.
 
 mod updates;
 
@@ -13,8 +13,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Removals remembered; a daemon that is further behind gets the complete list. Ten days at the
-/// 1,000 restarts or replacements a day of `CONTRIBUTING.md`.
+/// Removals kept; a daemon that is further behind gets the complete list. Covers ten days at 1,000
+/// restarts or replacements a day.
 pub const MAX_REMOVALS: usize = 10_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,18 +30,18 @@
     service: ServiceName,
 }
 
-/// What is known by service; follows from the rest.
+/// Index by service, derived from the other fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ServiceIndex {
     endpoints: BTreeSet<EndpointId>,
     last_change: u64,
 }
 
-/// Daemons and the endpoints beside them.
+/// Registered daemons and their endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Directory {
     revision: u64,
-    /// Changes after this revision are known one by one.
+    /// All changes after this revision are available individually.
     oldest_known: u64,
     daemons: BTreeMap<DaemonId, Registration>,
     endpoints: BTreeMap<EndpointId, Endpoint>,
@@ -51,7 +51,7 @@
 }
 
 impl Default for Directory {
-    /// Revision 0 means "none" to daemons, so the first is 1.
+    /// Starts at revision 1, since revision 0 means "none" to daemons.
     fn default() -> Self {
         Self {
             revision: 1,
@@ -65,18 +65,18 @@
 }
 
 impl Directory {
-    /// Records registrations and expiries; returns the services whose endpoints changed.
+    /// Applies registrations and expiries. Returns the services whose endpoints changed.
     pub(in crate::state) fn apply(
         &mut self,
         registered: Vec<Registration>,
         expired: &[ExpiredDaemon],
     ) -> BTreeSet<ServiceName> {
         let mut changed = BTreeSet::new();
-        for gone in expired {
-            let held = self.daemons.get(&gone.daemon);
-            if held.is_some_and(|r| r.incarnation == gone.incarnation) {
-                let before = self.daemons.remove(&gone.daemon);
-                self.remove_endpoint_of(before, None, &mut changed);
+        for expired in expired {
+            let registration = self.daemons.get(&expired.daemon);
+            if registration.is_some_and(|r| r.incarnation == expired.incarnation) {
+                let previous = self.daemons.remove(&expired.daemon);
+                self.remove_endpoint_of(previous, None, &mut changed);
             }
         }
         for registration in registered {
@@ -87,9 +87,9 @@
 
     fn register(&mut self, registration: Registration, changed: &mut BTreeSet<ServiceName>) {
         let daemon = registration.daemon.clone();
-        let before = self.daemons.remove(&daemon);
+        let previous = self.daemons.remove(&daemon);
         let kept = registration.endpoint.as_ref().map(|e| &e.endpoint);
-        self.remove_endpoint_of(before, kept, changed);
+        self.remove_endpoint_of(previous, kept, changed);
         if let Some(endpoint) = &registration.endpoint {
             let entry = DirectoryEntry {
                 endpoint: endpoint.endpoint.clone(),
@@ -110,13 +110,13 @@
         changed: &mut BTreeSet<ServiceName>,
     ) {
         let name = entry.endpoint.clone();
-        let before = self.endpoints.get_mut(&name);
-        if let Some(before) = before.filter(|before| before.entry == entry) {
-            before.daemon = daemon;
+        let previous = self.endpoints.get_mut(&name);
+        if let Some(previous) = previous.filter(|previous| previous.entry == entry) {
+            previous.daemon = daemon;
             return;
         }
-        let moved = self.endpoints.get(&name);
-        if moved.is_some_and(|before| before.entry.service != entry.service) {
+        let replaced = self.endpoints.get(&name);
+        if replaced.is_some_and(|previous| previous.entry.service != entry.service) {
             self.remove_endpoint(&name, changed);
         }
         self.revision += 1;
@@ -134,8 +134,8 @@
         self.endpoints.insert(name, endpoint);
     }
 
-    /// Removes the endpoint that a daemon had registered, unless it is `kept` or another daemon's
-    /// by now.
+    /// Removes the endpoint of a daemon's previous registration, unless it is `kept` or another
+    /// daemon has registered it since.
     fn remove_endpoint_of(
         &mut self,
         daemon: Option<Registration>,
@@ -151,7 +151,7 @@
             return;
         };
         let name = endpoint.endpoint;
-        let holder = self.endpoints.get(&name).map(|held| &held.daemon);
+        let holder = self.endpoints.get(&name).map(|endpoint| &endpoint.daemon);
         if holder == Some(&daemon) && kept != Some(&name) {
             self.remove_endpoint(&name, changed);
         }
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Revision after the last change.
+    /// Revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -189,13 +189,13 @@
         self.daemons.get(daemon)
     }
 
-    /// All daemons.
+    /// All registered daemons.
     pub fn daemons(&self) -> impl Iterator<Item = &Registration> {
         self.daemons.values()
     }
 
-    /// Rebuilds the index after the rest was read back.
-    pub(in crate::state) fn restore(&mut self) {
+    /// Rebuilds the index by service after the state was deserialized.
+    pub(in crate::state) fn rebuild_index(&mut self) {
         self.by_service.clear();
         for (revision, removal) in &self.removals {
             let index = self.by_service.entry(removal.service.clone()).or_default();
--- a/crates/bramblewheel-control/src/state/directory/updates.rs
+++ b/crates/bramblewheel-control/src/state/directory/updates.rs
@@ -1,34 +1,34 @@
-//! Update of the directory for a daemon: what changed since the revision that it holds.
+//! Directory updates for daemons: the changes since the revision that a daemon holds.
 
 use super::Directory;
 use bramblewheel_protocol::control::DirectoryEntry;
 use bramblewheel_types::{EndpointId, ServiceName};
 use std::collections::BTreeSet;
 
-/// Update for a daemon.
+/// Directory update for one daemon.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DirectoryDelta {
-    /// Whether `live` is all there is.
+    /// Whether `live` lists all endpoints, not only changed ones.
     pub is_complete: bool,
-    /// Endpoints that are live or changed.
+    /// Live endpoints that are new or changed; all of them in a complete update.
     pub live: Vec<DirectoryEntry>,
-    /// Endpoints that are gone.
+    /// Endpoints that were removed.
     pub removed: Vec<EndpointId>,
 }
 
 impl Directory {
-    /// Whether there is an update of its services for a daemon that holds `revision`.
+    /// Whether there is an update on any of `services` for a daemon that holds `revision`.
     pub fn has_update(&self, services: &[ServiceName], revision: u64) -> bool {
         let changed_after = |service: &ServiceName| {
             let index = self.by_service.get(service);
             index.is_some_and(|index| index.last_change > revision)
         };
-        !self.knows(revision) || services.iter().any(changed_after)
+        !self.has_history_since(revision) || services.iter().any(changed_after)
     }
 
-    /// Update of its services for a daemon that holds `revision`.
+    /// Update on `services` for a daemon that holds `revision`.
     pub fn delta(&self, services: &[ServiceName], revision: u64) -> DirectoryDelta {
-        let is_complete = !self.knows(revision);
+        let is_complete = !self.has_history_since(revision);
         let since = if is_complete { 0 } else { revision };
         let services: BTreeSet<&ServiceName> = services.iter().collect();
         let indexed = services
@@ -50,18 +50,19 @@
     }
 
     fn removed_since(&self, services: &BTreeSet<&ServiceName>, since: u64) -> Vec<EndpointId> {
-        // An endpoint that came back since, of a service that the daemon asks for, is among the live ones.
+        // An endpoint of one of the services that was added again after its removal is in the live list.
         let is_live = |endpoint: &EndpointId| {
-            let held = self.endpoints.get(endpoint);
-            held.is_some_and(|held| services.contains(&held.entry.service))
+            let current = self.endpoints.get(endpoint);
+            current.is_some_and(|current| services.contains(&current.entry.service))
         };
         let removals = self.removals.range(since.saturating_add(1)..);
-        let mine = removals.filter(|(_, r)| services.contains(&r.service) && !is_live(&r.endpoint));
-        let removed: BTreeSet<EndpointId> = mine.map(|(_, r)| r.endpoint.clone()).collect();
+        let relevant =
+            removals.filter(|(_, r)| services.contains(&r.service) && !is_live(&r.endpoint));
+        let removed: BTreeSet<EndpointId> = relevant.map(|(_, r)| r.endpoint.clone()).collect();
         removed.into_iter().collect()
     }
 
-    fn knows(&self, revision: u64) -> bool {
+    fn has_history_since(&self, revision: u64) -> bool {
         (self.oldest_known..=self.revision).contains(&revision)
     }
 }
--- a/crates/bramblewheel-control/src/state/ledger.rs
+++ b/crates/bramblewheel-control/src/state/ledger.rs
@@ -1,6 +1,6 @@
-//! Run-once operations: which attempt may dispatch one, and its answer.
+//! Ledger of run-once operations: which attempt may dispatch an operation, and its recorded answer.
 //!
-//! Owns the claims and answers until they are forgotten. Time is the log's, passed by the caller.
+//! Claims and answers are kept until they are forgotten. The caller passes log time.
 
 use bramblewheel_protocol::control::{
     OperationAction, OperationAnswer, OperationReply, OperationRequest,
@@ -9,14 +9,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longest answer body kept, in bytes; of a longer one only the status is kept. Chosen, not measured.
+/// Longest answer body kept, in bytes. For a longer one only the status is kept.
 pub const MAX_ANSWER_BODY: usize = 16 * 1024;
-/// Attempts remembered per operation as having released the claim; chosen, not measured.
+/// Attempts kept per operation that have released the claim.
 pub const MAX_RELEASED: usize = 64;
-/// How far a key's mint time may lie ahead of the log's time, in milliseconds. A key from farther
-/// ahead could not be forgotten for as long. Chosen, not measured.
+/// How far a key's mint time may be ahead of log time, in milliseconds. A key minted further ahead
+/// would be kept for that much longer.
 pub const MAX_MINT_AHEAD_MILLIS: u64 = 60 * 60 * 1_000;
-/// Operations forgotten with one entry, so that no entry takes long; chosen, not measured.
+/// Operations forgotten per entry at most, to bound the time that applying an entry takes.
 const FORGET_BATCH: usize = 4096;
 
 /// One attempt of one incarnation of a daemon.
@@ -30,9 +30,9 @@
 enum Phase {
     /// No attempt holds the claim.
     Free,
-    /// An attempt may have dispatched it.
+    /// The attempt may have dispatched the operation.
     Claimed(Attempt),
-    /// It has ended.
+    /// The operation has ended.
     Completed {
         by: Attempt,
         answer: OperationAnswer,
@@ -44,14 +44,15 @@
     /// Latest mint time stated for the key.
     minted_at: u64,
     phase: Phase,
-    /// Attempts that released the claim: a late duplicate of theirs must not claim it again.
+    /// Attempts that released the claim; a late duplicate of one must not claim the operation again.
     released: Vec<Attempt>,
 }
 
-/// All operations that are not forgotten.
+/// All run-once operations that have not been forgotten.
 ///
 /// An operation is forgotten only when its key is older than the horizon, and a key older than the
-/// horizon is never granted. The horizon never goes back, also if a bundle keeps keys for longer.
+/// horizon is never granted. The horizon never goes back, even if a new bundle sets a longer
+/// retention.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     horizon_unix_millis: u64,
@@ -61,7 +62,7 @@
 }
 
 impl Ledger {
-    /// Carries out a request at a log time, in milliseconds since the Unix epoch.
+    /// Executes a request at `log_time`, in milliseconds since the Unix epoch.
     pub fn apply(&mut self, log_time: u64, request: OperationRequest) -> OperationReply {
         let attempt = Attempt {
             incarnation: request.incarnation,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// State of an operation.
+    /// Current state of an operation.
     pub fn status(&self, key: &OperationKey) -> OperationReply {
         match self.operations.get(key).map(|operation| &operation.phase) {
             None | Some(Phase::Free) => OperationReply::Absent,
@@ -86,12 +87,12 @@
         }
     }
 
-    /// Operations not forgotten.
+    /// Number of operations kept.
     pub fn len(&self) -> usize {
         self.operations.len()
     }
 
-    /// Whether no operation is held.
+    /// Whether no operation is kept.
     pub fn is_empty(&self) -> bool {
         self.operations.is_empty()
     }
@@ -103,20 +104,20 @@
         attempt: Attempt,
         minted_at: u64,
     ) -> OperationReply {
-        if let Some(reply) = self.taken(&key, attempt) {
-            self.note_mint_time(&key, minted_at);
+        if let Some(reply) = self.reply_if_not_free(&key, attempt) {
+            self.extend_retention(&key, minted_at);
             return reply;
         }
-        let is_credible = minted_at <= log_time.saturating_add(MAX_MINT_AHEAD_MILLIS);
-        if minted_at < self.horizon_unix_millis || !is_credible {
+        let is_plausible = minted_at <= log_time.saturating_add(MAX_MINT_AHEAD_MILLIS);
+        if minted_at < self.horizon_unix_millis || !is_plausible {
             return OperationReply::Expired;
         }
         self.entry(key, minted_at).phase = Phase::Claimed(attempt);
         OperationReply::Granted
     }
 
-    /// Answer to a claim of an operation that is not free for this attempt.
-    fn taken(&self, key: &OperationKey, attempt: Attempt) -> Option<OperationReply> {
+    /// Reply to a claim if the operation is not free for this attempt, otherwise `None`.
+    fn reply_if_not_free(&self, key: &OperationKey, attempt: Attempt) -> Option<OperationReply> {
         let operation = self.operations.get(key)?;
         match &operation.phase {
             Phase::Completed { answer, .. } => Some(OperationReply::Completed(answer.clone())),
@@ -145,13 +146,13 @@
                 OperationReply::Recorded
             }
             Phase::Claimed(_) => OperationReply::Held,
-            // The first answer stands.
+            // The first recorded answer is final.
             Phase::Completed { by, .. } if *by == attempt => OperationReply::Recorded,
             Phase::Completed { answer, .. } => OperationReply::Completed(answer.clone()),
         }
     }
 
-    /// A release may arrive before its claim, so it is noted also where nothing is held.
+    /// Records the release even if there is no claim, since a release may arrive before its claim.
     fn release(&mut self, log_time: u64, key: OperationKey, attempt: Attempt) -> OperationReply {
         let operation = self.entry(key, log_time);
         let reply = match &operation.phase {
@@ -173,20 +174,25 @@
         reply
     }
 
-    /// The operation, made free if there is none, kept at least as long as `minted_at` asks.
+    /// The operation for a key, inserted as free if there is none, and kept at least as long as
+    /// `minted_at` requires.
     fn entry(&mut self, key: OperationKey, minted_at: u64) -> &mut Operation {
-        let fresh = || Operation {
+        let new_operation = || Operation {
             minted_at,
             phase: Phase::Free,
             released: Vec::new(),
         };
-        self.operations.entry(key.clone()).or_insert_with(fresh);
-        self.note_mint_time(&key, minted_at);
-        self.operations.get_mut(&key).expect("just made")
+        self.operations
+            .entry(key.clone())
+            .or_insert_with(new_operation);
+        self.extend_retention(&key, minted_at);
+        self.operations
+            .get_mut(&key)
+            .expect("the operation was inserted above")
     }
 
-    /// An operation is kept for the latest mint time that anyone stated for its key.
-    fn note_mint_time(&mut self, key: &OperationKey, minted_at: u64) {
+    /// Keeps an operation according to the latest mint time that any attempt has stated for its key.
+    fn extend_retention(&mut self, key: &OperationKey, minted_at: u64) {
         let Some(operation) = self.operations.get_mut(key) else {
             return;
         };
@@ -197,7 +203,7 @@
         self.by_mint_time.insert((latest, key.clone()));
     }
 
-    /// Moves the horizon forward and forgets operations before it.
+    /// Advances the horizon and forgets operations with an earlier mint time.
     pub(super) fn forget_before(&mut self, horizon: u64) {
         self.horizon_unix_millis = self.horizon_unix_millis.max(horizon);
         for _ in 0..FORGET_BATCH {
@@ -211,8 +217,8 @@
         }
     }
 
-    /// Rebuilds the index after the rest was read back.
-    pub(super) fn restore(&mut self) {
+    /// Rebuilds the index by mint time after the state was deserialized.
+    pub(super) fn rebuild_index(&mut self) {
         let operations = self.operations.iter();
         self.by_mint_time = operations
             .map(|(key, o)| (o.minted_at, key.clone()))
--- a/crates/bramblewheel-control/src/state/mod.rs
+++ b/crates/bramblewheel-control/src/state/mod.rs
@@ -1,13 +1,11 @@
 //! The replicated state machine: the state that every replica derives from the committed entries.
 //!
-//! It reads no clock: time is that of the log, which is the latest proposal time of any entry, so
-//! that all replicas decide alike.
+//! It reads no clock. Time is log time, the latest proposal time of any entry, so that all replicas
+//! reach the same decisions.
 //!
-//! Owns the bundles, the ledger of run-once operations, the directory of daemons, the addresses of
-//! replicas, the replacement in progress, the route table, the registry of endpoints and the
-//! quarantine; each of them is a module that changes only itself. [`apply`] carries a command to
-//! them. Relies on the log for order and durability: the caller passes each committed entry once,
-//! in the order of the log.
+//! [`apply`] executes a command on the part of the state that it concerns; each part is a module
+//! that changes only itself. The log provides order and durability: the caller must pass each
+//! committed entry exactly once and in log order.
 
 mod apply;
 pub mod bundle_history;
@@ -32,20 +30,20 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Bytes are not a state or command of this program; nothing can be decided from them.
+/// Bytes do not decode as a state or command of this version of the program.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("not a valid {what}: {reason}")]
 pub struct MalformedState {
-    /// What the bytes should be.
+    /// Expected type of the bytes.
     pub what: &'static str,
-    /// What is wrong.
+    /// Description of the decoding error.
     pub reason: String,
 }
 
 /// State of the control group at one position of its log.
 ///
-/// Invariants: equal at every replica at the same position; log time, horizon, directory revision
-/// and bundle version never go back.
+/// Invariants: all replicas at the same position hold equal states; log time, ledger horizon,
+/// directory revision and bundle version never go back.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
     group: Option<u64>,
@@ -55,26 +53,26 @@
     ledger: Ledger,
     directory: Directory,
     addresses: BTreeMap<u64, ReplicaAddress>,
-    /// Absent in snapshots of before it was in the log.
+    /// Absent in snapshots written before replacements were logged.
     #[serde(default)]
     replacement: Option<Replacement>,
-    /// Log time at which the latest replacement was begun; 0 for none.
+    /// Log time at which the latest replacement began; 0 if there was none.
     #[serde(default)]
     replacement_begun_unix_millis: u64,
     #[serde(default)]
     tables: Tables,
     #[serde(default)]
     registry: Registry,
-    /// Absent in snapshots of before there was one.
+    /// Absent in snapshots written before the quarantine existed.
     #[serde(default)]
     quarantine: Quarantine,
 }
 
 impl ControlState {
-    /// First state of a group: its first bundle, which its own operators signed.
+    /// First state of a group with its first bundle, which must be signed by the operators that it names.
     ///
     /// # Errors
-    /// The refusal of the bundle.
+    /// The reason for which the bundle is refused.
     pub fn bootstrap(
         group: u64,
         bundle: SignedBundle,
@@ -91,7 +89,7 @@
         }
     }
 
-    /// First state of a group that begins without a bundle.
+    /// First state of a group that starts without a bundle.
     pub fn without_bundle(group: u64, position: LogPosition) -> Self {
         Self {
             group: Some(group),
@@ -100,18 +98,18 @@
         }
     }
 
-    /// Deterministic bytes of the whole state.
+    /// Encodes the whole state; equal states give equal bytes.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes)
-            .expect("a vector takes every write and the state has only types that CBOR has");
+            .expect("writing to a vector can't fail and all types in the state have a CBOR form");
         bytes
     }
 
-    /// Reads back a state; no bytes are the state before the first entry.
+    /// Decodes a state. Empty input gives the state before the first entry.
     ///
     /// # Errors
-    /// [`MalformedState`] when the bytes are no state.
+    /// [`MalformedState`] if the bytes are not a valid state.
     pub fn decode(bytes: &[u8]) -> Result<Self, MalformedState> {
         if bytes.is_empty() {
             return Ok(Self::default());
@@ -122,14 +120,14 @@
         };
         let mut state: Self =
             ciborium::from_reader(bytes).map_err(|error| malformed(error.to_string()))?;
-        state.bundles.restore().map_err(malformed)?;
-        state.ledger.restore();
-        state.directory.restore();
-        state.registry.restore();
+        state.bundles.restore_derived().map_err(malformed)?;
+        state.ledger.rebuild_index();
+        state.directory.rebuild_index();
+        state.registry.rebuild_index();
         Ok(state)
     }
 
-    /// Group the state belongs to, none before bootstrap.
+    /// Group that the state belongs to; `None` before bootstrap.
     pub fn group(&self) -> Option<u64> {
         self.group
     }
@@ -144,7 +142,7 @@
         self.log_time_unix_millis
     }
 
-    /// Bundles accepted.
+    /// Accepted bundles.
     pub fn bundles(&self) -> &Bundles {
         &self.bundles
     }
@@ -159,33 +157,33 @@
         &self.tables
     }
 
-    /// Endpoints that daemons registered.
+    /// Endpoints registered by daemons.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Contents of requests that ran at endpoints when these crashed.
+    /// Contents of requests that were running at endpoints when the endpoints crashed.
     pub fn quarantine(&self) -> &Quarantine {
         &self.quarantine
     }
 
-    /// Daemons and endpoints.
+    /// Registered daemons and their endpoints.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// The replacement in progress.
+    /// Replacement in progress, if any.
     pub fn replacement(&self) -> Option<&Replacement> {
         self.replacement.as_ref()
     }
 
-    /// Log time at which the latest replacement was begun, in milliseconds since the Unix epoch; 0
-    /// for none.
+    /// Log time at which the latest replacement began, in milliseconds since the Unix epoch; 0 if
+    /// there was none.
     pub fn replacement_begun_unix_millis(&self) -> u64 {
         self.replacement_begun_unix_millis
     }
 
-    /// Addresses that a replica reported, if they differ from those it was admitted with.
+    /// Addresses that a replica reported, if they differ from those in the membership.
     pub fn address(&self, replica: u64) -> Option<&ReplicaAddress> {
         self.addresses.get(&replica)
     }
--- a/crates/bramblewheel-control/src/state/replacement.rs
+++ b/crates/bramblewheel-control/src/state/replacement.rs
@@ -1,10 +1,10 @@
-//! The replacement in progress, as the log holds it, so that any leader can go on with it.
+//! The replacement in progress. It is kept in the log so that a new leader can continue it.
 
 use bramblewheel_protocol::control::{ReplaceRequest, ReplicaAddress};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Replicas to be removed from the group, and the one that takes their place.
+/// Replicas to be removed from the group, and the replica that replaces them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replacement {
     lost: BTreeSet<u64>,
@@ -12,22 +12,22 @@
 }
 
 impl Replacement {
-    /// What a request asks for while `current` is in progress: the same again, or another replica
-    /// in place of the one that is taking the lost one's place.
+    /// Replacement that follows from a request while `current` is in progress. The request may
+    /// repeat the current one, or name another replica to replace the current new replica.
     ///
-    /// The second is the way out when a replacement fails before it is finished. It also gives up
-    /// a replacement, by naming as new the one that was taken for lost.
+    /// The latter lets an operator recover when the new replica fails before the replacement is
+    /// finished. Naming the lost replica as the new one cancels the replacement.
     ///
     /// # Errors
-    /// Why the request can't be followed now.
-    pub fn requested(current: Option<&Self>, request: &ReplaceRequest) -> Result<Self, String> {
+    /// The reason for which the request can't be accepted now.
+    pub fn from_request(current: Option<&Self>, request: &ReplaceRequest) -> Result<Self, String> {
         let new = request.replacement.clone();
         if request.lost == new.replica {
             return Err("the replacement is the lost replica itself".to_owned());
         }
         let mut lost = BTreeSet::from([request.lost]);
         if let Some(current) = current {
-            if current.is_same(request) {
+            if current.is_requested_by(request) {
                 return Ok(current.clone());
             }
             if request.lost != current.new.replica {
@@ -39,17 +39,17 @@
         Ok(Self { lost, new })
     }
 
-    /// Whether this is what the request asks for.
-    pub fn is_same(&self, request: &ReplaceRequest) -> bool {
+    /// Whether the request asks for this replacement.
+    pub fn is_requested_by(&self, request: &ReplaceRequest) -> bool {
         self.new == request.replacement && self.lost.contains(&request.lost)
     }
 
-    /// Identities of the replicas to be removed.
+    /// Ids of the replicas to be removed.
     pub fn lost(&self) -> &BTreeSet<u64> {
         &self.lost
     }
 
-    /// The replica that takes their place.
+    /// The replica that replaces the lost ones.
     pub fn new_replica(&self) -> &ReplicaAddress {
         &self.new
     }
--- a/crates/bramblewheel-control/src/state/routing/mod.rs
+++ b/crates/bramblewheel-control/src/state/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Route tables, registered endpoints and requests in quarantine in the replicated state.
+//! Replicated state used for routing: route tables, registered endpoints and quarantined requests.
 
 mod quarantine;
 mod registry;
--- a/crates/bramblewheel-control/src/state/routing/registry.rs
+++ b/crates/bramblewheel-control/src/state/routing/registry.rs
@@ -1,21 +1,21 @@
-//! Endpoints as the daemons beside them registered them.
+//! Registry of endpoints, as registered by their daemons.
 //!
-//! Owns every start of an endpoint with its state, and decides which report is late. Relies on the
-//! sequence numbers of heartbeats and the starts in the endpoints' ids.
+//! Keeps every start of an endpoint with its state. Sequence numbers of heartbeats and the start times in
+//! endpoint ids show which reports are late.
 
 use bramblewheel_protocol::routing::{EndpointRecord, EndpointState, EndpointUpdate};
 use bramblewheel_types::{DaemonId, EndpointId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Endpoints remembered; beyond it the ones that left longest ago are forgotten. Ten days at the
-/// 1,000 restarts or replacements a day of `CONTRIBUTING.md`, besides 3,600 that are there.
+/// Endpoints kept; above it the one whose record changed longest ago and that takes no work is forgotten.
+/// Covers ten days at 1,000 restarts or replacements a day, plus 3,600 running endpoints.
 const MAX_ENDPOINTS: usize = 13_600;
 
 /// Endpoints, each with the revision of its last change.
 ///
-/// Invariants: a start of an endpoint that is leaving or gone never takes work again; of one name only the latest start
-/// takes work; revisions only rise.
+/// Invariants: a start that is draining or gone never takes work again; of all starts of one endpoint only the
+/// latest takes work; revisions only rise.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registry {
     revision: u64,
@@ -30,9 +30,9 @@
         self.revision
     }
 
-    /// What is known of an endpoint.
+    /// Record of an endpoint.
     pub fn endpoint(&self, endpoint: &EndpointId) -> Option<&EndpointRecord> {
-        self.endpoints.get(endpoint).map(|known| &known.record)
+        self.endpoints.get(endpoint).map(|update| &update.record)
     }
 
     /// Endpoints that changed after a revision, in the order of their changes.
@@ -42,76 +42,77 @@
         updates.cloned().collect()
     }
 
-    /// Takes a daemon's report on its endpoint; returns the state that is recorded.
+    /// Applies a daemon's report on its endpoint. Returns the recorded state.
     pub(in crate::state) fn register(&mut self, report: EndpointRecord) -> EndpointState {
-        let report = self.with_start(report);
+        let report = self.with_latest_start(report);
         let state = report.state;
         let endpoint = report.endpoint.clone();
-        // A report that was sent twice may be decided after that of a later start.
+        // A duplicate report may be applied after the report of a later start.
         if self
             .starts_of(&endpoint)
             .any(|start| endpoint.is_earlier_start_of(start))
         {
             return EndpointState::Gone;
         }
-        let Some(known) = self.endpoint(&endpoint) else {
-            return self.admit(report);
+        let Some(current) = self.endpoint(&endpoint) else {
+            return self.record(report);
         };
-        if known.state.is_final() {
-            let is_progress = state == EndpointState::Gone && known.state != state;
-            let recorded = if is_progress { state } else { known.state };
-            if is_progress {
+        if current.state.is_final() {
+            let is_now_gone = state == EndpointState::Gone && current.state != state;
+            let recorded_state = if is_now_gone { state } else { current.state };
+            if is_now_gone {
                 self.put(report);
             }
-            return recorded;
+            return recorded_state;
         }
-        let is_late = report.sequence < known.sequence && !state.is_final();
+        let is_late = report.sequence < current.sequence && !state.is_final();
         if is_late {
-            return known.state;
+            return current.state;
         }
         let is_update = EndpointRecord {
-            sequence: known.sequence,
-            cold_for: known.cold_for,
+            sequence: current.sequence,
+            cold_for: current.cold_for,
             ..report.clone()
-        } != *known;
+        } != *current;
         if is_update {
-            return self.admit(report);
+            return self.record(report);
         }
-        if let Some(known) = self.endpoints.get_mut(&endpoint) {
-            // Only the order of later heartbeats depends on it, so that daemons get no update of it.
-            known.record.sequence = known.record.sequence.max(report.sequence);
+        if let Some(update) = self.endpoints.get_mut(&endpoint) {
+            // The sequence number only serves to order later heartbeats, so daemons need no update on it.
+            update.record.sequence = update.record.sequence.max(report.sequence);
         }
         state
     }
 
-    /// The daemon beside an endpoint, where it is another one than the one that reports on it. A later start may be
-    /// beside another daemon once the start before it takes no work.
-    pub fn other_daemon_of(&self, report: &EndpointRecord) -> Option<&DaemonId> {
+    /// The daemon that holds an endpoint, if it is not the one that reports on it. A later start may register with
+    /// another daemon once the previous start takes no work.
+    pub fn conflicting_daemon(&self, report: &EndpointRecord) -> Option<&DaemonId> {
         let latest = self.starts_of(&report.endpoint).next_back()?;
-        let known = self.endpoint(latest)?;
-        let is_over = match known.state {
+        let current = self.endpoint(latest)?;
+        let is_over = match current.state {
             EndpointState::Ready => false,
             EndpointState::Gone => true,
             EndpointState::Silent | EndpointState::Draining => {
                 latest.is_earlier_start_of(&report.endpoint)
             }
         };
-        (known.daemon != report.daemon && !is_over).then_some(&known.daemon)
+        (current.daemon != report.daemon && !is_over).then_some(&current.daemon)
     }
 
-    /// Whether a report ends an endpoint that never sent its daemon a heartbeat, which a record without slots means, and of which
-    /// nothing is known beside that daemon. Recorded, it would close an endpoint that has not registered yet.
-    pub fn ends_unknown(&self, report: &EndpointRecord) -> bool {
+    /// Whether a report ends an endpoint that never registered with the reporting daemon. A record without slots
+    /// means that the endpoint never sent that daemon a heartbeat. If such a report were recorded, it would bar an
+    /// endpoint that has not registered yet.
+    pub fn ends_unregistered(&self, report: &EndpointRecord) -> bool {
         if !report.state.is_final() || report.slots > 0 {
             return false;
         }
-        let mut known = self
+        let mut records = self
             .starts_of(&report.endpoint)
             .filter_map(|start| self.endpoint(start));
-        !known.any(|known| known.daemon == report.daemon)
+        !records.any(|record| record.daemon == report.daemon)
     }
 
-    /// All starts of an endpoint that are known, the earliest first.
+    /// All recorded starts of an endpoint, earliest first.
     fn starts_of(&self, endpoint: &EndpointId) -> impl DoubleEndedIterator<Item = &EndpointId> {
         let first = endpoint.clone().started_at(None);
         let last = endpoint.clone().started_at(Some(u64::MAX));
@@ -119,8 +120,8 @@
         starts.map(|(start, _)| start)
     }
 
-    /// A report of a planned end that names no start is of the latest start.
-    fn with_start(&self, report: EndpointRecord) -> EndpointRecord {
+    /// Fills in the latest start if a report of a planned stop names no start.
+    fn with_latest_start(&self, report: EndpointRecord) -> EndpointRecord {
         if !report.state.is_final() || report.endpoint.started().is_some() {
             return report;
         }
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Notes that the earlier starts of an endpoint are over.
-    fn end_earlier_starts(&mut self, endpoint: &EndpointId) {
+    /// Marks all earlier starts of an endpoint as gone.
+    fn mark_earlier_starts_gone(&mut self, endpoint: &EndpointId) {
         let earlier = self.starts_of(endpoint);
         let earlier = earlier.filter(|start| start.is_earlier_start_of(endpoint));
         let earlier: Vec<EndpointRecord> =
@@ -147,28 +148,29 @@
         }
     }
 
-    /// Records a report; an endpoint that starts replaces the one before it.
-    fn admit(&mut self, report: EndpointRecord) -> EndpointState {
+    /// Records a report. Earlier starts of the endpoint become gone; if the endpoint is ready, other endpoints of
+    /// its daemon become silent.
+    fn record(&mut self, report: EndpointRecord) -> EndpointState {
         let state = report.state;
-        self.end_earlier_starts(&report.endpoint);
+        self.mark_earlier_starts_gone(&report.endpoint);
         if state == EndpointState::Ready {
-            self.silence(&report.daemon, Some(&report.endpoint));
+            self.mark_silent(&report.daemon, Some(&report.endpoint));
         }
         self.put(report);
         self.forget_oldest();
         state
     }
 
-    /// Notes that the daemon beside an endpoint lost contact; true if that changed a record.
-    pub(in crate::state) fn silence_daemon(&mut self, daemon: &DaemonId) -> bool {
+    /// Marks the endpoints of a daemon that lost contact as silent. Returns true if that changed a record.
+    pub(in crate::state) fn mark_endpoints_silent(&mut self, daemon: &DaemonId) -> bool {
         let before = self.revision;
-        self.silence(daemon, None);
+        self.mark_silent(daemon, None);
         self.revision != before
     }
 
-    fn silence(&mut self, daemon: &DaemonId, except: Option<&EndpointId>) {
-        let is_concerned = |known: &&EndpointUpdate| {
-            let record = &known.record;
+    fn mark_silent(&mut self, daemon: &DaemonId, except: Option<&EndpointId>) {
+        let is_affected = |update: &&EndpointUpdate| {
+            let record = &update.record;
             record.daemon == *daemon
                 && record.state == EndpointState::Ready
                 && Some(&record.endpoint) != except
@@ -176,8 +178,8 @@
         let silent: Vec<EndpointRecord> = self
             .endpoints
             .values()
-            .filter(is_concerned)
-            .map(|known| known.record.clone())
+            .filter(is_affected)
+            .map(|update| update.record.clone())
             .collect();
         for record in silent {
             self.put(EndpointRecord {
@@ -192,8 +194,8 @@
         let revision = self.revision;
         let endpoint = record.endpoint.clone();
         let update = EndpointUpdate { record, revision };
-        if let Some(before) = self.endpoints.insert(endpoint.clone(), update) {
-            self.by_revision.remove(&before.revision);
+        if let Some(previous) = self.endpoints.insert(endpoint.clone(), update) {
+            self.by_revision.remove(&previous.revision);
         }
         self.by_revision.insert(revision, endpoint);
     }
@@ -202,11 +204,11 @@
         if self.endpoints.len() <= MAX_ENDPOINTS {
             return;
         }
-        let is_over = |endpoint: &EndpointId| {
+        let is_not_ready = |endpoint: &EndpointId| {
             let record = self.endpoint(endpoint);
             record.is_none_or(|record| record.state != EndpointState::Ready)
         };
-        let oldest = self.by_revision.iter().find(|(_, e)| is_over(e));
+        let oldest = self.by_revision.iter().find(|(_, e)| is_not_ready(e));
         let Some((revision, endpoint)) = oldest.map(|(r, e)| (*r, e.clone())) else {
             return;
         };
@@ -214,11 +216,11 @@
         self.endpoints.remove(&endpoint);
     }
 
-    /// Rebuilds what follows from the rest, after a snapshot was read.
-    pub(in crate::state) fn restore(&mut self) {
+    /// Rebuilds the index by revision after the state was deserialized.
+    pub(in crate::state) fn rebuild_index(&mut self) {
         let revisions = self.endpoints.iter();
         self.by_revision = revisions
-            .map(|(endpoint, known)| (known.revision, endpoint.clone()))
+            .map(|(endpoint, update)| (update.revision, endpoint.clone()))
             .collect();
     }
 }
--- a/crates/bramblewheel-control/src/state/routing/tables.rs
+++ b/crates/bramblewheel-control/src/state/routing/tables.rs
@@ -1,6 +1,6 @@
-//! The route table in force and the digests of those before it.
+//! The route table in force and the digests of all accepted tables.
 //!
-//! Owns both; decides by versions and digests alone and never reads a table's text.
+//! Decides by versions and digests alone and never reads the text of a table.
 
 use bramblewheel_protocol::routing::{
     ReplaceTable, ReplaceTableReply, StoredTable, TableDigest, TableVersion,
@@ -8,14 +8,14 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The route table in force, and which tables were ever taken.
+/// The route table in force, and the digests of all tables ever accepted.
 ///
-/// Invariants: the version in force only rises; of two tables that build on one version at most
-/// one is taken; a table that was taken is never refused when it is sent again.
+/// Invariants: the version in force only rises; of two tables with the same parent version at most
+/// one is accepted; an accepted table is accepted again when it is resent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tables {
     current: Option<StoredTable>,
-    /// Every table taken; 32 bytes for each, so that a resend is known for ever.
+    /// Every accepted table, 32 bytes each, so that a resent table is always recognised.
     taken: BTreeMap<TableVersion, TableDigest>,
 }
 
@@ -40,15 +40,15 @@
             .filter(|table| table.version > version)
     }
 
-    /// The answer to a replacement, if no later entry can change it.
-    pub fn settled(&self, request: &ReplaceTable) -> Option<ReplaceTableReply> {
-        let was_taken = self.taken.get(&request.table.version) == Some(&request.table.digest);
-        was_taken.then_some(ReplaceTableReply::Accepted)
+    /// Reply to a replacement, if no later entry can change it.
+    pub fn final_reply(&self, request: &ReplaceTable) -> Option<ReplaceTableReply> {
+        let was_accepted = self.taken.get(&request.table.version) == Some(&request.table.digest);
+        was_accepted.then_some(ReplaceTableReply::Accepted)
     }
 
-    /// Takes a table, or answers why not.
+    /// Accepts a table, or returns the reason for refusing it.
     pub(in crate::state) fn replace(&mut self, request: ReplaceTable) -> ReplaceTableReply {
-        if let Some(reply) = self.settled(&request) {
+        if let Some(reply) = self.final_reply(&request) {
             return reply;
         }
         let current = self.version();
