--- a/crates/bramblewheel-control/src/node/applying.rs
+++ b/crates/bramblewheel-control/src/node/applying.rs
@@ -1,7 +1,5 @@
-//! Committed entries, snapshots and the results of proposals.
-//!
-//! Owns nothing; brings the state forward, answers the clients whose proposals are decided and cuts the
-//! log.
+//! Applies committed entries and snapshots to the state, replies to clients whose proposals are decided, and
+//! compacts the log.
 
 use super::ControlNode;
 use super::output::ClientRequestId;
@@ -10,29 +8,29 @@
 use bramblewheel_protocol::control::{LogPosition, OperationReply, ReplyBody, Unavailable};
 use bramblewheel_replication::{Entry, LogIndex, Payload, ProposalId, ProposalResult, Snapshot};
 
-/// Bytes of commands after which the log is cut by a snapshot, however few entries they are: a
-/// bundle or route table may be an entry of hundreds of kilobytes, and a replica may have only
-/// 256 MB of memory. Chosen, not measured.
+/// Size of the commands in the log, in bytes, after which it is compacted into a snapshot regardless of
+/// the number of entries. An entry with a bundle or route table may take hundreds of kilobytes, and a
+/// replica may have only 256 MB of memory.
 const MAX_LOG_BYTES: usize = 16 * 1024 * 1024;
 
 impl ControlNode {
-    /// Replaces the state by the leader's snapshot.
-    pub(super) fn install(&mut self, snapshot: Option<Snapshot>) {
+    /// Replaces the state by a snapshot of the leader.
+    pub(super) fn install_snapshot(&mut self, snapshot: Option<Snapshot>) {
         let Some(snapshot) = snapshot else {
             return;
         };
         self.state = ControlState::decode(&snapshot.data)
-            .expect("a snapshot of the group holds a state of this version of the program");
-        // Anything may have changed since the replaced state.
+            .expect("the leader's snapshot must hold a state that this program version can decode");
+        // Anything may have changed between the old and the new state.
         for id in self.polls.all() {
             self.answer_held(id);
         }
         self.answer_watches();
     }
 
-    /// Applies entries in order; returns what they changed for daemons.
+    /// Applies entries in order. Returns the changes for daemons.
     pub(super) fn apply(&mut self, entries: Vec<Entry>) -> Changes {
-        let mut all = Changes::default();
+        let mut changes = Changes::default();
         for entry in entries {
             let position = LogPosition {
                 index: entry.index.0,
@@ -42,34 +40,33 @@
                 self.state.skip(position);
                 continue;
             };
-            let applied = self
-                .state
-                .apply(position, &command)
-                .expect("a committed entry holds a command of this version of the program");
-            all.merge(applied.changes);
+            let applied = self.state.apply(position, &command).expect(
+                "a committed entry must hold a command that this program version can decode",
+            );
+            changes.merge(applied.changes);
             if !self.proposals.is_empty() {
                 self.outcomes.insert(position.index, applied.outcome);
             }
         }
-        all
+        changes
     }
 
-    /// Answers the clients whose proposals are decided.
-    pub(super) fn settle(&mut self, results: Vec<(ProposalId, ProposalResult)>) {
+    /// Replies to the clients whose proposals are decided.
+    pub(super) fn reply_to_proposals(&mut self, results: Vec<(ProposalId, ProposalResult)>) {
         for (id, result) in results {
-            let Some(purpose) = self.proposals.decided(id) else {
+            let Some(purpose) = self.proposals.take_decided(id) else {
                 continue;
             };
             match result {
-                ProposalResult::Committed { index, .. } => self.committed(purpose, index),
-                ProposalResult::Undecided => self.undecided(purpose),
+                ProposalResult::Committed { index, .. } => self.reply_committed(purpose, index),
+                ProposalResult::Undecided => self.reply_undecided(purpose),
             }
         }
-        // Entries and the results of their proposals come in one output.
+        // Entries and the results of their proposals arrive in the same output.
         self.outcomes.clear();
     }
 
-    fn committed(&mut self, purpose: Purpose, index: LogIndex) {
+    fn reply_committed(&mut self, purpose: Purpose, index: LogIndex) {
         match (purpose, self.outcomes.remove(&index.0)) {
             (Purpose::Publish(id), Some(Outcome::Publish(reply))) => {
                 self.reply(id, ReplyBody::Publish(reply));
@@ -102,7 +99,10 @@
                 | Purpose::Endpoints(_),
                 outcome,
             ) => {
-                unreachable!("entry {} came to {outcome:?}", index.0)
+                unreachable!(
+                    "outcome of entry {} does not match its purpose: {outcome:?}",
+                    index.0
+                )
             }
             (
                 Purpose::Directory
@@ -114,19 +114,19 @@
         }
     }
 
-    fn undecided(&mut self, purpose: Purpose) {
+    fn reply_undecided(&mut self, purpose: Purpose) {
         match purpose {
             Purpose::Publish(id) | Purpose::Table(id) => {
-                self.unavailable(id, Unavailable::Undecided);
+                self.reply_unavailable(id, Unavailable::Undecided);
             }
             Purpose::Endpoints(ids) | Purpose::Contents(ids) => {
                 for id in ids {
-                    self.unavailable(id, Unavailable::Undecided);
+                    self.reply_unavailable(id, Unavailable::Undecided);
                 }
             }
             Purpose::Operations(parts) => {
                 for (id, count) in parts {
-                    self.all_undecided(id, count);
+                    self.reply_all_undecided(id, count);
                 }
             }
             Purpose::Directory | Purpose::Address(_) | Purpose::Membership => {}
@@ -134,12 +134,12 @@
         }
     }
 
-    pub(super) fn all_undecided(&mut self, id: ClientRequestId, count: usize) {
+    pub(super) fn reply_all_undecided(&mut self, id: ClientRequestId, count: usize) {
         let replies = vec![OperationReply::Undecided; count];
         self.reply(id, ReplyBody::Operations(replies));
     }
 
-    /// Cuts the log by a snapshot when enough entries have come.
+    /// Compacts the log into a snapshot once it holds enough entries or bytes.
     pub(super) fn compact_if_due(&mut self) {
         let applied = LogIndex(self.state.position().index);
         let last = self.replica.snapshot_index().0;
@@ -149,19 +149,19 @@
             return;
         }
         let data = self.state.encode();
-        // Refused while the entry is not synced here: tried again after the next sync.
+        // Refused while the entry is not synced on this replica; retried after the next sync.
         if let Ok(snapshot) = self.replica.compact(self.now.monotonic, applied, data) {
             self.own_snapshot = Some(snapshot);
         }
     }
 
-    /// The group, if it is not noted in the identity yet.
-    pub(super) fn newly_joined(&mut self) -> Option<u64> {
+    /// Returns the group once, when it is not recorded in the identity yet.
+    pub(super) fn take_joined_group(&mut self) -> Option<u64> {
         let group = self.state.group();
-        if group == self.noted_group {
+        if group == self.recorded_group {
             return None;
         }
-        self.noted_group = group;
+        self.recorded_group = group;
         group
     }
 }
--- a/crates/bramblewheel-control/src/node/bootstrap.rs
+++ b/crates/bramblewheel-control/src/node/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The first state of a new group: by an operator's bootstrap, or from founders named in settings.
+//! First state of a new group, from an operator's bootstrap request or from the founders in the settings.
 
 use super::output::ClientRequestId;
 use super::{ControlNode, replica_config};
@@ -17,12 +17,12 @@
         self.reply(id, reply);
     }
 
-    /// Founds a group without an operator and without a bundle. Every founder calls it with the
-    /// same voters when it starts for the first time; that they begin alike without messages between
-    /// them follows from the state depending on the voters alone.
+    /// Founds a group without an operator and without a bundle. Every founder calls this with the
+    /// same voters when it starts for the first time. The state depends on the voters alone, so all
+    /// founders begin with the same state without exchanging messages.
     ///
     /// # Errors
-    /// Why this replica can't be a founder; nothing was changed.
+    /// The reason for which this replica can't be a founder; its state is unchanged.
     pub fn found_group(&mut self, group: u64, voters: &[ReplicaAddress]) -> Result<(), String> {
         if self.state.group().is_some() {
             return Ok(());
@@ -33,7 +33,8 @@
         })
     }
 
-    /// Makes the first state. It depends on the request alone, so that all first voters begin alike.
+    /// Creates the first state. It depends on the request alone, so that all first voters begin with the same
+    /// state.
     fn bootstrap(&mut self, request: BootstrapRequest) -> Result<(), String> {
         if let Some(group) = self.state.group() {
             if group == request.group {
@@ -58,15 +59,15 @@
         let snapshot = restored
             .snapshot
             .as_mut()
-            .expect("a bootstrap state has a snapshot");
+            .expect("a bootstrap state must have a snapshot");
         let position = LogPosition {
             index: snapshot.index.0,
             term: snapshot.term.0,
         };
         let state = first_state(position)?;
         snapshot.data = state.encode();
-        // Messages of a group that is ahead may have raised the term already; a replica without a
-        // group never votes, so there is no vote to keep.
+        // Messages of voters that were bootstrapped earlier may have raised the term already. There is
+        // no vote to keep, since a replica without a group never votes.
         restored.hard_state = HardState {
             term: restored.hard_state.term.max(self.replica.term()),
             voted_for: None,
--- a/crates/bramblewheel-control/src/node/bundle_updates.rs
+++ b/crates/bramblewheel-control/src/node/bundle_updates.rs
@@ -1,8 +1,5 @@
-//! Updates of the bundle for polls: deltas where possible, computed once for all daemons that hold the
-//! same version.
-//!
-//! Owns the deltas to the version in force. Relies on the history of bundles for what is still known of
-//! older ones.
+//! Bundle updates for polls. They are deltas where possible, computed once from the bundle history for all
+//! daemons that hold the same version.
 
 use crate::state::Bundles;
 use bramblewheel_protocol::control::{
@@ -11,16 +8,16 @@
 use bramblewheel_types::BundleVersion;
 use std::collections::BTreeMap;
 
-/// Update of the bundle for one poll.
+/// Bundle update for one poll.
 #[derive(Debug, Default)]
 pub(super) struct PollUpdate {
-    /// Changes of the operators since the version whose operators the daemon trusts, oldest first.
+    /// Operator changes since the version whose operators the daemon trusts, oldest first.
     pub(super) operator_changes: Vec<OperatorChange>,
-    /// The bundle in force, if it is newer and follows the changes above.
+    /// The bundle in force; `None` if the daemon has it or needs further operator changes first.
     pub(super) bundle: Option<BundleUpdate>,
 }
 
-/// Counts for the metrics.
+/// Counters for the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct BundleUpdateCounts {
     pub(super) deltas_computed: u64,
@@ -28,17 +25,17 @@
     pub(super) whole_sent: u64,
 }
 
-/// Updates of the bundle, with the deltas to the version in force computed so far.
+/// Cache of the deltas to the version in force.
 #[derive(Debug, Default)]
 pub(super) struct BundleUpdateCache {
     target: BundleVersion,
-    /// By the version they start from; none where the whole bundle is shorter.
+    /// Deltas by the version they start from; `None` where the whole bundle is shorter.
     deltas: BTreeMap<BundleVersion, Option<SignedBundleDelta>>,
     pub(super) counts: BundleUpdateCounts,
 }
 
 impl BundleUpdateCache {
-    /// Update of the bundle for a daemon.
+    /// Bundle update for a daemon's poll.
     pub(super) fn update_for(&mut self, bundles: &Bundles, poll: &PollRequest) -> PollUpdate {
         let Some(current) = bundles.newer_than(poll.bundle_version) else {
             return PollUpdate::default();
@@ -51,8 +48,8 @@
         }
         let history = bundles.history();
         let trusted = poll.operators_version.max(poll.bundle_version);
-        let (operator_changes, are_all) = history.operator_changes(trusted, current.version);
-        if !are_all {
+        let (operator_changes, is_complete) = history.operator_changes(trusted, current.version);
+        if !is_complete {
             return PollUpdate {
                 operator_changes,
                 bundle: None,
@@ -84,7 +81,7 @@
             self.deltas.clear();
         }
         if !self.deltas.contains_key(&from) {
-            // What the history has forgotten is found missing at once; only deltas take memory here.
+            // Versions that the history no longer covers are not cached, so they take no memory.
             let delta = bundles.history().delta_from(from)?.encode();
             self.counts.deltas_computed += 1;
             let is_shorter = delta.len() < current.bytes.len();
--- a/crates/bramblewheel-control/src/node/clocks.rs
+++ b/crates/bramblewheel-control/src/node/clocks.rs
@@ -1,6 +1,5 @@
-//! Wall clocks of the voters, as a leader knows them.
-//!
-//! Owns the latest reading of each; the time of proposals is taken from a majority of them.
+//! Wall clocks of the voters, as reported to the leader. The time of proposals is derived from a majority of
+//! them.
 
 use super::ControlNode;
 use super::message::PeerMessage;
@@ -8,7 +7,7 @@
 use bramblewheel_types::{Millis, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a replica's wall clock showed, and when its report arrived.
+/// A reading of a replica's wall clock, and the time at which it arrived.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
     unix_millis: u64,
@@ -16,8 +15,8 @@
 }
 
 impl Reading {
-    /// What the clock shows now, at least; the way to the leader is not counted.
-    fn shows(self, now: Timestamp) -> u64 {
+    /// Lower bound of the clock's current time: the network delay to the leader is not added.
+    fn current_millis(self, now: Timestamp) -> u64 {
         let passed = Millis::of(now.since(self.received_at)).0;
         self.unix_millis.saturating_add(passed)
     }
@@ -30,7 +29,7 @@
 }
 
 impl Clocks {
-    /// Notes a replica's report of its clock.
+    /// Records a replica's report of its clock.
     pub(super) fn note(&mut self, replica: ReplicaId, unix_millis: u64, now: Timestamp) {
         let reading = Reading {
             unix_millis,
@@ -39,31 +38,33 @@
         self.readings.insert(replica, reading);
     }
 
-    /// Forgets who is not a voter.
-    pub(super) fn keep(&mut self, voters: &BTreeSet<ReplicaId>) {
+    /// Forgets the readings of replicas that are not voters.
+    pub(super) fn retain_voters(&mut self, voters: &BTreeSet<ReplicaId>) {
         self.readings.retain(|replica, _| voters.contains(replica));
     }
 
     /// Latest time that the clocks of a majority of the voters have reached, in milliseconds since
-    /// the Unix epoch; none while the clocks of too few are known.
+    /// the Unix epoch; `None` while too few clocks are known.
     ///
-    /// No minority can move it ahead, and none can hold it back as long as a majority beside it is
-    /// known.
+    /// No minority of wrong clocks can move it ahead, and none can hold it back while the clocks of
+    /// a majority of other voters are known.
     pub(super) fn majority_time(
         &self,
         own: (ReplicaId, u64),
         voters: &BTreeSet<ReplicaId>,
         now: Timestamp,
     ) -> Option<u64> {
-        let shown = voters.iter().filter_map(|voter| {
+        let times = voters.iter().filter_map(|voter| {
             if *voter == own.0 {
                 return Some(own.1);
             }
-            self.readings.get(voter).map(|reading| reading.shows(now))
+            self.readings
+                .get(voter)
+                .map(|reading| reading.current_millis(now))
         });
-        let mut shown: Vec<u64> = shown.collect();
-        shown.sort_unstable_by(|one, other| other.cmp(one));
-        shown.get(voters.len() / 2).copied()
+        let mut times: Vec<u64> = times.collect();
+        times.sort_unstable_by(|one, other| other.cmp(one));
+        times.get(voters.len() / 2).copied()
     }
 }
 
--- a/crates/bramblewheel-control/src/node/config.rs
+++ b/crates/bramblewheel-control/src/node/config.rs
@@ -1,34 +1,35 @@
-//! Settings of one node, and the time it is given.
+//! Settings of one node, and the time that the driver passes to it.
 
 use bramblewheel_protocol::control::ReplicaAddress;
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
-/// The time, as the driver reads it just before each call.
+/// The time as read by the driver just before each call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    /// Monotonic clock; all waits and leases go by it. It must go on while the process is paused or its
-    /// machine suspended.
+    /// Monotonic clock, used for all waits and leases. It must continue to run while the process is paused
+    /// or its machine is suspended.
     pub monotonic: Timestamp,
-    /// Wall clock, in milliseconds since the Unix epoch; a leader stamps its proposals with what the
-    /// clocks of a majority show.
+    /// Wall clock, in milliseconds since the Unix epoch. A leader stamps its proposals with the time that
+    /// the wall clocks of a majority have reached.
     pub unix_millis: u64,
 }
 
 /// Settings of one node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// Identity of this replica and where it is reached.
+    /// Id and addresses of this replica.
     pub address: ReplicaAddress,
-    /// How often a leader starts a round of messages.
+    /// Interval at which a leader sends heartbeats.
     pub heartbeat: Duration,
-    /// Shortest silence of the leader after which a follower campaigns; also how recent the last
-    /// proven contact with a quorum must be for an answer.
+    /// Least silence of the leader after which a follower starts an election. Also the longest time
+    /// since the last proven contact with a quorum at which the replica may still answer from its
+    /// state.
     pub election: Duration,
-    /// Silence after which a daemon is taken out of the directory.
+    /// Silence after which a daemon is removed from the directory.
     pub daemon_lease: Duration,
-    /// Entries after which the log is cut by a snapshot.
+    /// Number of entries after which the log is compacted into a snapshot.
     pub snapshot_interval: u64,
-    /// Seed of the election jitter; must differ between replicas and between starts of one.
+    /// Seed of the election jitter; must differ between replicas and between starts of one replica.
     pub seed: u64,
 }
--- a/crates/bramblewheel-control/src/node/daemons.rs
+++ b/crates/bramblewheel-control/src/node/daemons.rs
@@ -1,7 +1,5 @@
-//! Polls of daemons: leases, registrations, updates.
-//!
-//! Owns nothing; decides when a poll is answered, held or refused. Relies on `leases` for the time of
-//! each poll and on `polls` for those that are held.
+//! Polls of daemons: leases, registrations and updates. Decides whether a poll is answered, held or
+//! refused.
 
 use super::ControlNode;
 use super::message::{PeerMessage, Renewal};
@@ -14,7 +12,7 @@
 use bramblewheel_types::BundleVersion;
 use std::time::Duration;
 
-/// Services in one poll at most; chosen, not measured.
+/// Services in one poll at most.
 const MAX_SERVICES: usize = 4096;
 
 impl ControlNode {
@@ -24,7 +22,7 @@
             return self.reply(id, ReplyBody::Rejected(reason));
         }
         if !self.may_answer(&poll) {
-            return self.no_quorum(id);
+            return self.reply_no_quorum(id);
         }
         let renewal = Renewal {
             daemon: poll.registration.daemon.clone(),
@@ -32,24 +30,24 @@
             bundle_version: poll.bundle_version,
         };
         self.leases.renew(self.now.monotonic, renewal);
-        self.note_registration(&poll.registration);
+        self.queue_registration(&poll.registration);
         if poll.bundle_version == BundleVersion::default() {
-            // It holds nothing that would show an old answer to be old.
+            // The daemon has no version by which it could detect a stale answer.
             return self.start_read(Reader::Poll(id, Box::new(poll)));
         }
         self.answer_or_hold(id, poll);
     }
 
-    /// Whether this replica's state may be shown to the daemon: it is not cut off, and not behind
-    /// what the daemon has seen.
+    /// Whether this replica's state may be sent to the daemon: the replica has contact with a quorum
+    /// and is not behind the state that the daemon has seen.
     fn may_answer(&self, poll: &PollRequest) -> bool {
         self.has_quorum() && self.state.position().index >= poll.position.index
     }
 
-    /// Brings a daemon's registration to the log if it is not there.
-    pub(super) fn note_registration(&mut self, registration: &Registration) {
-        let known = self.state.directory().daemon(&registration.daemon);
-        if known == Some(registration) || self.proposals.is_registering(registration) {
+    /// Queues a daemon's registration for the log, or for the leader, unless it is already recorded.
+    pub(super) fn queue_registration(&mut self, registration: &Registration) {
+        let recorded = self.state.directory().daemon(&registration.daemon);
+        if recorded == Some(registration) || self.proposals.is_registering(registration) {
             return;
         }
         if self.is_leader() {
@@ -66,7 +64,7 @@
         if registrations.is_empty() {
             return;
         }
-        // Without a leader they are found to be missing again with the next poll.
+        // Without a leader they are dropped; the next poll of the daemon queues them again.
         if let Some(leader) = self.replica.leader() {
             let message = PeerMessage::Registrations(registrations);
             self.messages.push((leader, message));
@@ -75,15 +73,15 @@
 
     pub(super) fn answer_or_hold(&mut self, id: ClientRequestId, poll: PollRequest) {
         if self.is_stopping {
-            return self.unavailable(id, Unavailable::Stopping);
+            return self.reply_unavailable(id, Unavailable::Stopping);
         }
         if !self.may_answer(&poll) {
-            return self.no_quorum(id);
+            return self.reply_no_quorum(id);
         }
         if self.has_update(&poll) {
             return self.answer_poll(id, &poll);
         }
-        // At least two polls per lease, whatever the daemon asks for.
+        // Ensures at least two polls per lease, even if the daemon asks for a longer wait.
         let wait = Duration::from(poll.wait).min(self.config.daemon_lease / 2);
         self.polls.hold(id, poll, self.now.monotonic + wait);
     }
@@ -94,14 +92,14 @@
         bundle.is_some() || directory.has_update(&poll.services, poll.directory_revision)
     }
 
-    /// Answers the held polls that a change concerns.
+    /// Answers the held polls that are affected by changes.
     pub(super) fn answer_polls(&mut self, changes: &Changes) {
-        let concerned = if changes.bundle {
+        let affected = if changes.bundle {
             self.polls.all()
         } else {
             self.polls.waiting_for(&changes.services)
         };
-        for id in concerned {
+        for id in affected {
             self.answer_held(id);
         }
     }
@@ -112,11 +110,11 @@
         }
     }
 
-    /// Answers with what there is. Whether the replica may is checked at this moment: it may have
-    /// been cut off or frozen while the poll was held.
+    /// Answers a poll with the updates available. Checks again whether the replica may answer, since it
+    /// may have been cut off or frozen while the poll was held.
     fn answer_poll(&mut self, id: ClientRequestId, poll: &PollRequest) {
         if !self.may_answer(poll) {
-            return self.no_quorum(id);
+            return self.reply_no_quorum(id);
         }
         let directory = self.state.directory();
         let delta = directory.delta(&poll.services, poll.directory_revision);
--- a/crates/bramblewheel-control/src/node/durable.rs
+++ b/crates/bramblewheel-control/src/node/durable.rs
@@ -1,4 +1,4 @@
-//! The part of a driver that keeps a node on disk; works on any file layer.
+//! Persistence of a node for its driver, on any [`FileSystem`].
 
 use super::output::NodeOutput;
 use bramblewheel_replication::{ReplicaId, RestoredState};
@@ -11,23 +11,23 @@
 }
 
 impl<F: FileSystem> Durable<F> {
-    /// Opens a data folder and reads back what was synced. An empty folder gets the identity
-    /// `fresh`, which must be random: a replica that lost its folder is not its old self.
+    /// Opens a data folder and restores the synced state. An empty folder gets the identity
+    /// `new_identity`. A replica that lost its folder must not return under its earlier identity.
     ///
     /// # Errors
-    /// [`StorageError`]; the replica must not start.
+    /// [`StorageError`] if the folder can't be used; the replica must not start then.
     pub fn open(
         files: F,
         config: StorageConfig,
         name: &str,
-        fresh: ReplicaId,
+        new_identity: ReplicaId,
     ) -> Result<(Self, RestoredState), StorageError> {
         let (mut storage, identity, restored) = Storage::open(files, config)?;
         let identity = match identity {
             Some(identity) => identity,
             None => {
                 let identity = Identity {
-                    replica: fresh,
+                    replica: new_identity,
                     group: None,
                     name: name.to_owned(),
                 };
@@ -38,15 +38,15 @@
         Ok((Self { storage, identity }, restored))
     }
 
-    /// Who the replica is.
+    /// Identity of the replica.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// Syncs what an output asks for.
+    /// Syncs the writes of an output.
     ///
     /// # Errors
-    /// [`StorageError`]; the replica must stop, and nothing of the output may be sent.
+    /// [`StorageError`] if a write fails. The replica must stop then, and nothing of the output may be sent.
     pub fn apply(&mut self, output: &NodeOutput) -> Result<(), StorageError> {
         self.storage.write(&output.write)?;
         if let Some(snapshot) = &output.snapshot {
--- a/crates/bramblewheel-control/src/node/group.rs
+++ b/crates/bramblewheel-control/src/node/group.rs
@@ -1,4 +1,4 @@
-//! Members of the group and where they are reached.
+//! Members of the group and their addresses.
 
 use super::ControlNode;
 use super::message::PeerMessage;
@@ -7,16 +7,16 @@
 use bramblewheel_replication::{Entry, Payload, ReplicaId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A replica's address as its opaque description in the membership.
+/// Encodes a replica's addresses as its opaque description in the membership.
 pub(super) fn describe(address: &ReplicaAddress) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(address, &mut bytes).expect("a vector takes every write");
+    ciborium::into_writer(address, &mut bytes).expect("writing to a vector can't fail");
     bytes
 }
 
-/// Addresses in entries that are not known to be committed. An address is only a place to try, so
-/// one that is not committed does no harm, while without it a replica whose peers all moved while
-/// it ran could not find them after a restart.
+/// Addresses in entries that are not known to be committed. An uncommitted address does no harm, as a
+/// connection attempt to it just fails. Without these, a replica whose peers all changed addresses while it
+/// ran could not reach them after a restart.
 pub(super) fn addresses_in(entries: &[Entry]) -> BTreeMap<u64, ReplicaAddress> {
     let commands = entries.iter().filter_map(|entry| match &entry.payload {
         Payload::Command(bytes) => LoggedCommand::decode(bytes).ok(),
@@ -37,16 +37,16 @@
 }
 
 impl ControlNode {
-    /// Where a replica is reached, as far as known: as it reported itself, else as in the log.
+    /// Addresses of a replica, if known: those that it reported itself, otherwise those in the log.
     pub fn member_address(&self, replica: ReplicaId) -> Option<ReplicaAddress> {
         if replica.0 == self.config.address.replica {
             return Some(self.config.address.clone());
         }
-        let introduced = self.introduced.get(&replica.0).cloned();
-        introduced.or_else(|| self.recorded_address(replica))
+        let reported_addresses = self.reported_addresses.get(&replica.0).cloned();
+        reported_addresses.or_else(|| self.recorded_address(replica))
     }
 
-    /// Announces to the other members the addresses of this replica since this start.
+    /// Announces this replica's current addresses to the other members.
     pub(super) fn announce(&mut self) {
         let own = self.replica.id();
         let others = self.replica.membership().members().filter(|id| *id != own);
@@ -54,7 +54,7 @@
         self.messages.extend(announcements);
     }
 
-    /// Where a replica is reached according to the log.
+    /// Addresses of a replica according to the log.
     pub(super) fn recorded_address(&self, replica: ReplicaId) -> Option<ReplicaAddress> {
         if let Some(address) = self.state.address(replica.0) {
             return Some(address.clone());
@@ -67,8 +67,8 @@
     pub fn group_status(&self, now: super::Now) -> GroupStatus {
         let membership = self.replica.membership();
         let addresses = |replicas: &BTreeSet<ReplicaId>| {
-            let known = replicas.iter();
-            known.filter_map(|id| self.member_address(*id)).collect()
+            let ids = replicas.iter();
+            ids.filter_map(|id| self.member_address(*id)).collect()
         };
         GroupStatus {
             replica: self.config.address.clone(),
--- a/crates/bramblewheel-control/src/node/housekeeping.rs
+++ b/crates/bramblewheel-control/src/node/housekeeping.rs
@@ -1,4 +1,4 @@
-//! Periodic work: leases, held polls, reports to the leader, steps of a replacement.
+//! Periodic work: lease expiry, held polls and watches, reports to the leader, steps of a replacement.
 
 use super::message::PeerMessage;
 use super::{ControlNode, Now};
@@ -6,16 +6,16 @@
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
-/// How often renewals are passed on to the leader and leases are checked; chosen, not measured.
+/// How often renewals are forwarded to the leader and leases are checked.
 const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
-/// Leases after which the last poll of a daemon is forgotten; chosen, not measured.
+/// Number of lease periods after which the last poll of a daemon is forgotten.
 const REMEMBERED_LEASES: u32 = 3;
 
 impl ControlNode {
-    /// Lets time pass; call at [`next_wakeup`](Self::next_wakeup) or more often.
+    /// Runs the periodic work that is due. Call at [`next_wakeup`](Self::next_wakeup) or more often.
     pub fn tick(&mut self, now: Now) {
         self.now = now;
-        // First, so that a leader that was frozen steps down before it expires anyone.
+        // The replica comes first, so that a leader that was frozen steps down before it expires daemons.
         self.replica.tick(now.monotonic);
         let term = self.is_leader().then(|| self.replica.term());
         self.leases.note_leadership(now.monotonic, term);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// When [`tick`](Self::tick) is due at the latest.
+    /// Latest time at which [`tick`](Self::tick) must be called.
     pub fn next_wakeup(&self) -> Timestamp {
         let own = self.housekeeping_due.min(self.exchange_due);
         self.replica.next_wakeup().min(own)
@@ -40,7 +40,7 @@
         let due = if self.has_quorum() {
             self.polls.due(self.now.monotonic)
         } else {
-            // They are refused at once, so that their daemons ask elsewhere.
+            // Without a quorum all held polls are refused, so that their daemons turn to another replica.
             self.polls.all()
         };
         for id in due {
@@ -49,10 +49,10 @@
         self.answer_due_watches();
         self.confirm_renewals();
         self.report_tenant_usage();
-        self.fail_late_reads();
+        self.fail_timed_out_reads();
         self.advance_replacement();
-        if self.is_leader() && self.spares.is_urgent() {
-            self.consider_spare();
+        if self.is_leader() && self.spares.needs_fast_repair() {
+            self.use_spare_if_due();
         }
     }
 
@@ -61,8 +61,8 @@
             self.expire_daemons();
             self.expire_contents();
             self.record_addresses();
-            self.consider_spare();
-            self.clocks.keep(&self.replica.membership().voters);
+            self.use_spare_if_due();
+            self.clocks.retain_voters(&self.replica.membership().voters);
         } else if let Some(leader) = self.replica.leader() {
             let renewals = self.leases.take_unreported();
             if !renewals.is_empty() {
@@ -77,14 +77,14 @@
         self.leases.forget_before(oldest);
     }
 
-    /// A content leaves the quarantine by the log's time, which only entries move.
+    /// Proposes an entry when a quarantine is due to expire, since only entries advance log time.
     fn expire_contents(&mut self) {
         let due = self.state.quarantine().due_unix_millis();
         let is_due = due
             .zip(self.proposal_time())
             .is_some_and(|(due, now)| due <= now);
         if is_due && self.has_quorum() {
-            self.queue.let_time_pass();
+            self.queue.advance_log_time();
         }
     }
 
@@ -94,23 +94,23 @@
         }
         let daemons = self.state.directory().daemons();
         let lease = self.config.daemon_lease;
-        for gone in self.leases.expired(self.now.monotonic, lease, daemons) {
-            if !self.proposals.is_expiring(&gone) {
-                self.queue.expire(gone);
+        for expired in self.leases.expired(self.now.monotonic, lease, daemons) {
+            if !self.proposals.is_expiring(&expired) {
+                self.queue.expire(expired);
             }
         }
     }
 
-    /// Brings the addresses that members reported to the log, where they differ.
+    /// Queues the addresses that members reported, where they differ from those in the log.
     pub(super) fn record_addresses(&mut self) {
         let members: Vec<ReplicaId> = self.replica.membership().members().collect();
         for member in members {
-            let Some(stated) = self.member_address(member) else {
+            let Some(reported) = self.member_address(member) else {
                 continue;
             };
-            let is_known = self.recorded_address(member).as_ref() == Some(&stated);
-            if !is_known && !self.proposals.is_moving(member.0) {
-                self.queue.move_replica(stated);
+            let is_recorded = self.recorded_address(member).as_ref() == Some(&reported);
+            if !is_recorded && !self.proposals.is_recording_address(member.0) {
+                self.queue.record_address(reported);
             }
         }
     }
--- a/crates/bramblewheel-control/src/node/inputs.rs
+++ b/crates/bramblewheel-control/src/node/inputs.rs
@@ -1,5 +1,5 @@
-//! Inputs of a node besides requests and the passing of time: messages of replicas, clients that went
-//! away, a planned stop.
+//! Inputs of a node other than requests and ticks: messages of replicas, disconnected clients and a planned
+//! stop.
 
 use super::message::PeerMessage;
 use super::output::ClientRequestId;
@@ -8,7 +8,7 @@
 use bramblewheel_replication::ReplicaId;
 
 impl ControlNode {
-    /// Takes in a message of another replica.
+    /// Handles a message of another replica.
     pub fn receive(&mut self, now: Now, from: ReplicaId, message: PeerMessage) {
         self.now = now;
         self.spares.note_contact(from, now.monotonic);
@@ -18,10 +18,10 @@
             }
             PeerMessage::Announcement => {}
             PeerMessage::Registrations(registrations) => {
-                // Never passed on: two replicas could send it to and fro.
+                // Not forwarded by a follower: two replicas could forward it to each other forever.
                 let registrations = registrations.into_iter().filter(|_| self.is_leader());
                 for registration in registrations.collect::<Vec<_>>() {
-                    self.note_registration(&registration);
+                    self.queue_registration(&registration);
                 }
             }
             PeerMessage::Renewals(renewals) => {
@@ -34,13 +34,13 @@
             }
             PeerMessage::SpareOffer(address) => {
                 if address.replica == from.0 && self.is_leader() {
-                    self.spares.offered(address, now.monotonic);
+                    self.spares.record_offer(address, now.monotonic);
                 }
             }
             PeerMessage::TenantUsage(sums) => {
                 self.usage.report_of_replica(now.monotonic, from, sums);
             }
-            PeerMessage::ReadRequest { id } => self.read_for(from, id),
+            PeerMessage::ReadRequest { id } => self.start_read_for_replica(from, id),
             PeerMessage::ReadReply { id, index } => {
                 self.reads.confirmed(id, index);
                 self.finish_forwarded_reads();
@@ -48,37 +48,38 @@
         }
     }
 
-    /// Notes the addresses at which a replica is reached, as it reported them.
+    /// Records the addresses that a replica reported for itself.
     pub fn introduce(&mut self, now: Now, address: ReplicaAddress) {
         self.now = now;
-        self.introduced.insert(address.replica, address);
+        self.reported_addresses.insert(address.replica, address);
         if self.is_leader() {
             self.record_addresses();
         }
     }
 
-    /// A client went away: its request needs no reply any more.
-    pub fn forget(&mut self, id: ClientRequestId) {
+    /// Drops a held poll or watch whose client has disconnected.
+    pub fn cancel(&mut self, id: ClientRequestId) {
         self.polls.remove(id);
         self.watches.remove(id);
     }
 
-    /// Begins a planned stop: hands leadership over and sends waiting daemons to other replicas.
+    /// Begins a planned stop: transfers leadership and refuses held polls and watches, so that their
+    /// daemons go to other replicas.
     pub fn stop(&mut self, now: Now) {
         self.now = now;
         self.is_stopping = true;
-        // Without a target the others elect one after their timeout.
+        // If no follower can take over, the others elect a leader after their election timeout.
         let _ = self.replica.transfer_leadership(now.monotonic);
         for id in self.polls.all() {
             self.polls.remove(id);
-            self.unavailable(id, Unavailable::Stopping);
+            self.reply_unavailable(id, Unavailable::Stopping);
         }
         for id in self.watches.take_all() {
-            self.unavailable(id, Unavailable::Stopping);
+            self.reply_unavailable(id, Unavailable::Stopping);
         }
     }
 
-    /// Whether the process may end without cutting anything short.
+    /// Whether the planned stop is complete: this replica does not lead and has no undecided proposal.
     pub fn has_handed_over(&self) -> bool {
         self.is_stopping && !self.is_leader() && self.proposals.is_empty()
     }
--- a/crates/bramblewheel-control/src/node/leases.rs
+++ b/crates/bramblewheel-control/src/node/leases.rs
@@ -1,7 +1,7 @@
 //! Leases of daemons: the time of each daemon's last poll.
 //!
-//! Owns these times, in memory only, so that renewals cost no log entry. Relies on the other replicas to
-//! report the polls that they answered.
+//! The times are kept in memory only, so that a renewal needs no log entry. Other replicas report the polls
+//! that they received.
 
 use super::message::Renewal;
 use crate::state::ExpiredDaemon;
@@ -11,8 +11,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// One run of a daemon's process. Two runs of one daemon overlap: the last poll of the old one may
-/// become known after the first of the new one.
+/// One process of a daemon. Polls of two processes of one daemon may overlap: the last poll of the old one may be
+/// reported after the first poll of the new one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Incarnation {
     daemon: DaemonId,
@@ -35,13 +35,13 @@
     at: Timestamp,
 }
 
-/// Leases of daemons as this replica knows them.
+/// Leases of daemons known to this replica.
 #[derive(Debug, Default)]
 pub(super) struct Leases {
     polls: BTreeMap<Incarnation, LastPoll>,
-    /// Daemons whose renewal is not reported to the leader yet.
+    /// Daemons whose renewals have not been reported to the leader yet.
     unreported: BTreeSet<Incarnation>,
-    /// Term in which this replica leads, and since when.
+    /// Term in which this replica leads, and the time at which it began.
     leading: Option<(Term, Timestamp)>,
 }
 
@@ -59,18 +59,18 @@
         self.polls.insert(incarnation, poll);
     }
 
-    /// Begins the lease of a daemon whose registration came before its renewal, which other
-    /// replicas pass on only now and then.
+    /// Begins the lease of a daemon whose registration arrived before its renewal, since other
+    /// replicas forward renewals only periodically.
     pub(super) fn begin(&mut self, now: Timestamp, registration: &Registration) {
-        let unknown = LastPoll {
+        let first_poll = LastPoll {
             bundle_version: BundleVersion::default(),
             at: now,
         };
         let poll = self.polls.entry(Incarnation::of(registration));
-        poll.or_insert(unknown).at = now;
+        poll.or_insert(first_poll).at = now;
     }
 
-    /// Renewals to be reported to the leader.
+    /// Takes the renewals to be reported to the leader.
     pub(super) fn take_unreported(&mut self) -> Vec<Renewal> {
         let unreported = std::mem::take(&mut self.unreported);
         let renewals = unreported.into_iter().filter_map(|incarnation| {
@@ -84,8 +84,8 @@
         renewals.collect()
     }
 
-    /// Notes whether this replica leads. A new leader can't know who polled the others before, so
-    /// it begins with a whole lease for everybody.
+    /// Records whether this replica leads. A new leader does not know which daemons polled other
+    /// replicas earlier, so every daemon gets a full lease from the start of the leadership.
     pub(super) fn note_leadership(&mut self, now: Timestamp, term: Option<Term>) {
         if term != self.leading.map(|(term, _)| term) {
             self.leading = term.map(|term| (term, now));
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Daemons whose lease is over; none unless this replica leads.
+    /// Daemons whose lease has expired; empty unless this replica leads.
     pub(super) fn expired<'a>(
         &self,
         now: Timestamp,
@@ -105,23 +105,24 @@
         let Some((_, since)) = self.leading else {
             return Vec::new();
         };
-        let is_over = |registration: &&Registration| {
+        let has_expired = |registration: &&Registration| {
             let last = self.last_poll(registration).map(|poll| poll.at);
             last.unwrap_or(since).max(since) + lease < now
         };
-        let over = daemons.filter(is_over);
-        over.map(|registration| ExpiredDaemon {
-            daemon: registration.daemon.clone(),
-            incarnation: registration.incarnation,
-        })
-        .collect()
+        let expired = daemons.filter(has_expired);
+        expired
+            .map(|registration| ExpiredDaemon {
+                daemon: registration.daemon.clone(),
+                incarnation: registration.incarnation,
+            })
+            .collect()
     }
 
     fn last_poll(&self, registration: &Registration) -> Option<&LastPoll> {
         self.polls.get(&Incarnation::of(registration))
     }
 
-    /// Bundle in force at a daemon and the time since its last poll, as far as known.
+    /// Version of the bundle in force at a daemon and the time since its last poll, as far as known.
     pub(super) fn status(
         &self,
         now: Timestamp,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Forgets polls that are too old to matter.
+    /// Forgets polls older than `oldest`.
     pub(super) fn forget_before(&mut self, oldest: Timestamp) {
         self.polls.retain(|_, poll| poll.at >= oldest);
     }
--- a/crates/bramblewheel-control/src/node/message.rs
+++ b/crates/bramblewheel-control/src/node/message.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas. All names of fields and variants are the wire.
+//! Messages between replicas. Names of fields and variants are part of the wire format.
 
 use bramblewheel_protocol::control::{Registration, ReplicaAddress};
 use bramblewheel_protocol::routing::TenantUsage;
@@ -9,44 +9,44 @@
 /// First frame of a connection between replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Group of the sender, none before it has one.
+    /// Group of the sender; `None` while it has no group.
     pub group: Option<u64>,
-    /// The sender and where it is reached.
+    /// The sender and its addresses.
     pub from: ReplicaAddress,
-    /// Replica that the sender means to reach; another one at the same address refuses.
+    /// Replica that the sender wants to reach; any other replica at the same address refuses.
     pub to: u64,
 }
 
-/// A message between two replicas of one group. Loss and duplication are allowed.
+/// A message between two replicas of one group. Messages may be lost or duplicated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Replication of the log.
+    /// Log replication.
     Replication(Box<Message>),
-    /// Carries nothing: the [`Hello`] before it names the sender and its addresses.
+    /// Empty; sent so that the connection's [`Hello`] reports the sender's addresses.
     Announcement,
-    /// To the leader: registrations that are new or changed.
+    /// To the leader: new or changed registrations.
     Registrations(Vec<Registration>),
     /// To the leader: daemons that polled the sender since its last such message.
     Renewals(Vec<Renewal>),
-    /// To the leader: what the sender's wall clock shows, in milliseconds since the Unix epoch.
+    /// To the leader: the sender's wall-clock time.
     Clock {
         /// The reading, in milliseconds since the Unix epoch.
         unix_millis: u64,
     },
-    /// From a replica without a group: it may take the place of a lost one.
+    /// From a replica that is in no group: it may replace a lost one.
     SpareOffer(ReplicaAddress),
-    /// To all replicas: requests that the daemons which report to the sender admitted for tenants.
+    /// To all replicas: sums of the requests admitted for tenants by the daemons that report to the sender.
     TenantUsage(Vec<TenantUsage>),
-    /// To the leader: asks for a quorum-checked read.
+    /// To the leader: request for a quorum-checked read.
     ReadRequest {
-        /// Names the answer.
+        /// Id by which the reply is matched.
         id: u64,
     },
-    /// A quorum confirmed the leader after the request came.
+    /// A quorum confirmed the leader after the read request arrived.
     ReadReply {
-        /// The request.
+        /// Id of the request.
         id: u64,
-        /// The state to read from includes this entry.
+        /// Entry that the state must include before it is read.
         index: u64,
     },
 }
@@ -58,6 +58,6 @@
     pub daemon: DaemonId,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Bundle it has in force.
+    /// Version of the bundle it has in force.
     pub bundle_version: BundleVersion,
 }
--- a/crates/bramblewheel-control/src/node/metrics.rs
+++ b/crates/bramblewheel-control/src/node/metrics.rs
@@ -1,8 +1,8 @@
-//! Counts and sizes of a node.
+//! Metrics of a node.
 
 use super::{ControlNode, Now};
 
-/// Counts and sizes for the metrics.
+/// Gauges and counters of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeMetrics {
     /// Whether this replica leads.
@@ -11,31 +11,31 @@
     pub has_quorum: bool,
     /// Current term.
     pub term: u64,
-    /// Last entry applied.
+    /// Index of the last applied entry.
     pub applied_index: u64,
-    /// Entry of the latest snapshot.
+    /// Index of the last entry in the latest snapshot.
     pub snapshot_index: u64,
     /// Bundle version in force.
     pub bundle_version: u64,
-    /// Daemons registered.
+    /// Registered daemons.
     pub daemons: u64,
-    /// Polls held.
+    /// Polls that wait for an update.
     pub polls_held: u64,
-    /// Run-once operations not forgotten.
+    /// Run-once operations in the ledger.
     pub operations_kept: u64,
-    /// Entries proposed here.
+    /// Entries proposed by this replica.
     pub proposals: u64,
-    /// Polls answered here.
+    /// Polls and watches answered by this replica.
     pub polls_answered: u64,
-    /// Bundle deltas computed here.
+    /// Bundle deltas computed by this replica.
     pub bundle_deltas_computed: u64,
     /// Polls answered with a bundle delta.
     pub bundle_deltas_sent: u64,
     /// Polls answered with a whole bundle.
     pub whole_bundles_sent: u64,
-    /// Run-once requests decided by entries proposed here.
+    /// Run-once requests decided by entries that this replica proposed.
     pub operations_decided: u64,
-    /// Spares that offered themselves lately to this leader.
+    /// Spares with a valid offer to this replica.
     pub spares: u64,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl ControlNode {
-    /// Counts and sizes for the metrics.
+    /// Current values of the metrics.
     pub fn metrics(&self, now: Now) -> NodeMetrics {
         NodeMetrics {
             is_leader: self.is_leader(),
--- a/crates/bramblewheel-control/src/node/mod.rs
+++ b/crates/bramblewheel-control/src/node/mod.rs
@@ -1,9 +1,9 @@
-//! A control replica as a pure state machine: the replicated log, the state over it, and the
+//! A control replica as a pure state machine: the replicated log, the state derived from it, and the
 //! requests and polls of clients.
 //!
-//! The driver feeds any number of inputs, then calls [`take_output`](ControlNode::take_output)
-//! until it is empty, carrying each [`NodeOutput`] out as described there. Inputs in between are
-//! batched: one entry and one sync serve them all.
+//! The driver passes any number of inputs, then calls [`take_output`](ControlNode::take_output)
+//! until it is empty and executes each [`NodeOutput`] as described there. Inputs passed between two
+//! outputs are batched: they share one log entry and one sync.
 
 mod applying;
 mod bootstrap;
@@ -53,23 +53,23 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use reads::Reads;
-use renewals::WaitingRenewals;
+use renewals::PendingRenewals;
 use replacement::WaitingClients;
 use spares::Spares;
 use std::collections::BTreeMap;
 use usage::FleetUsage;
 use watches::HeldWatches;
 
-/// Entries in one message between replicas at most; chosen, not measured.
+/// Entries in one message between replicas at most.
 const MAX_ENTRIES_PER_MESSAGE: usize = 256;
 
-/// A control replica without any input or output of its own.
+/// A control replica that does no I/O.
 ///
 /// Invariants:
 /// - a change is reported as done only once it is committed;
-/// - no state is shown to a daemon unless contact with a quorum is proven within the lease, and
-///   none older than the daemon has seen;
-/// - every request gets one reply, unless the node is dropped first.
+/// - a daemon is sent state only while contact with a quorum is proven within the lease, and never
+///   state older than it has already seen;
+/// - every request gets exactly one reply, unless the node is dropped first.
 #[derive(Debug)]
 pub struct ControlNode {
     config: NodeConfig,
@@ -77,8 +77,8 @@
     state: ControlState,
     now: Now,
     is_stopping: bool,
-    /// Whether route tables without signatures are taken.
-    takes_unsigned_tables: bool,
+    /// Whether route tables without signatures are accepted.
+    accepts_unsigned_tables: bool,
     next_id: u64,
     queue: Queue,
     proposals: Proposals,
@@ -87,40 +87,40 @@
     watches: HeldWatches,
     bundle_updates: BundleUpdateCache,
     reads: Reads,
-    renewals: WaitingRenewals,
+    renewals: PendingRenewals,
     usage: FleetUsage,
     leases: Leases,
     clocks: Clocks,
-    /// Leader to which this replica's clock is reported, and its term.
+    /// Leader that this replica has reported its clock to, and its term.
     clock_reported_to: Option<(ReplicaId, u64)>,
     replacement_clients: WaitingClients,
     spares: Spares,
-    /// Addresses that replicas stated when they connected.
-    introduced: BTreeMap<u64, ReplicaAddress>,
+    /// Addresses that replicas reported when they connected.
+    reported_addresses: BTreeMap<u64, ReplicaAddress>,
     /// Registrations to be reported to the leader with the next output.
     unreported_registrations: Vec<Registration>,
     messages: Vec<(ReplicaId, PeerMessage)>,
     replies: Vec<(ClientRequestId, ReplyBody)>,
     bootstrap_write: Option<Write>,
     own_snapshot: Option<Snapshot>,
-    noted_group: Option<u64>,
+    recorded_group: Option<u64>,
     housekeeping_due: Timestamp,
     exchange_due: Timestamp,
     counters: Counters,
 }
 
 impl ControlNode {
-    /// Starts a node from what it had synced.
+    /// Starts a node from the state that it had synced.
     ///
     /// # Errors
-    /// [`MalformedState`] when the snapshot holds no state of this program.
+    /// [`MalformedState`] if the snapshot does not hold a valid state.
     pub fn new(
         config: NodeConfig,
         restored: RestoredState,
         now: Now,
     ) -> Result<Self, MalformedState> {
         let state = restored_state(&restored)?;
-        let introduced = group::addresses_in(&restored.entries);
+        let reported_addresses = group::addresses_in(&restored.entries);
         let next_id = first_id(config.seed);
         let replica = Replica::new(replica_config(&config), restored, now.monotonic);
         let mut node = Self {
@@ -129,7 +129,7 @@
             state,
             now,
             is_stopping: false,
-            takes_unsigned_tables: false,
+            accepts_unsigned_tables: false,
             next_id,
             queue: Queue::default(),
             proposals: Proposals::default(),
@@ -138,20 +138,20 @@
             watches: HeldWatches::default(),
             bundle_updates: BundleUpdateCache::default(),
             reads: Reads::default(),
-            renewals: WaitingRenewals::default(),
+            renewals: PendingRenewals::default(),
             usage: FleetUsage::default(),
             leases: Leases::default(),
             clocks: Clocks::default(),
             clock_reported_to: None,
             replacement_clients: WaitingClients::default(),
             spares: Spares::default(),
-            introduced,
+            reported_addresses,
             unreported_registrations: Vec::new(),
             messages: Vec::new(),
             replies: Vec::new(),
             bootstrap_write: None,
             own_snapshot: None,
-            noted_group: None,
+            recorded_group: None,
             housekeeping_due: now.monotonic,
             exchange_due: now.monotonic,
             counters: Counters::default(),
@@ -160,13 +160,13 @@
         Ok(node)
     }
 
-    /// What the driver must do now. Call until it is empty.
+    /// Returns what the driver must do now. Call until the output is empty.
     pub fn take_output(&mut self, now: Now) -> NodeOutput {
         self.now = now;
         if let Some(write) = self.bootstrap_write.take() {
             return NodeOutput {
                 write,
-                joined_group: self.newly_joined(),
+                joined_group: self.take_joined_group(),
                 replies: std::mem::take(&mut self.replies),
                 ..NodeOutput::default()
             };
@@ -176,9 +176,9 @@
         self.forward_registrations();
         self.forward_reads();
         let output = self.replica.take_output();
-        self.install(output.installed_snapshot);
+        self.install_snapshot(output.installed_snapshot);
         let changes = self.apply(output.committed);
-        self.settle(output.proposals);
+        self.reply_to_proposals(output.proposals);
         self.finish_reads(output.reads);
         self.answer_polls(&changes);
         if changes.routing {
@@ -189,22 +189,22 @@
         NodeOutput {
             write: output.write,
             snapshot: self.own_snapshot.take(),
-            joined_group: self.newly_joined(),
+            joined_group: self.take_joined_group(),
             messages: own.chain(std::mem::take(&mut self.messages)).collect(),
             replies: std::mem::take(&mut self.replies),
         }
     }
 
-    /// What the outputs taken so far asked for is synced.
+    /// Reports that everything in the outputs taken so far is synced.
     pub fn persisted(&mut self, now: Now) {
         self.now = now;
         self.replica.persisted();
         self.compact_if_due();
     }
 
-    /// Lets operators replace the route table without a signature.
-    pub fn take_unsigned_tables(&mut self) {
-        self.takes_unsigned_tables = true;
+    /// Allows operators to replace the route table without a signature.
+    pub fn accept_unsigned_tables(&mut self) {
+        self.accepts_unsigned_tables = true;
     }
 
     fn fresh_id(&mut self) -> u64 {
@@ -228,19 +228,19 @@
         self.replies.push((id, body));
     }
 
-    fn unavailable(&mut self, id: ClientRequestId, why: Unavailable) {
+    fn reply_unavailable(&mut self, id: ClientRequestId, why: Unavailable) {
         self.reply(id, ReplyBody::Unavailable(why));
     }
 
-    fn not_leader(&mut self, id: ClientRequestId) {
+    fn reply_not_leader(&mut self, id: ClientRequestId) {
         let leader = self.replica.leader();
         let leader = leader.filter(|leader| *leader != self.replica.id());
         let address = leader.and_then(|leader| self.member_address(leader));
         let why = Unavailable::NotLeader(address.map(|address| address.service));
-        self.unavailable(id, why);
+        self.reply_unavailable(id, why);
     }
 
-    /// The replicated state as far as it is applied here.
+    /// The replicated state, as far as this replica has applied it.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
@@ -251,17 +251,17 @@
     }
 }
 
-/// State in the snapshot that was synced last; that before the first entry without one.
+/// State in the latest synced snapshot; the state before the first entry if there is no snapshot.
 fn restored_state(restored: &RestoredState) -> Result<ControlState, MalformedState> {
     let data = restored.snapshot.as_ref().map(|s| s.data.as_slice());
     ControlState::decode(data.unwrap_or_default())
 }
 
-/// First number of reads and proposals: another one at each start, so that a late answer to a read
-/// before a restart is not taken for the answer to one after it.
+/// First id of reads and proposals. It differs at each start, so that a late reply to a read from
+/// before a restart is not matched to a read after it.
 fn first_id(seed: u64) -> u64 {
     let drawn: u64 = Pcg64Mcg::seed_from_u64(seed).random();
-    // Half of the numbers are left to count on.
+    // Leaves half of the range for ids to count up.
     drawn >> 1
 }
 
--- a/crates/bramblewheel-control/src/node/output.rs
+++ b/crates/bramblewheel-control/src/node/output.rs
@@ -1,27 +1,27 @@
-//! What a node asks its driver to do.
+//! Outputs of a node for its driver.
 
 use super::message::PeerMessage;
 use bramblewheel_protocol::control::ReplyBody;
 use bramblewheel_replication::{ReplicaId, Snapshot, Write};
 
-/// Names a client's request so that its reply can be matched; the driver never uses one twice.
+/// Identifies a client's request, so that its reply can be matched. The driver must not reuse an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientRequestId(pub u64);
 
-/// What the driver must do, in this order: sync `write` and `snapshot` (see
+/// Work for the driver, in this order: sync `write` and `snapshot` (see
 /// [`Durable`](super::durable::Durable)), call [`persisted`](super::ControlNode::persisted), then
 /// send `messages` and `replies`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeOutput {
-    /// To be synced before anything else here is done.
+    /// Changes of the log that must be synced before anything else in this output is done.
     pub write: Write,
-    /// Own snapshot, to be stored in place of the entries it covers.
+    /// Snapshot made by this replica, to be stored in place of the entries that it covers.
     pub snapshot: Option<Snapshot>,
-    /// Group the replica has joined, to be noted in its identity.
+    /// Group that the replica has joined, to be recorded in its identity.
     pub joined_group: Option<u64>,
-    /// To be sent; may be lost.
+    /// Messages to other replicas; they may be lost.
     pub messages: Vec<(ReplicaId, PeerMessage)>,
-    /// To be given to the clients that still wait.
+    /// Replies to the clients that are still connected.
     pub replies: Vec<(ClientRequestId, ReplyBody)>,
 }
 
--- a/crates/bramblewheel-control/src/node/polls.rs
+++ b/crates/bramblewheel-control/src/node/polls.rs
@@ -11,7 +11,7 @@
     until: Timestamp,
 }
 
-/// Long polls that wait for an update. A change costs as much as the polls it concerns.
+/// Long polls that wait for an update. The cost of a change depends only on the number of polls that it affects.
 #[derive(Debug, Default)]
 pub(super) struct HeldPolls {
     polls: BTreeMap<ClientRequestId, HeldPoll>,
@@ -47,14 +47,14 @@
         Some(request)
     }
 
-    /// Polls that wait for changes of any of the services.
+    /// Polls that wait for a change of any of the services.
     pub(super) fn waiting_for(&self, services: &BTreeSet<ServiceName>) -> Vec<ClientRequestId> {
         let waiting = services.iter().filter_map(|name| self.by_service.get(name));
         let ids: BTreeSet<ClientRequestId> = waiting.flatten().copied().collect();
         ids.into_iter().collect()
     }
 
-    /// Polls whose time is over.
+    /// Polls whose wait is over.
     pub(super) fn due(&self, now: Timestamp) -> Vec<ClientRequestId> {
         let due = self.by_deadline.iter().take_while(|(at, _)| *at <= now);
         due.map(|(_, id)| *id).collect()
--- a/crates/bramblewheel-control/src/node/proposals.rs
+++ b/crates/bramblewheel-control/src/node/proposals.rs
@@ -1,4 +1,4 @@
-//! What a leader is about to propose, and what it has proposed.
+//! Commands that a leader has queued, and proposals that are not decided yet.
 
 use super::output::ClientRequestId;
 use crate::state::{Command, ExpiredDaemon};
@@ -10,25 +10,25 @@
 use bramblewheel_types::DaemonId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Operations in one entry, unless a single request has more; chosen, not measured.
+/// Operations in one entry at most, unless a single request has more.
 const MAX_OPERATIONS_PER_ENTRY: usize = 1024;
-/// Operations that may wait to be committed; chosen, not measured.
+/// Operations queued or proposed but not yet decided, at most.
 const MAX_OPERATIONS_WAITING: usize = 65_536;
 
-/// What a proposal is for.
+/// Purpose of a proposal, with the clients that wait for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
     /// A client's publish.
     Publish(ClientRequestId),
-    /// Clients' operations: how many of each, in order.
+    /// Clients' operations: the number of operations of each client, in order.
     Operations(Vec<(ClientRequestId, usize)>),
-    /// Changes of daemons.
+    /// Registrations and expiries of daemons.
     Directory,
-    /// Another address of a replica.
+    /// New addresses of a replica.
     Address(u64),
     /// A change of the membership.
     Membership,
-    /// Begin or end of a replacement.
+    /// Beginning or end of a replacement.
     Replacement,
     /// A client's replacement of the route table.
     Table(ClientRequestId),
@@ -38,12 +38,12 @@
     Contents(Vec<ClientRequestId>),
 }
 
-/// What is to be proposed with the next output, so that one sync serves it all.
+/// Commands to propose with the next output, batched so that they share one sync.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     publishes: Vec<(ClientRequestId, SignedBundle)>,
     operations: Vec<(ClientRequestId, Vec<OperationRequest>)>,
-    /// How many requests `operations` has.
+    /// Total number of requests in `operations`.
     operation_count: usize,
     registrations: BTreeMap<DaemonId, Registration>,
     expired: BTreeSet<ExpiredDaemon>,
@@ -52,7 +52,7 @@
     tables: Vec<(ClientRequestId, ReplaceTable)>,
     endpoints: Vec<(ClientRequestId, EndpointRecord)>,
     contents: Vec<(ClientRequestId, ContentReport)>,
-    lets_time_pass: bool,
+    advances_log_time: bool,
 }
 
 impl Queue {
@@ -68,16 +68,16 @@
         self.contents.push((id, report));
     }
 
-    /// Brings the time to the log, for what is to be forgotten by it.
-    pub(super) fn let_time_pass(&mut self) {
-        self.lets_time_pass = true;
+    /// Queues an entry that advances log time even if there is no other command, so that quarantines can expire.
+    pub(super) fn advance_log_time(&mut self) {
+        self.advances_log_time = true;
     }
 
     pub(super) fn publish(&mut self, id: ClientRequestId, signed: SignedBundle) {
         self.publishes.push((id, signed));
     }
 
-    pub(super) fn operate(&mut self, id: ClientRequestId, requests: Vec<OperationRequest>) {
+    pub(super) fn add_operations(&mut self, id: ClientRequestId, requests: Vec<OperationRequest>) {
         self.operation_count += requests.len();
         self.operations.push((id, requests));
     }
@@ -91,7 +91,7 @@
         self.expired.insert(expired);
     }
 
-    pub(super) fn move_replica(&mut self, address: ReplicaAddress) {
+    pub(super) fn record_address(&mut self, address: ReplicaAddress) {
         self.addresses.insert(address.replica, address);
     }
 
@@ -107,15 +107,15 @@
         self.replacement.is_some()
     }
 
-    /// Operations that wait to be proposed.
+    /// Number of operations queued.
     pub(super) fn operation_count(&self) -> usize {
         self.operation_count
     }
 
-    /// All that waits, as commands; operations only if `may_operate`.
-    pub(super) fn take(&mut self, may_operate: bool) -> Vec<(Purpose, Command)> {
+    /// Takes the queued commands; operations stay queued unless `include_operations`.
+    pub(super) fn take(&mut self, include_operations: bool) -> Vec<(Purpose, Command)> {
         let mut queue = std::mem::take(self);
-        if !may_operate {
+        if !include_operations {
             self.operations = std::mem::take(&mut queue.operations);
             self.operation_count = queue.operation_count;
         }
@@ -143,7 +143,7 @@
             let (ids, records) = queue.endpoints.into_iter().unzip();
             commands.push((Purpose::Endpoints(ids), Command::Endpoints(records)));
         }
-        if !queue.contents.is_empty() || queue.lets_time_pass {
+        if !queue.contents.is_empty() || queue.advances_log_time {
             let (ids, reports) = queue.contents.into_iter().unzip();
             commands.push((Purpose::Contents(ids), Command::Contents(reports)));
         }
@@ -169,18 +169,18 @@
     commands
 }
 
-/// What was proposed and is not decided.
+/// Proposals that are not decided yet.
 #[derive(Debug, Default)]
 pub(super) struct Proposals {
-    open: BTreeMap<ProposalId, Purpose>,
-    /// Registrations and expiries in `open`, so that they are not proposed again meanwhile.
+    pending: BTreeMap<ProposalId, Purpose>,
+    /// Registrations and expiries in `pending`, so that they are not proposed again meanwhile.
     registrations: BTreeMap<DaemonId, (ProposalId, Registration)>,
     expired: BTreeMap<ExpiredDaemon, ProposalId>,
     operations: usize,
 }
 
 impl Proposals {
-    pub(super) fn opened(&mut self, id: ProposalId, purpose: Purpose, command: &Command) {
+    pub(super) fn add(&mut self, id: ProposalId, purpose: Purpose, command: &Command) {
         match command {
             Command::Operations(requests) => self.operations += requests.len(),
             Command::Directory {
@@ -193,7 +193,7 @@
                         .insert(registration.daemon.clone(), value);
                 }
                 self.expired
-                    .extend(expired.iter().map(|gone| (gone.clone(), id)));
+                    .extend(expired.iter().map(|daemon| (daemon.clone(), id)));
             }
             Command::Publish(_)
             | Command::Address(_)
@@ -203,15 +203,15 @@
             | Command::Endpoints(_)
             | Command::Contents(_) => {}
         }
-        self.open.insert(id, purpose);
+        self.pending.insert(id, purpose);
     }
 
-    pub(super) fn opened_membership(&mut self, id: ProposalId) {
-        self.open.insert(id, Purpose::Membership);
+    pub(super) fn add_membership_change(&mut self, id: ProposalId) {
+        self.pending.insert(id, Purpose::Membership);
     }
 
-    pub(super) fn decided(&mut self, id: ProposalId) -> Option<Purpose> {
-        let purpose = self.open.remove(&id)?;
+    pub(super) fn take_decided(&mut self, id: ProposalId) -> Option<Purpose> {
+        let purpose = self.pending.remove(&id)?;
         match &purpose {
             Purpose::Operations(parts) => {
                 let count: usize = parts.iter().map(|(_, count)| count).sum();
@@ -234,37 +234,37 @@
     }
 
     pub(super) fn is_registering(&self, registration: &Registration) -> bool {
-        let open = self.registrations.get(&registration.daemon);
-        open.is_some_and(|(_, open)| open == registration)
+        let pending = self.registrations.get(&registration.daemon);
+        pending.is_some_and(|(_, pending)| pending == registration)
     }
 
     pub(super) fn is_expiring(&self, expired: &ExpiredDaemon) -> bool {
         self.expired.contains_key(expired)
     }
 
-    pub(super) fn is_moving(&self, replica: u64) -> bool {
-        self.open
+    pub(super) fn is_recording_address(&self, replica: u64) -> bool {
+        self.pending
             .values()
             .any(|purpose| *purpose == Purpose::Address(replica))
     }
 
     pub(super) fn has_membership(&self) -> bool {
-        self.open
+        self.pending
             .values()
             .any(|purpose| *purpose == Purpose::Membership)
     }
 
     pub(super) fn has_replacement(&self) -> bool {
-        self.open
+        self.pending
             .values()
             .any(|purpose| *purpose == Purpose::Replacement)
     }
 
-    pub(super) fn has_room(&self, operations: usize) -> bool {
+    pub(super) fn has_capacity_for(&self, operations: usize) -> bool {
         self.operations + operations <= MAX_OPERATIONS_WAITING
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.pending.is_empty()
     }
 }
--- a/crates/bramblewheel-control/src/node/reading.rs
+++ b/crates/bramblewheel-control/src/node/reading.rs
@@ -1,4 +1,4 @@
-//! Quorum-checked reads: asked of the leader, answered from the own state.
+//! Quorum-checked reads: the leader confirms them, each replica answers from its own state.
 
 use super::ControlNode;
 use super::message::PeerMessage;
@@ -8,11 +8,11 @@
 use bramblewheel_replication::{ReadId, ReadResult, ReplicaId};
 use std::time::Duration;
 
-/// How long a follower waits for the leader; chosen, not measured.
+/// How long a follower waits for the leader's reply to a read request.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl ControlNode {
-    /// Starts a read that is answered once a quorum has confirmed the leader after this moment.
+    /// Starts a read, which is answered after a quorum has confirmed the leader from this time on.
     pub(super) fn start_read(&mut self, reader: Reader) {
         let id = self.fresh_id();
         if self.replica.read(self.now.monotonic, ReadId(id)).is_ok() {
@@ -25,14 +25,14 @@
         }
     }
 
-    /// Asks the leader for one read that serves all that were gathered.
+    /// Sends the leader one read request for all gathered reads.
     pub(super) fn forward_reads(&mut self) {
         let readers = self.reads.take_gathered();
         if readers.is_empty() {
             return;
         }
         if self.is_leader() {
-            // Elected since they came.
+            // This replica was elected after the reads were gathered.
             for reader in readers {
                 self.start_read(reader);
             }
@@ -51,8 +51,8 @@
         self.reads.forward(id, readers, until);
     }
 
-    /// Another replica asks this one as the leader; one that does not lead stays silent.
-    pub(super) fn read_for(&mut self, from: ReplicaId, id: u64) {
+    /// Starts a read for another replica. Does not reply unless this replica leads.
+    pub(super) fn start_read_for_replica(&mut self, from: ReplicaId, id: u64) {
         let read = ReadId(self.fresh_id());
         if self.replica.read(self.now.monotonic, read).is_ok() {
             self.reads.start(read, Reader::Replica { from, id });
@@ -78,8 +78,8 @@
         }
     }
 
-    pub(super) fn fail_late_reads(&mut self) {
-        for reader in self.reads.take_late(self.now.monotonic) {
+    pub(super) fn fail_timed_out_reads(&mut self) {
+        for reader in self.reads.take_timed_out(self.now.monotonic) {
             self.fail_read(reader);
         }
     }
@@ -118,21 +118,21 @@
             | Reader::Table(id)
             | Reader::BundleStatus(id)
             | Reader::Operations(id, _) => {
-                self.no_quorum(id);
+                self.reply_no_quorum(id);
             }
             Reader::Renewals(renewals) => {
-                for renewing in renewals {
-                    // It reports to another replica from now on.
-                    self.usage.forget(&renewing.request);
-                    self.no_quorum(renewing.id);
+                for renewal in renewals {
+                    // The daemon reports to another replica from now on.
+                    self.usage.forget(&renewal.request);
+                    self.reply_no_quorum(renewal.id);
                 }
             }
-            // The other replica gives up by itself.
+            // The read times out at the other replica.
             Reader::Replica { .. } => {}
         }
     }
 
-    pub(super) fn no_quorum(&mut self, id: ClientRequestId) {
-        self.unavailable(id, Unavailable::NoQuorum);
+    pub(super) fn reply_no_quorum(&mut self, id: ClientRequestId) {
+        self.reply_unavailable(id, Unavailable::NoQuorum);
     }
 }
--- a/crates/bramblewheel-control/src/node/reads.rs
+++ b/crates/bramblewheel-control/src/node/reads.rs
@@ -1,51 +1,51 @@
-//! Reads of the state that a quorum must confirm first, asked of the leader.
+//! Pending quorum-checked reads.
 
 use super::output::ClientRequestId;
-use super::renewals::Renewing;
+use super::renewals::PendingRenewal;
 use bramblewheel_protocol::control::{OperationRequest, PollRequest};
 use bramblewheel_protocol::routing::WatchRequest;
 use bramblewheel_replication::{ReadId, ReplicaId};
 use bramblewheel_types::Timestamp;
 use std::collections::BTreeMap;
 
-/// What a read is for.
+/// Origin of a read, with what is needed to answer it.
 #[derive(Debug)]
 pub(super) enum Reader {
-    /// A daemon without a bundle polls.
+    /// Poll of a daemon that has no bundle.
     Poll(ClientRequestId, Box<PollRequest>),
     /// The bundle in force.
     BundleStatus(ClientRequestId),
-    /// A daemon without a route table watches.
+    /// Watch of a daemon that has no route table.
     Watch(ClientRequestId, Box<WatchRequest>),
     /// The route table in force.
     Table(ClientRequestId),
-    /// Daemons renew their leases on the route table.
-    Renewals(Vec<Renewing>),
+    /// Renewals of daemons' leases on the route table.
+    Renewals(Vec<PendingRenewal>),
     /// States of operations.
     Operations(ClientRequestId, Vec<OperationRequest>),
-    /// Another replica asks.
+    /// Read request of another replica.
     Replica {
         /// The replica.
         from: ReplicaId,
-        /// Its name for the read.
+        /// Id that it gave the read.
         id: u64,
     },
 }
 
-/// A read the leader was asked for by this follower, for all that came together.
+/// A read request that this follower sent to the leader, for all reads gathered at the time.
 #[derive(Debug)]
 struct ForwardedRead {
     readers: Vec<Reader>,
     until: Timestamp,
-    /// Entry the state must include, once the leader has answered.
+    /// Entry that the state must include; `None` until the leader has replied.
     index: Option<u64>,
 }
 
-/// Reads that are not answered yet.
+/// Reads that have not been answered yet.
 #[derive(Debug, Default)]
 pub(super) struct Reads {
     own: BTreeMap<ReadId, Reader>,
-    /// To be asked of the leader with the next output.
+    /// Reads for the next request to the leader.
     gathered: Vec<Reader>,
     forwarded: BTreeMap<u64, ForwardedRead>,
 }
@@ -82,18 +82,18 @@
         }
     }
 
-    /// Forwarded reads that can be answered from a state that includes `applied`.
+    /// Takes the forwarded reads that can be answered from a state that includes entry `applied`.
     pub(super) fn take_ready(&mut self, applied: u64) -> Vec<Reader> {
         self.take_forwarded(|read| read.index.is_some_and(|index| index <= applied))
     }
 
-    /// Forwarded reads whose time is over.
-    pub(super) fn take_late(&mut self, now: Timestamp) -> Vec<Reader> {
+    /// Takes the forwarded reads that have timed out.
+    pub(super) fn take_timed_out(&mut self, now: Timestamp) -> Vec<Reader> {
         self.take_forwarded(|read| read.until <= now)
     }
 
-    fn take_forwarded(&mut self, is_it: impl Fn(&ForwardedRead) -> bool) -> Vec<Reader> {
-        let taken = self.forwarded.extract_if(.., |_, read| is_it(read));
+    fn take_forwarded(&mut self, is_selected: impl Fn(&ForwardedRead) -> bool) -> Vec<Reader> {
+        let taken = self.forwarded.extract_if(.., |_, read| is_selected(read));
         taken.flat_map(|(_, read)| read.readers).collect()
     }
 }
--- a/crates/bramblewheel-control/src/node/renewals.rs
+++ b/crates/bramblewheel-control/src/node/renewals.rs
@@ -1,9 +1,9 @@
-//! Leases of daemons on the route table: a quorum confirms which version is the newest. With them
-//! daemons report what they admitted for tenants, and receive the sums.
+//! Leases of daemons on the route table: a quorum confirms the newest version. With each renewal a daemon
+//! reports the requests that it admitted for tenants and receives the sums over all daemons.
 //!
-//! Every daemon asks several times a second, one replica each. The requests of one interval share one
-//! quorum-checked read, and replicas send each other sums only, so that what they exchange does not grow
-//! with the daemons.
+//! Every daemon renews several times a second, at one replica. The renewals of one interval share one
+//! quorum-checked read, and replicas exchange only sums, so that the traffic between them does not grow
+//! with the number of daemons.
 
 use super::ControlNode;
 use super::message::PeerMessage;
@@ -15,43 +15,43 @@
 
 /// A renewal that waits for its answer.
 #[derive(Debug)]
-pub(super) struct Renewing {
+pub(super) struct PendingRenewal {
     pub(super) id: ClientRequestId,
     pub(super) request: Box<RenewRequest>,
 }
 
 /// Renewals that wait for the next read.
 #[derive(Debug, Default)]
-pub(super) struct WaitingRenewals(Vec<Renewing>);
+pub(super) struct PendingRenewals(Vec<PendingRenewal>);
 
 impl ControlNode {
     pub(super) fn on_renew(&mut self, id: ClientRequestId, request: Box<RenewRequest>) {
         self.usage.report(self.now.monotonic, &request);
-        self.renewals.0.push(Renewing { id, request });
+        self.renewals.0.push(PendingRenewal { id, request });
     }
 
-    /// Starts one read for all renewals that have come.
+    /// Starts one read for all pending renewals.
     pub(super) fn confirm_renewals(&mut self) {
         if self.renewals.0.is_empty() {
             return;
         }
         let renewals = std::mem::take(&mut self.renewals.0);
         if self.is_stopping {
-            for renewing in renewals {
-                self.unavailable(renewing.id, Unavailable::Stopping);
+            for renewal in renewals {
+                self.reply_unavailable(renewal.id, Unavailable::Stopping);
             }
             return;
         }
         self.start_read(Reader::Renewals(renewals));
     }
 
-    /// A quorum has confirmed the state that is applied here.
-    pub(super) fn answer_renewals(&mut self, renewals: Vec<Renewing>) {
+    /// Answers renewals from the local state, after a quorum has confirmed it.
+    pub(super) fn answer_renewals(&mut self, renewals: Vec<PendingRenewal>) {
         let now = self.now.monotonic;
         let current = self.state.tables().current();
         let table_version = current.map(|table| table.version).unwrap_or_default();
         let daemons = self.state.directory().daemons().count();
-        for Renewing { id, request } in renewals {
+        for PendingRenewal { id, request } in renewals {
             let reply = RenewReply {
                 table_version,
                 sums: self.usage.sums_for(now, &request.usage),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sends the other replicas the sums of what the daemons that report here admitted.
+    /// Sends the other replicas the sums of the requests admitted by the daemons that report here.
     pub(super) fn report_tenant_usage(&mut self) {
         let Some(sums) = self.usage.sums_to_report(self.now.monotonic) else {
             return;
--- a/crates/bramblewheel-control/src/node/replacement.rs
+++ b/crates/bramblewheel-control/src/node/replacement.rs
@@ -1,12 +1,12 @@
 //! Replacement of a lost replica, one membership change at a time.
 //!
-//! The order is: admit as learner, wait until it has the log, remove the lost replica, promote.
-//! The lost one goes first because until then it counts in the quorum: with the new voter added
-//! to it, a group of three would have to reach three of four, so that a new replica which fails at
-//! once would stop the group.
+//! The steps are: add the new replica as a learner, wait until it has the log, remove the lost replica,
+//! promote the learner. The lost replica is removed before the promotion because it still counts
+//! towards the quorum. With the new voter added first, a group of three would need three of four
+//! voters, so that a failure of the new replica would stop the group.
 //!
-//! What is to be replaced stands in the log, and each step follows from the membership in force,
-//! so that the next leader goes on where the last one stopped.
+//! The replacement is recorded in the log and each step follows from the membership in force, so that
+//! a new leader continues where the previous one stopped.
 
 use super::output::ClientRequestId;
 use super::{ControlNode, group};
@@ -16,11 +16,11 @@
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
-/// How long a client is kept waiting; a later one may ask again and waits on; chosen, not measured.
-const WAIT: Duration = Duration::from_secs(60);
-/// Entries a learner may lack when the lost replica is removed; the promotion has a check of its
-/// own. Chosen, not measured.
-const SMALL_LAG: u64 = 64;
+/// How long a client waits for the replacement. It may then send the same request again and continue to wait.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Entries that the learner may lack when the lost replica is removed. The promotion has its own
+/// check.
+const MAX_LAG_FOR_REMOVAL: u64 = 64;
 
 /// Clients that wait for the end of a replacement.
 #[derive(Debug, Default)]
@@ -36,29 +36,29 @@
 /// Next step of a replacement.
 enum Step {
     Change(MembershipChange),
-    HandOver,
+    TransferLeadership,
     Wait,
     Done,
 }
 
 impl ControlNode {
     pub(super) fn on_replace(&mut self, id: ClientRequestId, request: ReplaceRequest) {
-        if !self.leads_or_refuses(id) {
+        if !self.ensure_leader(id) {
             return;
         }
         if let Err(reason) = self.check_replacement(&request) {
             return self.reply(id, ReplyBody::Rejected(reason));
         }
         if request.lost == self.config.address.replica {
-            // The next leader can remove this one.
+            // A leader can't remove itself; the next leader will.
             let _ = self.replica.transfer_leadership(self.now.monotonic);
-            return self.not_leader(id);
+            return self.reply_not_leader(id);
         }
         let current = self.state.replacement();
         if !current.is_some_and(|current| current.is_requested_by(&request)) {
             self.queue.begin_replacement(request.clone());
         }
-        let until = self.now.monotonic + WAIT;
+        let until = self.now.monotonic + CLIENT_TIMEOUT;
         let client = WaitingClient { id, request, until };
         self.replacement_clients.0.push(client);
     }
@@ -69,7 +69,7 @@
             ReplicaId(request.replacement.replica),
         );
         Replacement::from_request(self.state.replacement(), request)?;
-        // One that is on its way into the log is not in the state yet.
+        // A replacement that was proposed but is not committed yet is not in the state.
         let mut waiting = self.replacement_clients.0.iter();
         if waiting.any(|client| client.request != *request && self.is_undecided(&client.request)) {
             return Err("another replacement is in progress".to_owned());
@@ -81,43 +81,43 @@
         if !is_known {
             return Err(format!("replica {:016x} is not a member", lost.0));
         }
-        let is_taken = |member: ReplicaId| {
+        let has_same_address = |member: ReplicaId| {
             let address = self.member_address(member);
             member != lost
                 && member != new
                 && address.is_some_and(|a| a.peer == request.replacement.peer)
         };
-        if membership.members().any(is_taken) {
+        if membership.members().any(has_same_address) {
             let address = request.replacement.peer;
             return Err(format!("another member has the address {address}"));
         }
         Ok(())
     }
 
-    /// Whether a request that was accepted here is neither in the state nor carried out.
+    /// Whether a request accepted by this replica is not in the state yet.
     fn is_undecided(&self, request: &ReplaceRequest) -> bool {
         let current = self.state.replacement();
-        let is_begun = current.is_some_and(|current| current.is_requested_by(request));
-        !is_begun && (self.queue.has_replacement() || self.proposals.has_replacement())
+        let has_begun = current.is_some_and(|current| current.is_requested_by(request));
+        !has_begun && (self.queue.has_replacement() || self.proposals.has_replacement())
     }
 
     /// Takes the next step of the replacement in progress, if there is one.
     pub(super) fn advance_replacement(&mut self) {
         if !self.is_leader() {
             for client in std::mem::take(&mut self.replacement_clients.0) {
-                self.unavailable(client.id, Unavailable::Undecided);
+                self.reply_unavailable(client.id, Unavailable::Undecided);
             }
             return;
         }
-        if self.knows_all_before_its_term() {
+        if self.has_applied_earlier_terms() {
             self.take_replacement_step();
         }
         self.answer_replacement_clients();
     }
 
-    /// Whether all that was committed before this leader's term is applied, so that the state
-    /// shows no replacement that has ended or changed since.
-    pub(super) fn knows_all_before_its_term(&self) -> bool {
+    /// Whether everything committed before this leader's term is applied. Otherwise the state may
+    /// show a replacement that has since ended or changed.
+    pub(super) fn has_applied_earlier_terms(&self) -> bool {
         self.state.position().term == self.replica.term().0
     }
 
@@ -129,8 +129,8 @@
         let new = current.new_replica().replica;
         match self.next_step(current) {
             Step::Change(change) => self.change_membership(change),
-            Step::HandOver => {
-                // Refused while nobody can take over: tried again with the next step.
+            Step::TransferLeadership => {
+                // Refused while no follower can take over; retried with the next step.
                 let _ = self.replica.transfer_leadership(self.now.monotonic);
             }
             Step::Done => self.queue.end_replacement(new),
@@ -145,7 +145,7 @@
             return Step::Wait;
         }
         if current.lost().contains(&self.replica.id().0) {
-            return Step::HandOver;
+            return Step::TransferLeadership;
         }
         if !membership.contains(new) {
             return Step::Change(MembershipChange::AddLearner {
@@ -155,7 +155,7 @@
         }
         let mut lost = current.lost().iter().map(|lost| ReplicaId(*lost));
         if let Some(lost) = lost.find(|lost| membership.contains(*lost)) {
-            return if self.lag_of(new) <= SMALL_LAG {
+            return if self.lag_of(new) <= MAX_LAG_FOR_REMOVAL {
                 Step::Change(MembershipChange::Remove(lost))
             } else {
                 Step::Wait
@@ -164,7 +164,7 @@
         if membership.learners.contains(&new) {
             return Step::Change(MembershipChange::PromoteLearner(new));
         }
-        // Finished only once it has all there is, its own promotion included.
+        // Finished once the new replica has all committed entries, including its own promotion.
         if self.lag_of(new) == 0 {
             Step::Done
         } else {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Entries committed that a member is not known to have synced.
+    /// Number of committed entries that a member is not known to have synced.
     fn lag_of(&self, member: ReplicaId) -> u64 {
         if member == self.replica.id() {
             return 0;
@@ -185,16 +185,17 @@
         committed.0.saturating_sub(synced.0)
     }
 
-    /// A change that is refused now, such as of a learner that is behind, is tried again.
+    /// Proposes a membership change. A refused change, such as the promotion of a learner that is
+    /// behind, is retried with the next step.
     fn change_membership(&mut self, change: MembershipChange) {
         let id = self.fresh_proposal();
         let now = self.now.monotonic;
         if self.replica.propose_membership(now, id, change).is_ok() {
-            self.proposals.opened_membership(id);
+            self.proposals.add_membership_change(id);
         }
     }
 
-    /// Answers the clients whose replacement has ended, and those that have waited long.
+    /// Answers the clients whose replacement has ended or whose wait is over.
     fn answer_replacement_clients(&mut self) {
         let is_changing = self.queue.has_replacement() || self.proposals.has_replacement();
         for client in std::mem::take(&mut self.replacement_clients.0) {
@@ -202,31 +203,31 @@
             let is_current =
                 current.is_some_and(|current| current.is_requested_by(&client.request));
             if !is_current && !is_changing {
-                let reply = self.end_of(&client.request);
+                let reply = self.reply_to_ended(&client.request);
                 self.reply(client.id, reply);
             } else if client.until <= self.now.monotonic {
-                self.unavailable(client.id, Unavailable::Undecided);
+                self.reply_unavailable(client.id, Unavailable::Undecided);
             } else {
                 self.replacement_clients.0.push(client);
             }
         }
     }
 
-    /// An entry that begins or ends a replacement may not be in the log: who waits for its begin
-    /// must ask again.
+    /// Handles an entry that begins or ends a replacement and may not have been committed. Clients
+    /// whose replacement is not in the state must send the request again.
     pub(super) fn replacement_undecided(&mut self) {
         for client in std::mem::take(&mut self.replacement_clients.0) {
             let current = self.state.replacement();
             if current.is_some_and(|current| current.is_requested_by(&client.request)) {
                 self.replacement_clients.0.push(client);
             } else {
-                self.unavailable(client.id, Unavailable::Undecided);
+                self.reply_unavailable(client.id, Unavailable::Undecided);
             }
         }
     }
 
-    /// What became of a request that is not in progress any more.
-    fn end_of(&self, request: &ReplaceRequest) -> ReplyBody {
+    /// Reply to a request whose replacement is no longer in progress.
+    fn reply_to_ended(&self, request: &ReplaceRequest) -> ReplyBody {
         let membership = self.replica.membership();
         let new = ReplicaId(request.replacement.replica);
         let is_in_place = membership.voters.contains(&new);
--- a/crates/bramblewheel-control/src/node/requests.rs
+++ b/crates/bramblewheel-control/src/node/requests.rs
@@ -11,11 +11,11 @@
 use bramblewheel_protocol::routing::{ContentReport, EndpointRecord, ReplaceTable};
 use bramblewheel_types::Millis;
 
-/// Operations in one request at most; chosen, not measured.
+/// Operations in one request at most.
 const MAX_OPERATIONS: usize = 4096;
 
 impl ControlNode {
-    /// Takes in a client's request; a later output holds the reply.
+    /// Handles a client's request. A later output holds the reply.
     pub fn request(&mut self, now: Now, id: ClientRequestId, body: RequestBody) {
         self.now = now;
         match body {
@@ -23,10 +23,10 @@
                 let status = self.group_status(now);
                 self.reply(id, ReplyBody::GroupStatus(status));
             }
-            _ if self.is_stopping => self.unavailable(id, Unavailable::Stopping),
+            _ if self.is_stopping => self.reply_unavailable(id, Unavailable::Stopping),
             RequestBody::Bootstrap(request) => self.on_bootstrap(id, request),
             _ if self.state.group().is_none() => {
-                self.unavailable(id, Unavailable::Uninitialized);
+                self.reply_unavailable(id, Unavailable::Uninitialized);
             }
             RequestBody::Poll(poll) => self.on_poll(id, *poll),
             RequestBody::Operations(requests) => self.on_operations(id, requests),
@@ -43,25 +43,25 @@
         }
     }
 
-    /// Whether this replica leads; otherwise answers the client with the leader's address.
-    pub(super) fn leads_or_refuses(&mut self, id: ClientRequestId) -> bool {
+    /// Returns whether this replica leads. If not, refuses the request with the leader's address.
+    pub(super) fn ensure_leader(&mut self, id: ClientRequestId) -> bool {
         if self.is_leader() {
             return true;
         }
-        // A leader that had contact lately is a better answer than the lack of an own proof.
+        // A leader known from recent contact is a more useful answer than "no quorum".
         if self.replica.leader().is_some() || self.has_quorum() {
-            self.not_leader(id);
+            self.reply_not_leader(id);
         } else {
-            self.unavailable(id, Unavailable::NoQuorum);
+            self.reply_unavailable(id, Unavailable::NoQuorum);
         }
         false
     }
 
     fn on_publish(&mut self, id: ClientRequestId, signed: SignedBundle) {
-        if !self.leads_or_refuses(id) {
+        if !self.ensure_leader(id) {
             return;
         }
-        // What can never become another answer needs no entry.
+        // A final reply needs no log entry.
         if let Some(reply) = self.state.bundles().final_reply(&signed) {
             return self.reply(id, ReplyBody::Publish(reply));
         }
@@ -76,11 +76,11 @@
     }
 
     fn on_replace_table(&mut self, id: ClientRequestId, request: ReplaceTable) {
-        if !self.takes_unsigned_tables {
+        if !self.accepts_unsigned_tables {
             let reason = "this group takes signed bundles only".to_owned();
             return self.reply(id, ReplyBody::Rejected(reason));
         }
-        if !self.leads_or_refuses(id) {
+        if !self.ensure_leader(id) {
             return;
         }
         if let Some(reply) = self.state.tables().final_reply(&request) {
@@ -89,9 +89,10 @@
         self.queue.replace_table(id, request);
     }
 
-    /// The check comes before the log, so that replicas of all versions apply an entry alike.
+    /// Checks the registration before it is logged, so that replicas of all program versions apply an
+    /// entry in the same way.
     fn on_register_endpoint(&mut self, id: ClientRequestId, record: EndpointRecord) {
-        if !self.leads_or_refuses(id) {
+        if !self.ensure_leader(id) {
             return;
         }
         if let Some(daemon) = self.state.registry().conflicting_daemon(&record) {
@@ -108,7 +109,7 @@
     }
 
     fn on_report_contents(&mut self, id: ClientRequestId, report: ContentReport) {
-        if self.leads_or_refuses(id) {
+        if self.ensure_leader(id) {
             self.queue.report_content(id, report);
         }
     }
@@ -118,29 +119,29 @@
             let reason = format!("more than {MAX_OPERATIONS} operations in one request");
             return self.reply(id, ReplyBody::Rejected(reason));
         }
-        if !self.leads_or_refuses(id) {
+        if !self.ensure_leader(id) {
             return;
         }
-        let only_asks = |request: &OperationRequest| request.action == OperationAction::Status;
-        if requests.iter().all(only_asks) {
+        let is_status = |request: &OperationRequest| request.action == OperationAction::Status;
+        if requests.iter().all(is_status) {
             self.start_read(Reader::Operations(id, requests));
         } else if self
             .proposals
-            .has_room(self.queue.operation_count() + requests.len())
+            .has_capacity_for(self.queue.operation_count() + requests.len())
         {
-            self.queue.operate(id, requests);
+            self.queue.add_operations(id, requests);
         } else {
-            self.all_undecided(id, requests.len());
+            self.reply_all_undecided(id, requests.len());
         }
     }
 
-    /// Only the leader knows of every daemon's last poll.
+    /// Answered by the leader only, since it alone knows the last poll of every daemon.
     fn on_fleet_status(&mut self, id: ClientRequestId) {
-        if !self.leads_or_refuses(id) {
+        if !self.ensure_leader(id) {
             return;
         }
         if !self.has_quorum() {
-            return self.unavailable(id, Unavailable::NoQuorum);
+            return self.reply_unavailable(id, Unavailable::NoQuorum);
         }
         let now = self.now.monotonic;
         let daemons = self.state.directory().daemons();
--- a/crates/bramblewheel-control/src/node/spares.rs
+++ b/crates/bramblewheel-control/src/node/spares.rs
@@ -1,11 +1,10 @@
-//! Replacement of a silent voter by a spare replica, without an operator.
+//! Automatic replacement of a silent voter by a spare replica.
 //!
-//! A voter whose machine lost its disk comes back under another identity at its old address. Its
-//! report of the new identity is the proof that the old one is gone, so that it replaces the old one
-//! without a wait.
+//! A voter whose machine lost its disk returns at its old address under a new identity. Its offer under
+//! the new identity proves that the old one is lost, so it replaces the old one immediately.
 //!
-//! Owns the offers of spares and the last contact with each replica. Relies on `replacement` to carry a
-//! replacement out.
+//! Decides by the offers of spares and the last contact with each replica; `replacement` executes the
+//! replacement.
 
 use super::message::PeerMessage;
 use super::{ControlNode, Now};
@@ -15,39 +14,39 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Age up to which an offer counts. The driver makes one every 5 to 10 s. Chosen, not measured.
+/// Age up to which an offer is valid. The driver makes one every 5 to 10 s.
 const OFFER_LIFETIME: Duration = Duration::from_secs(30);
-/// Silence up to which a voter counts as in contact. Followers answer every heartbeat. Chosen, not measured.
-const CONTACT: Duration = Duration::from_secs(3);
+/// Silence up to which a voter counts as in contact. Followers answer every heartbeat.
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Stands for no replica in a replacement that only adds one.
-const NOBODY: u64 = 0;
+/// Id for "no replica", used as the lost replica of a replacement that only adds one.
+const NO_REPLICA: u64 = 0;
 
 /// When a silent voter is replaced by a spare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SparePolicy {
-    /// Silence after which a voter is taken for lost, counted by one leader without a break.
+    /// Silence after which a voter counts as lost, observed by one leader without interruption.
     pub silence: Duration,
-    /// Least time from the begin of any replacement to the next one by a spare.
+    /// Least time from the beginning of any replacement to the next automatic one.
     pub period: Duration,
-    /// Voters that the group should have: spares are made voters until it has them.
+    /// Number of voters that the group should have; spares are added until it is reached.
     pub voters: usize,
 }
 
-/// What a leader knows of spares and of silent voters.
+/// Offers of spares and contact with replicas, as seen by a leader.
 #[derive(Debug, Default)]
 pub(super) struct Spares {
     policy: Option<SparePolicy>,
     offers: BTreeMap<ReplicaId, (ReplicaAddress, Timestamp)>,
-    /// Last message of each replica.
+    /// Time of the last message of each replica.
     last_contact: BTreeMap<ReplicaId, Timestamp>,
-    /// Term in which this replica leads, and since when.
+    /// Term in which this replica leads, and the time at which it began.
     leading: Option<(Term, Timestamp)>,
 }
 
 impl Spares {
-    /// Whether lost voters must be made up for within seconds.
-    pub(super) fn is_urgent(&self) -> bool {
+    /// Whether lost voters must be replaced within seconds.
+    pub(super) fn needs_fast_repair(&self) -> bool {
         self.policy.is_some_and(|policy| policy.period.is_zero())
     }
 
@@ -55,21 +54,21 @@
         self.last_contact.insert(replica, now);
     }
 
-    pub(super) fn offered(&mut self, address: ReplicaAddress, now: Timestamp) {
+    pub(super) fn record_offer(&mut self, address: ReplicaAddress, now: Timestamp) {
         let replica = ReplicaId(address.replica);
         self.offers
             .retain(|_, (_, at)| now.since(*at) <= OFFER_LIFETIME);
         self.offers.insert(replica, (address, now));
     }
 
-    /// Silence before this replica led does not count.
+    /// Records whether this replica leads. Silence before its leadership does not count.
     pub(super) fn note_leadership(&mut self, now: Timestamp, term: Option<Term>) {
         if self.leading.map(|(term, _)| term) != term {
             self.leading = term.map(|term| (term, now));
         }
     }
 
-    /// How long a replica has been silent towards this leader.
+    /// Time since the last message of a replica, or since this replica became leader if that is later.
     fn silence_of(&self, replica: ReplicaId, now: Timestamp) -> Duration {
         let contact = self.last_contact.get(&replica).copied();
         let since = self.leading.map(|(_, since)| since);
@@ -77,7 +76,7 @@
         last.map_or(Duration::ZERO, |last| now.since(last))
     }
 
-    /// Spares that offered themselves lately.
+    /// Spares whose latest offer is still valid.
     pub(super) fn fresh_offers(&self, now: Timestamp) -> impl Iterator<Item = &ReplicaAddress> {
         let offers = self.offers.values();
         let fresh = offers.filter(move |(_, at)| now.since(*at) <= OFFER_LIFETIME);
@@ -86,13 +85,13 @@
 }
 
 impl ControlNode {
-    /// Lets this replica, when it leads, replace a silent voter by a spare.
+    /// Enables replacement of silent voters by spares while this replica leads.
     pub fn replace_silent_voters(&mut self, policy: SparePolicy) {
         self.spares.policy = Some(policy);
     }
 
-    /// Offers this replica as a spare to the voters of a group that it is not among: because it
-    /// never was, or because it was replaced while it was away. Call every few seconds.
+    /// Offers this replica as a spare to the voters of a group that it does not belong to, because it
+    /// never joined or because it was replaced while it was down. Call every few seconds.
     pub fn offer_as_spare(&mut self, now: Now, members: Vec<ReplicaAddress>) {
         self.now = now;
         let own = self.replica.id().0;
@@ -103,17 +102,19 @@
         for member in members {
             let offer = PeerMessage::SpareOffer(self.config.address.clone());
             self.messages.push((ReplicaId(member.replica), offer));
-            self.introduced.insert(member.replica, member);
+            self.reported_addresses.insert(member.replica, member);
         }
     }
 
-    /// Begins a replacement if the policy asks for one.
-    pub(super) fn consider_spare(&mut self) {
+    /// Begins a replacement if the policy requires one.
+    pub(super) fn use_spare_if_due(&mut self) {
         let Some(policy) = self.spares.policy.filter(|_| self.may_begin_replacement()) else {
             return;
         };
-        let urgent = self.reborn_voter().or_else(|| self.growth(policy.voters));
-        if let Some(request) = urgent {
+        let immediate = self
+            .request_for_reset_voter()
+            .or_else(|| self.request_for_missing_voter(policy.voters));
+        if let Some(request) = immediate {
             return self.queue.begin_replacement(request);
         }
         let begun = self.state.replacement_begun_unix_millis();
@@ -138,32 +139,32 @@
         self.queue.begin_replacement(request);
     }
 
-    /// A voter whose address now belongs to a spare that offers itself: it came back without its
-    /// disk.
-    fn reborn_voter(&self) -> Option<ReplaceRequest> {
+    /// Request to replace a voter whose address now belongs to a spare: its machine returned without
+    /// its disk.
+    fn request_for_reset_voter(&self) -> Option<ReplaceRequest> {
         let membership = self.replica.membership();
         let own = self.replica.id();
-        let takes_over = |spare: &ReplicaAddress, voter: ReplicaId| {
+        let has_address_of = |spare: &ReplicaAddress, voter: ReplicaId| {
             let address = self.recorded_address(voter);
             voter != own && address.is_some_and(|address| address.peer == spare.peer)
         };
-        let reborn = self
+        let reset_voter = self
             .spares
             .fresh_offers(self.now.monotonic)
             .find_map(|spare| {
                 let is_new = !membership.contains(ReplicaId(spare.replica));
                 let mut voters = membership.voters.iter().copied();
-                let lost = voters.find(|voter| is_new && takes_over(spare, *voter))?;
+                let lost = voters.find(|voter| is_new && has_address_of(spare, *voter))?;
                 Some((lost, spare.clone()))
             });
-        reborn.map(|(lost, replacement)| ReplaceRequest {
+        reset_voter.map(|(lost, replacement)| ReplaceRequest {
             lost: lost.0,
             replacement,
         })
     }
 
-    /// One more voter, as long as there are fewer than there should be. It takes nobody's place.
-    fn growth(&self, voters: usize) -> Option<ReplaceRequest> {
+    /// Request to add a voter without removing one, if the group has fewer than `voters`.
+    fn request_for_missing_voter(&self, voters: usize) -> Option<ReplaceRequest> {
         let membership = self.replica.membership();
         if membership.voters.len() >= voters {
             return None;
@@ -172,7 +173,7 @@
         let mut spares = self.spares.fresh_offers(self.now.monotonic);
         let spare = spares.find(is_new)?;
         Some(ReplaceRequest {
-            lost: NOBODY,
+            lost: NO_REPLICA,
             replacement: spare.clone(),
         })
     }
@@ -184,19 +185,19 @@
         let membership = self.replica.membership();
         !is_busy
             && self.has_quorum()
-            && self.knows_all_before_its_term()
+            && self.has_applied_earlier_terms()
             && self.replica.membership_is_committed()
             && membership.learners.is_empty()
     }
 
-    /// The voter that has been silent for long, if all the others are in contact. Two that are
-    /// silent are more likely cut off than lost.
+    /// The voter that has been silent for `silence`, if all other voters are in contact. Several silent
+    /// voters are more likely cut off than lost.
     fn only_silent_voter(&self, silence: Duration) -> Option<ReplicaId> {
         let own = self.replica.id();
         let now = self.now.monotonic;
         let voters = self.replica.membership().voters.iter();
         let others = voters.copied().filter(|voter| *voter != own);
-        let contact = CONTACT.min(silence);
+        let contact = CONTACT_TIMEOUT.min(silence);
         let mut silent = others.filter(|voter| self.spares.silence_of(*voter, now) > contact);
         let lost = silent.next()?;
         let is_only = silent.next().is_none();
--- a/crates/bramblewheel-control/src/node/usage.rs
+++ b/crates/bramblewheel-control/src/node/usage.rs
@@ -1,9 +1,8 @@
-//! Requests that all daemons together admitted for each tenant, as one replica knows them.
+//! One replica's view of the requests that all daemons together admitted for each tenant.
 //!
-//! A daemon reports to one replica, and replicas send each other the sums of their reports. Every replica
-//! so knows the sums of all, and the loss of one, be it the leader, leaves the daemons of the others
-//! undisturbed. Each report counts what its daemon admitted within the whole window: it needs no earlier one.
-//! Kept in memory only.
+//! Each daemon reports to one replica, and replicas exchange the sums of their reports. Every replica thus
+//! knows the total, and the loss of one replica, even of the leader, does not affect the daemons of the others.
+//! Each report covers the whole quota window, so it does not depend on earlier reports. Nothing is persisted.
 
 use bramblewheel_protocol::routing::{RenewRequest, TenantUsage};
 use bramblewheel_replication::ReplicaId;
@@ -11,19 +10,18 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Time for which the report of an ended run of a daemon counts: as long as the longest window of a
-/// quota, in which what it admitted may run.
+/// How long the report of a daemon process that has ended counts. Equal to the longest quota window, since
+/// requests that it admitted may still be running during that time.
 const REPORT_LIFETIME: Duration = Duration::from_secs(5);
-/// Age of a report from which on its daemon counts as asked for nothing; chosen, not measured.
+/// Age of a report above which its daemon counts as receiving no requests.
 const RATE_LIFETIME: Duration = Duration::from_secs(1);
-/// Age from which on the sums of another replica don't count: its daemons report elsewhere by then.
-/// Chosen, not measured.
+/// Age above which the sums of another replica are ignored, since its daemons report to other replicas by then.
 const REPLICA_LIFETIME: Duration = Duration::from_secs(1);
-/// Time from a replica's first report until it knows the sums: daemons that reported to another one
-/// report here by then, and all other replicas have sent their sums. Chosen, not measured.
+/// Time from a replica's first report until its sums are complete. By then daemons that reported to a lost
+/// replica report here, and all other replicas have sent their sums.
 const COMPLETE_AFTER: Duration = Duration::from_millis(600);
 
-/// One run of a daemon's process: what an earlier run admitted still counts.
+/// One process of a daemon. Requests admitted by its earlier processes still count.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Reporter {
     daemon: DaemonId,
@@ -53,15 +51,15 @@
 pub struct FleetUsage {
     reports: BTreeMap<Reporter, Report>,
     replicas: BTreeMap<ReplicaId, Report>,
-    /// Sums over the daemons that report here, as sent last.
+    /// Sums over the daemons that report to this replica, as last sent to the other replicas.
     own: Sums,
-    begun: Option<Timestamp>,
+    first_report_at: Option<Timestamp>,
 }
 
 impl FleetUsage {
-    /// Takes a daemon's report.
+    /// Records a daemon's report.
     pub fn report(&mut self, now: Timestamp, request: &RenewRequest) {
-        self.begun.get_or_insert(now);
+        self.first_report_at.get_or_insert(now);
         let report = Report {
             at: now,
             usage: request.usage.clone(),
@@ -69,12 +67,12 @@
         self.reports.insert(Reporter::of(request), report);
     }
 
-    /// Forgets the report of a daemon that is sent to another replica.
+    /// Drops the report of a daemon that has been referred to another replica.
     pub fn forget(&mut self, request: &RenewRequest) {
         self.reports.remove(&Reporter::of(request));
     }
 
-    /// Takes the sums of another replica.
+    /// Records the sums of another replica.
     pub fn report_of_replica(
         &mut self,
         now: Timestamp,
@@ -84,23 +82,24 @@
         self.replicas.insert(replica, Report { at: now, usage });
     }
 
-    /// Sums over the daemons that report here, for the other replicas; none where nobody reports.
+    /// Sums over the daemons that report to this replica, to be sent to the other replicas; `None` if
+    /// no daemon reports here.
     pub fn sums_to_report(&mut self, now: Timestamp) -> Option<Vec<TenantUsage>> {
         if self.reports.is_empty() {
             return None;
         }
-        self.sum_up(now);
+        self.update_own_sums(now);
         Some(self.own.values().copied().collect())
     }
 
-    /// Sums over all daemons for the tenants of a report; none while not every daemon can have reported.
-    pub fn sums_for(&self, now: Timestamp, asked: &[TenantUsage]) -> Option<Vec<TenantUsage>> {
-        if now.since(self.begun?) < COMPLETE_AFTER {
+    /// Sums over all daemons for the tenants of a report; `None` until every daemon has had time to report.
+    pub fn sums_for(&self, now: Timestamp, report: &[TenantUsage]) -> Option<Vec<TenantUsage>> {
+        if now.since(self.first_report_at?) < COMPLETE_AFTER {
             return None;
         }
-        let mut sums: Sums = asked
+        let mut sums: Sums = report
             .iter()
-            .map(|own| (own.tenant, empty(own.tenant)))
+            .map(|usage| (usage.tenant, zero_usage(usage.tenant)))
             .collect();
         let add = |sums: &mut Sums, usage: &TenantUsage| {
             if let Some(sum) = sums.get_mut(&usage.tenant) {
@@ -110,8 +109,8 @@
         for usage in self.own.values() {
             add(&mut sums, usage);
         }
-        let is_there = |report: &&Report| now.since(report.at) <= REPLICA_LIFETIME;
-        for report in self.replicas.values().filter(is_there) {
+        let is_fresh = |report: &&Report| now.since(report.at) <= REPLICA_LIFETIME;
+        for report in self.replicas.values().filter(is_fresh) {
             for usage in &report.usage {
                 add(&mut sums, usage);
             }
@@ -119,7 +118,7 @@
         Some(sums.into_values().collect())
     }
 
-    fn sum_up(&mut self, now: Timestamp) {
+    fn update_own_sums(&mut self, now: Timestamp) {
         self.reports
             .retain(|_, report| now.since(report.at) <= REPORT_LIFETIME);
         self.own.clear();
@@ -131,13 +130,14 @@
                     counted.asked = 0;
                 }
                 let sum = self.own.entry(usage.tenant);
-                sum.or_insert_with(|| empty(usage.tenant)).add(&counted);
+                sum.or_insert_with(|| zero_usage(usage.tenant))
+                    .add(&counted);
             }
         }
     }
 }
 
-fn empty(tenant: u64) -> TenantUsage {
+fn zero_usage(tenant: u64) -> TenantUsage {
     TenantUsage {
         tenant,
         ..TenantUsage::default()
--- a/crates/bramblewheel-control/src/node/watches.rs
+++ b/crates/bramblewheel-control/src/node/watches.rs
@@ -1,8 +1,8 @@
-//! Watches of daemons: updates of the route table, the registered endpoints and the quarantine, sent at
-//! commit.
+//! Watches of daemons: updates of the route table, the registered endpoints and the quarantine, sent as soon
+//! as a change is committed.
 //!
-//! Owns the watches that are held. Relies on `leases` for the time of each and on the caller to answer
-//! them after a change.
+//! Watches without an update are held; the caller must answer them after a change. Each watch renews the
+//! daemon's lease.
 
 use super::ControlNode;
 use super::message::Renewal;
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Watches that wait for an update, with the end of their wait.
+/// Watches that wait for an update, with the time at which their wait ends.
 #[derive(Debug, Default)]
 pub(super) struct HeldWatches(BTreeMap<ClientRequestId, (WatchRequest, Timestamp)>);
 
@@ -31,8 +31,8 @@
         std::mem::take(&mut self.0).into_keys().collect()
     }
 
-    fn ids(&self, is_it: impl Fn(Timestamp) -> bool) -> Vec<ClientRequestId> {
-        let due = self.0.iter().filter(|(_, (_, until))| is_it(*until));
+    fn ids(&self, is_due: impl Fn(Timestamp) -> bool) -> Vec<ClientRequestId> {
+        let due = self.0.iter().filter(|(_, (_, until))| is_due(*until));
         due.map(|(id, _)| *id).collect()
     }
 }
@@ -40,7 +40,7 @@
 impl ControlNode {
     pub(super) fn on_watch(&mut self, id: ClientRequestId, watch: WatchRequest) {
         if !self.may_answer_watch(&watch) {
-            return self.no_quorum(id);
+            return self.reply_no_quorum(id);
         }
         self.leases.renew(
             self.now.monotonic,
@@ -50,22 +50,23 @@
                 bundle_version: BundleVersion::default(),
             },
         );
-        self.note_registration(&watch.registration);
+        self.queue_registration(&watch.registration);
         if watch.table_version == TableVersion::default() {
-            // It holds nothing that would show an old answer to be old.
+            // The daemon has no version by which it could detect a stale answer.
             return self.start_read(Reader::Watch(id, Box::new(watch)));
         }
         self.answer_or_hold_watch(id, watch);
     }
 
-    /// Whether this replica is neither cut off nor behind what the daemon has seen.
+    /// Whether this replica has contact with a quorum and is not behind the state that the daemon has
+    /// seen.
     fn may_answer_watch(&self, watch: &WatchRequest) -> bool {
         self.has_quorum() && self.state.position().index >= watch.position.index
     }
 
     pub(super) fn answer_or_hold_watch(&mut self, id: ClientRequestId, watch: WatchRequest) {
         if self.is_stopping {
-            return self.unavailable(id, Unavailable::Stopping);
+            return self.reply_unavailable(id, Unavailable::Stopping);
         }
         let has_table = self
             .state
@@ -87,8 +88,8 @@
         self.answer_watches_until(|_| true);
     }
 
-    /// Answers the watches whose wait is over; all of them once contact with a quorum is lost, so
-    /// that their daemons ask elsewhere.
+    /// Answers the watches whose wait is over. Once contact with a quorum is lost, answers all of them,
+    /// so that their daemons turn to another replica.
     pub(super) fn answer_due_watches(&mut self) {
         let now = self.now.monotonic;
         let is_cut_off = !self.has_quorum();
@@ -103,7 +104,8 @@
         }
     }
 
-    /// The whole list where the daemon holds another one: it is short, and mostly empty.
+    /// The quarantine list, if it is newer than the daemon's. It is sent whole, since it is short and
+    /// usually empty.
     fn quarantine_update(&self, watch: &WatchRequest) -> Option<QuarantineList> {
         let quarantine = self.state.quarantine();
         let is_update = quarantine.revision() > watch.quarantine_revision;
@@ -112,7 +114,7 @@
 
     fn answer_watch(&mut self, id: ClientRequestId, watch: &WatchRequest) {
         if !self.may_answer_watch(watch) {
-            return self.no_quorum(id);
+            return self.reply_no_quorum(id);
         }
         let registry = self.state.registry();
         let daemons = self.state.directory().daemons().count();
--- a/crates/bramblewheel-control/src/server/node_thread.rs
+++ b/crates/bramblewheel-control/src/server/node_thread.rs
@@ -149,7 +149,7 @@
             }
             Input::Closed(connection) => {
                 for id in clients.close(connection) {
-                    self.node.forget(id);
+                    self.node.cancel(id);
                 }
             }
             Input::Inspect(answer) => {
--- a/crates/bramblewheel-control/src/server/start.rs
+++ b/crates/bramblewheel-control/src/server/start.rs
@@ -164,7 +164,7 @@
     }
     if settings.formation.unsigned_tables {
         slog::warn!(log, "route tables are taken without signatures"; "key" => "unsigned_tables");
-        node.take_unsigned_tables();
+        node.accept_unsigned_tables();
     }
     slog::info!(log, "replica opened"; "replica" => format!("{:016x}", own.0),
         "group" => durable.identity().group.map(|group| format!("{group:016x}")),
--- a/crates/bramblewheel-control/tests/support/cluster.rs
+++ b/crates/bramblewheel-control/tests/support/cluster.rs
@@ -131,7 +131,7 @@
         cluster.takes_unsigned_tables = true;
         let voters: Vec<_> = (0..founders).map(|m| cluster.address(m)).collect();
         for machine in 0..machines {
-            cluster.node_mut(machine).take_unsigned_tables();
+            cluster.node_mut(machine).accept_unsigned_tables();
             if Some(machine) == missing {
                 cluster.crash(machine);
             } else if machine < founders {
@@ -182,7 +182,7 @@
         let mut node =
             ControlNode::new(config, restored, self.clocks(machine)).expect("a state of ours");
         if self.takes_unsigned_tables {
-            node.take_unsigned_tables();
+            node.accept_unsigned_tables();
         }
         if let Some(policy) = self.spare_policy {
             node.replace_silent_voters(policy);
