--- a/crates/bramblewheel-control/src/server/admin.rs
+++ b/crates/bramblewheel-control/src/server/admin.rs
@@ -1,8 +1,8 @@
-//! The admin listener: health, readiness, metrics.
+//! The admin listener, which serves health, readiness and metrics.
 
 use super::exposition;
 use super::input::{Input, Inputs, Inspection};
-use super::listener::{CAP_LOG_NOTE, Limits};
+use super::listener::{Limits, TOO_MANY_CONNECTIONS};
 use crate::settings::AdminSettings;
 use axum::Router;
 use axum::extract::State;
@@ -19,20 +19,20 @@
 use tokio::net::TcpStream;
 use tokio::sync::{oneshot, watch};
 
-/// Header lines of one request, as at the daemon.
+/// Header lines in one request at most; same limit as in the daemon.
 const MAX_HEADERS: usize = 64;
-/// Bytes of one message head, as at the daemon.
+/// Size of a message head at most, in bytes; same limit as in the daemon.
 const MAX_HEADER_BYTES: usize = 16 * 1024;
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 pub(super) fn limits(settings: AdminSettings) -> Limits {
     Limits {
         connections: settings.connections,
-        note: CAP_LOG_NOTE,
+        refusal_reason: TOO_MANY_CONNECTIONS,
     }
 }
 
-/// Serves one connection until it ends or `stop`, after the request in progress.
+/// Serves one connection until it ends. On `stop`, closes it after the request in progress.
 pub(super) async fn serve(
     stream: TcpStream,
     peer: SocketAddr,
--- a/crates/bramblewheel-control/src/server/error.rs
+++ b/crates/bramblewheel-control/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why a replica can't start or has ended.
+//! Errors of starting and running a replica.
 
 use crate::state::MalformedState;
 use bramblewheel_storage::StorageError;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A replica can't start; the text is one line.
+/// Reason for which a replica can't start. The message is one line.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// A listener can't be opened.
@@ -25,20 +25,20 @@
     Locked {
         /// The lock file.
         path: PathBuf,
-        /// Why it can't be had.
+        /// Reason for which it can't be locked.
         reason: String,
     },
     /// The data folder can't be used.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The snapshot is of another version of the program.
+    /// The snapshot can't be decoded, for instance because another program version wrote it.
     #[error(transparent)]
     State(#[from] MalformedState),
     /// The node's thread can't be started.
-    #[error("thread: {0}")]
+    #[error("can't start the node's thread: {0}")]
     Thread(io::Error),
-    /// The operating system gives no random numbers.
-    #[error("no random numbers: {0}")]
+    /// The operating system provides no random numbers.
+    #[error("no random numbers from the operating system: {0}")]
     Random(getrandom::Error),
 }
 
@@ -48,13 +48,13 @@
     }
 }
 
-/// A running replica ended otherwise than by a planned stop.
+/// Reason for which a running replica ended other than by a planned stop.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The disk failed: what it holds is known only after a new start.
+    /// The disk failed. Which writes it holds is known only after a restart.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The node's thread ended by a panic, which it has reported.
-    #[error("the node's thread has ended")]
+    /// The node's thread panicked. The panic has been reported.
+    #[error("the node's thread panicked")]
     Ended,
 }
--- a/crates/bramblewheel-control/src/server/exposition.rs
+++ b/crates/bramblewheel-control/src/server/exposition.rs
@@ -1,4 +1,4 @@
-//! Metrics as text, in the format of OpenMetrics.
+//! Metrics in the OpenMetrics text format.
 
 use crate::node::NodeMetrics;
 use prometheus_client::encoding::text::encode;
@@ -6,13 +6,13 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Writes the node's counts and sizes.
+/// Encodes the node's metrics.
 pub(super) fn write(metrics: &NodeMetrics) -> String {
     let mut registry = Registry::with_prefix("bramblewheel_control");
     register_gauges(&mut registry, metrics);
     register_counters(&mut registry, metrics);
     let mut text = String::new();
-    encode(&mut text, &registry).expect("a string takes every write");
+    encode(&mut text, &registry).expect("writing to a string can't fail");
     text
 }
 
--- a/crates/bramblewheel-control/src/server/founding.rs
+++ b/crates/bramblewheel-control/src/server/founding.rs
@@ -1,4 +1,4 @@
-//! A group that begins from founders named in the settings, without an operator.
+//! Founds a group from the founders named in the settings, without an operator.
 
 use super::node_thread::NodeThread;
 use crate::settings::Settings;
@@ -8,10 +8,10 @@
 use slog::Logger;
 use std::net::SocketAddr;
 
-/// Bytes of a digest that make an identity.
+/// Bytes of a digest that are used as an identity.
 const IDENTITY_BYTES: usize = 8;
 
-/// What a replica founds its group with; the same at every founder, but for `own`.
+/// Parameters with which a replica founds its group. All but `own` are equal at every founder.
 pub(super) struct Founding {
     /// This replica's identity.
     pub(super) own: u64,
@@ -19,12 +19,12 @@
     voters: Vec<ReplicaAddress>,
 }
 
-/// The founding that the settings ask for, if this replica is a founder that starts for the first
-/// time.
+/// Founding parameters according to the settings, if this replica is a founder that starts for the
+/// first time.
 ///
-/// The identities follow from the addresses, so that founders need not talk before they agree. That
-/// is safe only for disks that were never used, which `first_start` states: a founder that lost its
-/// disk gets a random identity.
+/// The identities are derived from the addresses, so that founders agree on them without exchanging
+/// messages. This is safe only for disks that were never used, as stated by `first_start`; a founder
+/// that lost its disk gets a random identity.
 pub(super) fn founding(settings: &Settings) -> Option<Founding> {
     let formation = &settings.formation;
     let own = settings.listen.peer;
@@ -48,8 +48,8 @@
 }
 
 impl Founding {
-    /// Founds the group, unless the replica has one already. The folder of a replica that was
-    /// admitted under another identity keeps that one, which is no founder's.
+    /// Founds the group, unless the replica already belongs to one. A replica whose data folder holds an
+    /// identity that is not a founder's keeps it and founds no group.
     pub(super) fn begin<F: FileSystem>(&self, thread: &mut NodeThread<F>, log: &Logger) {
         if let Err(reason) = thread.node.found_group(self.group, &self.voters) {
             slog::warn!(log, "no group founded"; "reason" => reason);
@@ -57,7 +57,7 @@
     }
 }
 
-/// An identity that follows from addresses.
+/// Derives an identity from addresses.
 fn identity(purpose: &str, addresses: &[SocketAddr]) -> u64 {
     let mut hasher = Sha256::new();
     hasher.update(purpose);
--- a/crates/bramblewheel-control/src/server/handle.rs
+++ b/crates/bramblewheel-control/src/server/handle.rs
@@ -1,4 +1,4 @@
-//! A running replica, as its process sees it.
+//! Handle by which a process controls a running replica.
 
 use super::error::RunError;
 use super::input::{Input, Inputs};
@@ -9,16 +9,16 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// Time for connections to end once the node has; chosen, not measured.
+/// Time-out for connections to end after the node has ended.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Addresses that a replica listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct BoundAddresses {
-    /// Messages of the other replicas.
+    /// For messages of other replicas.
     pub peer: SocketAddr,
-    /// Daemons and operators.
+    /// For daemons and operators.
     pub service: SocketAddr,
-    /// Health and metrics.
+    /// For health checks and metrics.
     pub admin: SocketAddr,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl ControlHandle {
-    /// Identity of the replica, as its data folder holds it.
+    /// Id of the replica, as stored in its data folder.
     pub fn replica(&self) -> u64 {
         self.replica
     }
@@ -45,12 +45,12 @@
         self.addresses
     }
 
-    /// Changes the addresses that this replica offers itself to as a spare.
+    /// Changes the addresses to which this replica offers itself as a spare.
     pub fn offer_to(&self, members: Vec<SocketAddr>) {
         self.offer_to.send_replace(members);
     }
 
-    /// Begins a planned stop: leadership is handed over, waiting daemons are sent elsewhere.
+    /// Begins a planned stop: leadership is transferred, and waiting daemons are referred to other replicas.
     pub fn stop(&self) {
         // The thread may have ended already, which `stopped` reports.
         let _ = self.inputs.send(Input::Stop);
@@ -59,7 +59,7 @@
     /// Waits until the replica has ended.
     ///
     /// # Errors
-    /// [`RunError`] when it did not end by a planned stop.
+    /// [`RunError`] if it did not end by a planned stop.
     pub async fn stopped(&mut self) -> Result<(), RunError> {
         let result = (&mut self.ended).await.map_err(|_| RunError::Ended);
         self.stop.send_replace(true);
--- a/crates/bramblewheel-control/src/server/input.rs
+++ b/crates/bramblewheel-control/src/server/input.rs
@@ -1,4 +1,4 @@
-//! What the tasks hand to the node's thread.
+//! Inputs that tasks send to the node's thread.
 
 use crate::node::{Hello, NodeMetrics, PeerMessage};
 use bramblewheel_protocol::control::{ControlReply, ControlRequest, ReplicaAddress};
@@ -6,14 +6,14 @@
 use std::sync::mpsc as blocking;
 use tokio::sync::{mpsc, oneshot};
 
-/// Names a client's connection.
+/// Identifies a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct ConnectionId(pub(super) u64);
 
-/// Something for the node.
+/// An input of the node.
 #[derive(Debug)]
 pub(super) enum Input {
-    /// Another replica connected; answered with whether it may go on.
+    /// Another replica connected; the answer is whether the connection is accepted.
     Hello(Box<Hello>, oneshot::Sender<bool>),
     /// A message of another replica.
     Peer(ReplicaId, PeerMessage),
@@ -25,15 +25,15 @@
     },
     /// A client's connection ended.
     Closed(ConnectionId),
-    /// The admin listener asks for counts.
+    /// The admin listener requests the node's status.
     Inspect(oneshot::Sender<Inspection>),
-    /// Members of a group to which this replica is to be offered as a spare.
+    /// Members of a group to offer this replica to as a spare.
     OfferSpare(Vec<ReplicaAddress>),
     /// A planned stop begins.
     Stop,
 }
 
-/// What the admin listener shows.
+/// Status shown by the admin listener.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Inspection {
     pub(super) metrics: NodeMetrics,
@@ -41,5 +41,5 @@
     pub(super) is_stopping: bool,
 }
 
-/// Hands inputs to the node's thread; never waits.
+/// Sender of inputs to the node's thread; never blocks.
 pub(super) type Inputs = blocking::Sender<Input>;
--- a/crates/bramblewheel-control/src/server/listener.rs
+++ b/crates/bramblewheel-control/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections up to a cap until the replica stops.
+//! Accepts connections up to a limit until the replica stops.
 
 use slog::Logger;
 use std::future::Future;
@@ -9,21 +9,21 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::task::JoinSet;
 
-/// Wait after a failed accept, such as when no file descriptor is left; chosen, not measured.
+/// Pause after a failed accept, for instance when no file descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// What is logged when a connection is closed for the cap.
-pub(super) const CAP_LOG_NOTE: &str = "too many connections";
+/// Logged reason for closing a connection above the limit.
+pub(super) const TOO_MANY_CONNECTIONS: &str = "too many connections";
 
 /// Limits of one listener.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Limits {
     /// Connections open at one time.
     pub(super) connections: usize,
-    /// What is logged when another one is closed at once.
-    pub(super) note: &'static str,
+    /// Reason logged when a connection above the limit is closed.
+    pub(super) refusal_reason: &'static str,
 }
 
-/// Serves connections until `stop`; then waits until they have ended.
+/// Serves connections until `stop`, then waits until they have ended.
 pub(super) async fn accept<F, Fut>(
     listener: TcpListener,
     limits: Limits,
@@ -52,10 +52,10 @@
         };
         let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
             slog::warn!(log, "connection refused"; "peer" => peer.to_string(),
-                "reason" => limits.note);
+                "reason" => limits.refusal_reason);
             continue;
         };
-        // Without it a short answer may wait for the peer's delayed acknowledgement.
+        // With Nagle's algorithm, a short reply could wait for the peer's delayed acknowledgement.
         let _ = stream.set_nodelay(true);
         let serving = serve(stream, peer);
         connections.spawn(async move {
--- a/crates/bramblewheel-control/src/server/listeners.rs
+++ b/crates/bramblewheel-control/src/server/listeners.rs
@@ -1,6 +1,6 @@
-//! The three listeners of a replica: bound together, each served by a task.
+//! The three listeners of a replica. They are bound together, and each is served by a task of its own.
 //!
-//! Owns the sockets until they are served. Relies on `accept` to bound their connections.
+//! `accept` limits the number of connections.
 
 use super::error::StartError;
 use super::handle::BoundAddresses;
@@ -15,15 +15,15 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// A socket that is bound and not yet served.
+/// A socket that is bound but not served yet.
 struct Bound {
     socket: TcpListener,
     address: SocketAddr,
 }
 
-/// The listeners of a replica, bound and not yet served.
+/// The listeners of a replica, bound but not served yet.
 pub(super) struct Listeners {
-    /// Addresses by which others know the listeners.
+    /// Addresses at which others reach the listeners.
     pub(super) addresses: BoundAddresses,
     peer: TcpListener,
     service: TcpListener,
@@ -31,19 +31,19 @@
 }
 
 impl Listeners {
-    /// Binds the listeners that the settings name.
+    /// Binds the listeners named in the settings.
     ///
     /// # Errors
-    /// [`StartError::Bind`] for the first that can't be bound.
+    /// [`StartError::Bind`] for the first listener that can't be bound.
     pub(super) async fn bind(listen: &ListenSettings, log: &Logger) -> Result<Self, StartError> {
-        let peer = bind("peer", listen.bound(listen.peer), log).await?;
-        let service = bind("service", listen.bound(listen.service), log).await?;
-        let admin = bind("admin", listen.bound(listen.admin), log).await?;
+        let peer = bind("peer", listen.bind_address(listen.peer), log).await?;
+        let service = bind("service", listen.bind_address(listen.service), log).await?;
+        let admin = bind("admin", listen.bind_address(listen.admin), log).await?;
         Ok(Self {
             addresses: BoundAddresses {
-                peer: listen.known(listen.peer, peer.address),
-                service: listen.known(listen.service, service.address),
-                admin: listen.known(listen.admin, admin.address),
+                peer: listen.advertised_address(listen.peer, peer.address),
+                service: listen.advertised_address(listen.service, service.address),
+                admin: listen.advertised_address(listen.admin, admin.address),
             },
             peer: peer.socket,
             service: service.socket,
@@ -71,13 +71,13 @@
     address: SocketAddr,
     log: &Logger,
 ) -> Result<Bound, StartError> {
-    let failed = |error| StartError::Bind {
+    let bind_error = |error| StartError::Bind {
         listener,
         address,
         error,
     };
-    let socket = TcpListener::bind(address).await.map_err(failed)?;
-    let address = socket.local_addr().map_err(failed)?;
+    let socket = TcpListener::bind(address).await.map_err(bind_error)?;
+    let address = socket.local_addr().map_err(bind_error)?;
     slog::info!(log, "listening"; "address" => address.to_string(), "listener" => listener);
     Ok(Bound { socket, address })
 }
--- a/crates/bramblewheel-control/src/server/mod.rs
+++ b/crates/bramblewheel-control/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The shell around a node: sockets, clock, disk.
+//! Runs a node with sockets, clocks and the disk.
 
 mod admin;
 mod error;
--- a/crates/bramblewheel-control/src/server/node_thread.rs
+++ b/crates/bramblewheel-control/src/server/node_thread.rs
@@ -1,7 +1,6 @@
-//! The thread that drives the node: gathers inputs, syncs once for all of them, sends.
+//! The thread that drives the node: it collects inputs, syncs once for all of them, then sends the outputs.
 //!
-//! Owns the node, its storage and the clients that wait. Relies on the tasks of the listeners to hand
-//! inputs over and on `PeerSenders` to send.
+//! Tasks of the listeners send it the inputs, and `PeerSenders` sends its messages.
 
 use super::input::{ConnectionId, Input, Inspection};
 use super::peer_out::PeerSenders;
@@ -17,12 +16,12 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Inputs taken in before their outputs are carried out; chosen, not measured.
+/// Inputs processed at most before their outputs are executed.
 const MAX_BATCH: usize = 4096;
-/// Longest sleep, so that no arithmetic on far wakeups can overflow; chosen, not measured.
+/// Longest sleep. Prevents overflow in the arithmetic on a distant wakeup.
 const LONGEST_SLEEP: Duration = Duration::from_secs(1);
 
-/// Where a reply goes.
+/// Client of a pending request, to which its reply is sent.
 struct Client {
     connection: ConnectionId,
     request: u64,
@@ -37,12 +36,12 @@
     pub(super) clock: Clock,
     pub(super) peers: PeerSenders,
     pub(super) own: ReplicaId,
-    /// How long a planned stop may take to hand leadership over.
+    /// Time within which a planned stop must have transferred leadership.
     pub(super) stop_timeout: Duration,
     pub(super) log: Logger,
 }
 
-/// State of the loop.
+/// Clients with pending requests.
 #[derive(Default)]
 struct Clients {
     next: u64,
@@ -51,11 +50,11 @@
 }
 
 impl Clients {
-    fn open(&mut self, client: Client) -> ClientRequestId {
+    fn add(&mut self, client: Client) -> ClientRequestId {
         self.next += 1;
         let id = ClientRequestId(self.next);
-        let of_connection = self.by_connection.entry(client.connection).or_default();
-        of_connection.insert(id);
+        let requests = self.by_connection.entry(client.connection).or_default();
+        requests.insert(id);
         self.waiting.insert(id, client);
         id
     }
@@ -64,39 +63,39 @@
         let Some(client) = self.waiting.remove(&id) else {
             return;
         };
-        if let Some(open) = self.by_connection.get_mut(&client.connection) {
-            open.remove(&id);
-            if open.is_empty() {
+        if let Some(requests) = self.by_connection.get_mut(&client.connection) {
+            requests.remove(&id);
+            if requests.is_empty() {
                 self.by_connection.remove(&client.connection);
             }
         }
         let id = client.request;
-        // The client may have gone away.
+        // The client may have disconnected.
         let _ = client.replies.send(ControlReply { id, body });
     }
 
     fn close(&mut self, connection: ConnectionId) -> BTreeSet<ClientRequestId> {
-        let open = self.by_connection.remove(&connection).unwrap_or_default();
-        for id in &open {
+        let requests = self.by_connection.remove(&connection).unwrap_or_default();
+        for id in &requests {
             self.waiting.remove(id);
         }
-        open
+        requests
     }
 }
 
 impl<F: FileSystem> NodeThread<F> {
-    /// Runs until a planned stop is complete or everybody has gone.
+    /// Runs until a planned stop is complete or all senders of inputs are dropped.
     pub(super) fn run(mut self) -> Result<(), StorageError> {
         let mut clients = Clients::default();
         let mut stop_by: Option<Timestamp> = None;
         let mut was_leader = false;
         loop {
-            let is_open = self.gather(&mut clients, &mut stop_by);
+            let is_open = self.process_inputs(&mut clients, &mut stop_by);
             let now = self.clock.now();
             if self.node.next_wakeup() <= now.monotonic {
                 self.node.tick(now);
             }
-            self.carry_out(&mut clients)?;
+            self.execute_outputs(&mut clients)?;
             self.log_leadership(&mut was_leader);
             let is_late = stop_by.is_some_and(|by| by <= self.clock.now().monotonic);
             if !is_open || is_late || self.node.has_handed_over() {
@@ -105,9 +104,9 @@
         }
     }
 
-    /// Waits for inputs until the node's next wakeup, then takes all there are; `false` when
-    /// nobody can send any more.
-    fn gather(&mut self, clients: &mut Clients, stop_by: &mut Option<Timestamp>) -> bool {
+    /// Waits for inputs until the node's next wakeup, then processes all that are available. Returns
+    /// `false` if all senders are dropped.
+    fn process_inputs(&mut self, clients: &mut Clients, stop_by: &mut Option<Timestamp>) -> bool {
         let now = self.clock.now().monotonic;
         let sleep = self.node.next_wakeup().since(now).min(LONGEST_SLEEP);
         let mut next = match self.inputs.recv_timeout(sleep) {
@@ -119,20 +118,25 @@
             let Some(input) = next else {
                 break;
             };
-            self.take(input, clients, stop_by);
+            self.process_input(input, clients, stop_by);
             next = self.inputs.try_recv().ok();
         }
         if let Some(input) = next {
-            self.take(input, clients, stop_by);
+            self.process_input(input, clients, stop_by);
         }
         true
     }
 
-    fn take(&mut self, input: Input, clients: &mut Clients, stop_by: &mut Option<Timestamp>) {
+    fn process_input(
+        &mut self,
+        input: Input,
+        clients: &mut Clients,
+        stop_by: &mut Option<Timestamp>,
+    ) {
         let now = self.clock.now();
         match input {
             Input::Hello(hello, answer) => {
-                let _ = answer.send(self.admit(*hello));
+                let _ = answer.send(self.accept_peer(*hello));
             }
             Input::Peer(from, message) => self.node.receive(now, from, message),
             Input::Request {
@@ -140,7 +144,7 @@
                 request,
                 replies,
             } => {
-                let id = clients.open(Client {
+                let id = clients.add(Client {
                     connection,
                     request: request.id,
                     replies,
@@ -167,12 +171,12 @@
         }
     }
 
-    /// Whether another replica means this one, and the same group.
-    fn admit(&mut self, hello: Hello) -> bool {
+    /// Accepts a connection of another replica if it is meant for this replica and its group.
+    fn accept_peer(&mut self, hello: Hello) -> bool {
         let own = self.node.state().group();
         let is_same_group = own.is_none() || hello.group.is_none() || own == hello.group;
-        let is_meant = hello.to == self.own.0 && hello.from.replica != self.own.0;
-        if is_meant && is_same_group {
+        let is_addressed = hello.to == self.own.0 && hello.from.replica != self.own.0;
+        if is_addressed && is_same_group {
             self.node.introduce(self.clock.now(), hello.from);
             return true;
         }
@@ -182,7 +186,7 @@
         false
     }
 
-    fn carry_out(&mut self, clients: &mut Clients) -> Result<(), StorageError> {
+    fn execute_outputs(&mut self, clients: &mut Clients) -> Result<(), StorageError> {
         loop {
             let output = self.node.take_output(self.clock.now());
             if output.is_empty() {
--- a/crates/bramblewheel-control/src/server/peer_in.rs
+++ b/crates/bramblewheel-control/src/server/peer_in.rs
@@ -1,7 +1,7 @@
 //! Connections from other replicas.
 
 use super::input::{Input, Inputs};
-use super::listener::{CAP_LOG_NOTE, Limits};
+use super::listener::{Limits, TOO_MANY_CONNECTIONS};
 use crate::node::{Hello, PeerMessage};
 use bramblewheel_protocol::codec::{self, CodecError, MAX_CONTROL_FRAME, MAX_PEER_FRAME};
 use bramblewheel_replication::ReplicaId;
@@ -13,18 +13,18 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Connections open at one time; the group has a handful of replicas; chosen, not measured.
+/// Connections open at one time. A group has only a few replicas.
 pub(super) const LIMITS: Limits = Limits {
     connections: 64,
-    note: CAP_LOG_NOTE,
+    refusal_reason: TOO_MANY_CONNECTIONS,
 };
-/// Time for the first frame to arrive; chosen, not measured.
+/// Time-out for the first frame.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads one connection until it ends.
+/// Reads messages from one connection until it ends.
 pub(super) async fn serve(stream: TcpStream, peer: SocketAddr, inputs: Inputs, log: Logger) {
     let mut reader = BufReader::new(stream);
-    let from = match admit(&mut reader, &inputs).await {
+    let from = match read_hello(&mut reader, &inputs).await {
         Ok(Some(from)) => from,
         Ok(None) => return,
         Err(error) => {
@@ -49,8 +49,8 @@
     }
 }
 
-/// Reads the first frame; `None` when the node refuses the replica.
-async fn admit(
+/// Reads the first frame. Returns `None` if the node refuses the replica.
+async fn read_hello(
     reader: &mut BufReader<TcpStream>,
     inputs: &Inputs,
 ) -> Result<Option<ReplicaId>, CodecError> {
@@ -65,6 +65,6 @@
     if inputs.send(Input::Hello(Box::new(hello), answer)).is_err() {
         return Ok(None);
     }
-    let is_admitted = answered.await.unwrap_or(false);
-    Ok(is_admitted.then_some(from))
+    let is_accepted = answered.await.unwrap_or(false);
+    Ok(is_accepted.then_some(from))
 }
--- a/crates/bramblewheel-control/src/server/peer_out.rs
+++ b/crates/bramblewheel-control/src/server/peer_out.rs
@@ -1,4 +1,4 @@
-//! Connections to other replicas: one to each, opened when there is something to send.
+//! Connections to other replicas: one to each, opened when there is a message to send.
 
 use crate::node::{Hello, PeerMessage};
 use bramblewheel_protocol::codec::{self, CodecError, MAX_CONTROL_FRAME, MAX_PEER_FRAME};
@@ -16,19 +16,19 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, timeout};
 
-/// Messages that wait for one replica; beyond it they are lost, which replication makes up for.
-/// Chosen, not measured.
+/// Messages queued for one replica at most. Further ones are dropped; replication sends again what is
+/// still needed.
 const MAX_WAITING: usize = 1024;
-/// Time for a connection to open; chosen, not measured.
+/// Time-out for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for a message to be taken; a frozen replica takes none; chosen, not measured.
+/// Time-out for writing messages, which a frozen replica does not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// First pause after a connection failed; doubled each time; chosen, not measured.
+/// Pause after the first connection failure; doubled with each further one.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest pause; chosen, not measured.
+/// Longest pause after a connection failure.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// Senders to all replicas that were ever sent something.
+/// Senders to all replicas that a message was ever sent to.
 pub(super) struct PeerSenders {
     own: ReplicaAddress,
     group: watch::Sender<Option<u64>>,
@@ -48,15 +48,15 @@
         }
     }
 
-    /// Notes the group to be named to others.
+    /// Sets the group sent in the [`Hello`] of new connections.
     pub(super) fn set_group(&self, group: u64) {
         self.group.send_replace(Some(group));
     }
 
-    /// Sends a message, or loses it.
+    /// Queues a message for sending; drops it if the queue is full.
     pub(super) fn send(&mut self, to: ReplicaId, address: SocketAddr, message: PeerMessage) {
-        let known = self.senders.get(&to);
-        let sender = match known.filter(|(known, _)| *known == address) {
+        let existing = self.senders.get(&to);
+        let sender = match existing.filter(|(current, _)| *current == address) {
             Some((_, sender)) => sender.clone(),
             None => self.open(to, address),
         };
@@ -96,7 +96,7 @@
 }
 
 impl PeerLink {
-    /// Sends what comes until the node's thread has ended.
+    /// Sends messages until the node's thread has ended.
     async fn run(mut self) {
         while let Some(message) = self.messages.recv().await {
             if self.stream.is_none() && Instant::now() < self.retry_at {
@@ -104,7 +104,7 @@
             }
             match self.deliver(message).await {
                 Ok(()) => self.backoff = MIN_BACKOFF,
-                Err(error) => self.pause(&error),
+                Err(error) => self.back_off(&error),
             }
         }
     }
@@ -138,8 +138,9 @@
         Ok(stream)
     }
 
-    /// What waits is out of date once the replica can be reached again.
-    fn pause(&mut self, error: &CodecError) {
+    /// Backs off after a failure and drops the queued messages, which would be out of date by the time
+    /// that the replica is reachable again.
+    fn back_off(&mut self, error: &CodecError) {
         slog::debug!(self.log, "replica not reached"; "address" => self.address.to_string(),
             "error" => %error);
         while self.messages.try_recv().is_ok() {}
@@ -154,7 +155,8 @@
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
 }
 
-/// The other side sends nothing on this connection, so anything to read is its end.
+/// Whether the connection is open. The other side never sends on it, so anything readable means that it was
+/// closed.
 fn is_open(stream: &TcpStream) -> bool {
     let mut byte = [0];
     let read = stream.try_read(&mut byte);
--- a/crates/bramblewheel-control/src/server/run.rs
+++ b/crates/bramblewheel-control/src/server/run.rs
@@ -7,8 +7,8 @@
 use std::process::ExitCode;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Runs a replica until the process gets a signal to stop (SIGTERM or Ctrl-C); returns the process's
-/// exit code. Other programs may run a replica by this.
+/// Runs a replica until the process receives SIGTERM or Ctrl-C. Returns the process's exit code. Other
+/// programs may call this to run a replica.
 pub async fn run(settings: Settings) -> ExitCode {
     let log = logging::logger(settings.log.level.into());
     match run_until_signal(settings, log).await {
@@ -26,7 +26,7 @@
 ) -> Result<(), Box<dyn std::error::Error>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut handle = start(settings, log.clone()).await?;
-    let signalled = async {
+    let stop_signal = async {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = tokio::signal::ctrl_c() => {}
@@ -34,7 +34,7 @@
     };
     tokio::select! {
         ended = handle.stopped() => return Ok(ended?),
-        () = signalled => {}
+        () = stop_signal => {}
     }
     slog::info!(log, "stopping"; "reason" => "signal");
     handle.stop();
--- a/crates/bramblewheel-control/src/server/service.rs
+++ b/crates/bramblewheel-control/src/server/service.rs
@@ -1,7 +1,7 @@
 //! Connections of daemons and operators.
 
 use super::input::{ConnectionId, Input, Inputs};
-use super::listener::{CAP_LOG_NOTE, Limits};
+use super::listener::{Limits, TOO_MANY_CONNECTIONS};
 use bramblewheel_protocol::codec::{self, CodecError, MAX_CONTROL_FRAME};
 use bramblewheel_protocol::control::{ControlReply, ControlRequest, ReplyBody};
 use slog::Logger;
@@ -15,22 +15,22 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::time::timeout;
 
-/// Connections open at one time: two for each of 1,200 daemons, three times over, so that a
-/// replica can stand in for two others.
+/// Connections open at one time. Enough for two connections from each of 1,200 daemons three times over,
+/// so that one replica can also serve the daemons of two others.
 pub(super) const LIMITS: Limits = Limits {
     connections: 8192,
-    note: CAP_LOG_NOTE,
+    refusal_reason: TOO_MANY_CONNECTIONS,
 };
-/// Requests of one connection that wait for their replies; further ones are not read. Chosen, not measured.
+/// Pending requests per connection at most; further ones are not read until a reply is written.
 const MAX_WAITING: usize = 64;
-/// Time for a frame to arrive once it has begun; chosen, not measured.
+/// Time-out for the rest of a frame after its first byte.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for a reply to be taken; chosen, not measured.
+/// Time-out for writing a reply.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for the last replies to be taken when the connection is being closed; chosen, not measured.
+/// Time-out for writing the last replies when the connection is being closed.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One connection.
+/// One connection of a client.
 pub(super) struct Connection {
     pub(super) id: ConnectionId,
     pub(super) peer: SocketAddr,
@@ -44,10 +44,10 @@
     pub(super) async fn serve(self, stream: TcpStream) {
         let (reader, writer) = stream.into_split();
         let (replies, to_write) = mpsc::unbounded_channel();
-        let room = Arc::new(Semaphore::new(MAX_WAITING));
-        let writing = write_replies(writer, to_write, Arc::clone(&room));
+        let slots = Arc::new(Semaphore::new(MAX_WAITING));
+        let writing = write_replies(writer, to_write, Arc::clone(&slots));
         let mut writing = std::pin::pin!(writing);
-        let reading = self.read_requests(reader, replies.clone(), room);
+        let reading = self.read_requests(reader, replies.clone(), slots);
         let mut is_writing = true;
         let ended = tokio::select! {
             ended = reading => ended,
@@ -56,7 +56,7 @@
                 Ok(())
             }
         };
-        // Drops the node's senders for this connection, so that the writing ends.
+        // The node then drops its senders for this connection, so that `writing` ends.
         let _ = self.inputs.send(Input::Closed(self.id));
         if let Err(error) = ended {
             slog::warn!(self.log, "request refused"; "peer" => self.peer.to_string(),
@@ -74,12 +74,12 @@
         &self,
         mut reader: OwnedReadHalf,
         replies: mpsc::UnboundedSender<ControlReply>,
-        room: Arc<Semaphore>,
+        slots: Arc<Semaphore>,
     ) -> Result<(), CodecError> {
         let mut stop = self.stop.clone();
         loop {
             let request = tokio::select! {
-                request = next_request(&mut reader, &room) => request?,
+                request = next_request(&mut reader, &slots) => request?,
                 _ = stop.wait_for(|stop| *stop) => return Ok(()),
             };
             let Some(request) = request else {
@@ -97,16 +97,16 @@
     }
 }
 
-/// The next request, once there is room for it.
+/// Waits for a free slot, then reads the next request.
 async fn next_request(
     reader: &mut OwnedReadHalf,
-    room: &Semaphore,
+    slots: &Semaphore,
 ) -> Result<Option<ControlRequest>, CodecError> {
-    if let Ok(permit) = room.acquire().await {
-        // Given back when the reply is written.
+    if let Ok(permit) = slots.acquire().await {
+        // The slot is released when the reply is written.
         permit.forget();
     }
-    // A connection may be idle for long, but a frame that has begun must arrive.
+    // An idle connection is not timed out, but a frame that has begun must arrive in time.
     if reader.peek(&mut [0]).await? == 0 {
         return Ok(None);
     }
@@ -115,7 +115,7 @@
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
 }
 
-/// A request that can't be read has no id that could be named.
+/// Reply to a request that can't be read. Its id is 0, since that of the request is unknown.
 fn refusal(error: &CodecError) -> ControlReply {
     ControlReply {
         id: 0,
@@ -126,20 +126,20 @@
 async fn write_replies(
     mut writer: OwnedWriteHalf,
     mut replies: mpsc::UnboundedReceiver<ControlReply>,
-    room: Arc<Semaphore>,
+    slots: Arc<Semaphore>,
 ) {
     while let Some(reply) = replies.recv().await {
         let Ok(frame) = encode(&reply) else {
             return;
         };
         match timeout(WRITE_TIMEOUT, writer.write_all(&frame)).await {
-            Ok(Ok(())) => room.add_permits(1),
+            Ok(Ok(())) => slots.add_permits(1),
             Ok(Err(_)) | Err(_) => return,
         }
     }
 }
 
-/// Encodes a reply; one that is too long is replaced by a refusal with that reason.
+/// Encodes a reply. If it is too long, encodes a refusal with that reason instead.
 fn encode(reply: &ControlReply) -> Result<Vec<u8>, CodecError> {
     codec::encode(reply, MAX_CONTROL_FRAME).or_else(|error| {
         let body = ReplyBody::Rejected(format!("the answer can't be sent: {error}"));
--- a/crates/bramblewheel-control/src/server/spare_offers.rs
+++ b/crates/bramblewheel-control/src/server/spare_offers.rs
@@ -1,4 +1,4 @@
-//! Offers a replica as a spare to the members of a group.
+//! Offers this replica as a spare to the members of a group.
 
 use super::input::{Input, Inputs};
 use bramblewheel_protocol::control::{ReplicaAddress, ReplyBody, RequestBody};
@@ -8,8 +8,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Time in which one of the members must answer with the members of the group; chosen, not measured.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time-out for a member's reply with the group's status.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
 pub(super) fn spawn_spare_offers(
     tasks: &mut JoinSet<()>,
@@ -28,33 +28,33 @@
     });
 }
 
-/// Offers until the node has ended. Once the replica is in a group, its node makes no offer of it.
+/// Offers the replica until the node has ended. A node that is a member of the group sends no offers.
 async fn offer(members: watch::Receiver<Vec<SocketAddr>>, interval: Duration, inputs: Inputs) {
     loop {
         let members = members.borrow().clone();
-        let known = known_members(&members).await;
-        if !known.is_empty() && inputs.send(Input::OfferSpare(known)).is_err() {
+        let voters = group_voters(&members).await;
+        if !voters.is_empty() && inputs.send(Input::OfferSpare(voters)).is_err() {
             return;
         }
         tokio::time::sleep(interval).await;
     }
 }
 
-/// Voters of the group, by the first answer of a member in contact with a quorum.
-async fn known_members(members: &[SocketAddr]) -> Vec<ReplicaAddress> {
-    let (answers, mut answered) = mpsc::channel(members.len().max(1));
-    let mut asking = JoinSet::new();
+/// Voters of the group, from the first reply of a member that has contact with a quorum.
+async fn group_voters(members: &[SocketAddr]) -> Vec<ReplicaAddress> {
+    let (replies, mut first_reply) = mpsc::channel(members.len().max(1));
+    let mut requests = JoinSet::new();
     for member in members.iter().copied() {
-        let answers = answers.clone();
-        asking.spawn(async move {
-            let reply = request_any(&[member], &RequestBody::GroupStatus, ASK_TIMEOUT).await;
+        let replies = replies.clone();
+        requests.spawn(async move {
+            let reply = request_any(&[member], &RequestBody::GroupStatus, STATUS_TIMEOUT).await;
             if let Ok(ReplyBody::GroupStatus(status)) = reply
                 && status.has_quorum
             {
-                let _ = answers.send(status.voters).await;
+                let _ = replies.send(status.voters).await;
             }
         });
     }
-    drop(answers);
-    answered.recv().await.unwrap_or_default()
+    drop(replies);
+    first_reply.recv().await.unwrap_or_default()
 }
--- a/crates/bramblewheel-control/src/server/start.rs
+++ b/crates/bramblewheel-control/src/server/start.rs
@@ -1,7 +1,6 @@
-//! Assembles a replica from its settings and starts it.
+//! Starts a replica from its settings, which must have been checked.
 //!
-//! Owns the order of a start: lock and open the data folder, bind the listeners, start the node's
-//! thread, serve. Relies on the settings having been checked.
+//! Order: lock and open the data folder, bind the listeners, start the node's thread, serve.
 
 use super::error::StartError;
 use super::founding::{Founding, founding};
@@ -26,24 +25,23 @@
 use tokio::sync::{oneshot, watch};
 use tokio::task::JoinSet;
 
-/// Election timeouts that a planned stop may take to hand leadership over; chosen, not measured.
+/// Election timeouts within which a planned stop must have transferred leadership.
 const STOP_ELECTIONS: u32 = 4;
-/// File that is locked while a process uses the data folder.
+/// Name of the file that is locked while a process uses the data folder.
 const LOCK_FILE: &str = "lock";
 
-/// Starts a replica; returns once it listens.
+/// Starts a replica. Returns once it listens.
 ///
 /// # Errors
-/// [`StartError`] when a listener or the data folder can't be used.
+/// [`StartError`] if a listener or the data folder can't be used.
 pub async fn start(settings: Settings, log: Logger) -> Result<ControlHandle, StartError> {
     start_on(DiskFileSystem, settings, log).await
 }
 
-/// Starts a replica on another file layer than the disk; the data folder on disk only holds the
-/// lock.
+/// Starts a replica on the given [`FileSystem`]. The data folder on disk is still used for the lock.
 ///
 /// # Errors
-/// [`StartError`] when a listener or the data folder can't be used.
+/// [`StartError`] if a listener or the data folder can't be used.
 pub async fn start_on<F>(
     files: F,
     settings: Settings,
@@ -59,7 +57,7 @@
     let listeners = Listeners::bind(&settings.listen, &log).await?;
     let addresses = listeners.addresses;
     let (inputs, to_node) = blocking::channel();
-    let mut thread = assemble(&settings, addresses, durable, restored, to_node, &log)?;
+    let mut thread = create_node_thread(&settings, addresses, durable, restored, to_node, &log)?;
     if let Some(founding) = founding {
         founding.begin(&mut thread, &log);
     }
@@ -82,13 +80,13 @@
     })
 }
 
-/// Opens the data folder; a fresh one gets a founder's identity, or a random one.
+/// Opens the data folder. An empty one gets the identity of a founder, or else a random one.
 fn open_storage<F: FileSystem>(
     files: F,
     settings: &Settings,
     founding: Option<&Founding>,
 ) -> Result<(Durable<F>, RestoredState), StartError> {
-    let fresh = match founding {
+    let new_identity = match founding {
         Some(founding) => ReplicaId(founding.own),
         None => ReplicaId(getrandom::u64()?),
     };
@@ -97,12 +95,12 @@
         files,
         storage,
         settings.name.as_str(),
-        fresh,
+        new_identity,
     )?)
 }
 
-/// Starts the node's thread; the receiver gets its result. The data folder stays locked until the
-/// thread has ended.
+/// Starts the node's thread and returns the receiver of its result. The data folder stays locked until
+/// the thread has ended.
 fn spawn_node<F>(
     thread: NodeThread<F>,
     lock: File,
@@ -119,29 +117,29 @@
             slog::error!(log, "replica stopped"; "reason" => "storage", "error" => %error);
         }
         drop(lock);
-        // Nobody waits when the handle was dropped.
+        // The receiver is gone if the handle was dropped.
         let _ = ended_sender.send(result);
     };
-    let named = std::thread::Builder::new().name("node".to_owned());
-    named.spawn(run).map_err(StartError::Thread)?;
+    let builder = std::thread::Builder::new().name("node".to_owned());
+    builder.spawn(run).map_err(StartError::Thread)?;
     Ok(ended)
 }
 
 fn lock_folder(folder: &Path) -> Result<File, StartError> {
     let path = folder.join(LOCK_FILE);
-    let locked = |reason: String| StartError::Locked {
+    let lock_error = |reason: String| StartError::Locked {
         path: path.clone(),
         reason,
     };
-    std::fs::create_dir_all(folder).map_err(|error| locked(error.to_string()))?;
-    let file = File::create(&path).map_err(|error| locked(error.to_string()))?;
+    std::fs::create_dir_all(folder).map_err(|error| lock_error(error.to_string()))?;
+    let file = File::create(&path).map_err(|error| lock_error(error.to_string()))?;
     file.try_lock()
-        .map_err(|error| locked(format!("in use by another process ({error})")))?;
+        .map_err(|error| lock_error(format!("in use by another process ({error})")))?;
     Ok(file)
 }
 
-/// The driver of a node over what the data folder held.
-fn assemble<F: FileSystem>(
+/// Creates the node and its driver from the restored state.
+fn create_node_thread<F: FileSystem>(
     settings: &Settings,
     addresses: BoundAddresses,
     durable: Durable<F>,
--- a/crates/bramblewheel-control/src/settings/mod.rs
+++ b/crates/bramblewheel-control/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file: TOML, checked as a whole before anything is opened.
+//! The settings file, in TOML. It is checked as a whole before any file or socket is opened.
 
 mod check;
 mod sections;
@@ -21,21 +21,21 @@
 pub struct Settings {
     /// Stable name of the replica.
     pub name: ReplicaName,
-    /// Zone it runs in.
+    /// Zone that the replica runs in.
     pub zone: ZoneName,
-    /// Region it runs in.
+    /// Region that the replica runs in.
     pub region: RegionName,
-    /// Folder for the log, the snapshots and the identity; belongs to this replica alone.
+    /// Folder for the log, the snapshots and the identity; not shared with other replicas.
     pub data_folder: PathBuf,
     /// Addresses to listen on.
     pub listen: ListenSettings,
-    /// Times of the group; the same at all replicas.
+    /// Timing of the group; must be the same at all replicas.
     #[serde(default)]
     pub timing: TimingSettings,
-    /// Log and snapshots on disk.
+    /// Storage of the log and snapshots.
     #[serde(default)]
     pub storage: StorageSettings,
-    /// How the group begins.
+    /// Formation of the group.
     #[serde(default)]
     pub formation: FormationSettings,
     /// Spare replicas.
@@ -44,7 +44,7 @@
     /// Limits of the admin listener.
     #[serde(default)]
     pub admin: AdminSettings,
-    /// Log of events.
+    /// Event log.
     #[serde(default)]
     pub log: LogSettings,
 }
@@ -52,7 +52,7 @@
 /// Stable name of a replica, such as `control-1`; follows the rules for names.
 pub type ReplicaName = bramblewheel_types::DaemonId;
 
-/// Values from the command line that win over the file.
+/// Values from the command line that override the file.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
     /// Replaces `data_folder`.
--- a/crates/bramblewheel-control/src/settings/sections.rs
+++ b/crates/bramblewheel-control/src/settings/sections.rs
@@ -5,30 +5,30 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Addresses to listen on; port 0 lets the system choose.
+/// Addresses to listen on. Port 0 lets the operating system choose a port.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Messages of the other replicas.
+    /// For messages of other replicas.
     pub peer: SocketAddr,
-    /// Daemons and operators.
+    /// For daemons and operators.
     pub service: SocketAddr,
-    /// Health and metrics.
+    /// For health checks and metrics.
     pub admin: SocketAddr,
-    /// Address that the listeners bind instead, at the same ports, where the one that others know is
-    /// translated on the way.
+    /// IP address that the listeners bind instead, at the same ports. For networks that translate the
+    /// addresses above.
     #[serde(default)]
     pub bind: Option<IpAddr>,
 }
 
 impl ListenSettings {
-    /// What a listener binds so that others reach it at `known`.
-    pub fn bound(&self, known: SocketAddr) -> SocketAddr {
-        SocketAddr::new(self.bind.unwrap_or(known.ip()), known.port())
+    /// Address that a listener binds so that others reach it at `advertised`.
+    pub fn bind_address(&self, advertised: SocketAddr) -> SocketAddr {
+        SocketAddr::new(self.bind.unwrap_or(advertised.ip()), advertised.port())
     }
 
-    /// What others know a listener by that was bound at `bound`.
-    pub fn known(&self, listed: SocketAddr, bound: SocketAddr) -> SocketAddr {
+    /// Address at which others reach a listener that is listed as `listed` and was bound at `bound`.
+    pub fn advertised_address(&self, listed: SocketAddr, bound: SocketAddr) -> SocketAddr {
         match self.bind {
             Some(_) => SocketAddr::new(listed.ip(), bound.port()),
             None => bound,
@@ -36,16 +36,16 @@
     }
 }
 
-/// Times of the group.
+/// Timing of the group.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TimingSettings {
-    /// How often the leader sends to all, in milliseconds.
+    /// Interval between the leader's heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Shortest silence of the leader before an election, and how old the last proof of a quorum
-    /// may be for an answer, in milliseconds.
+    /// Least silence of the leader before an election, and greatest age of the last proof of a quorum
+    /// at which a replica may still answer from its state, in milliseconds.
     pub election_ms: u64,
-    /// Silence after which a daemon is taken out of the directory, in milliseconds.
+    /// Silence after which a daemon is removed from the directory, in milliseconds.
     pub daemon_lease_ms: u64,
 }
 
@@ -60,27 +60,27 @@
 }
 
 impl TimingSettings {
-    /// How often the leader sends to all.
+    /// Interval between the leader's heartbeats.
     pub fn heartbeat(&self) -> Duration {
         Duration::from_millis(self.heartbeat_ms)
     }
 
-    /// Shortest silence of the leader before an election.
+    /// Least silence of the leader before an election.
     pub fn election(&self) -> Duration {
         Duration::from_millis(self.election_ms)
     }
 
-    /// Silence after which a daemon is taken out of the directory.
+    /// Silence after which a daemon is removed from the directory.
     pub fn daemon_lease(&self) -> Duration {
         Duration::from_millis(self.daemon_lease_ms)
     }
 }
 
-/// Log and snapshots on disk.
+/// Storage of the log and snapshots.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StorageSettings {
-    /// Entries after which the log is cut by a snapshot.
+    /// Number of entries after which the log is compacted into a snapshot.
     pub snapshot_interval: u64,
 }
 
@@ -92,18 +92,18 @@
     }
 }
 
-/// How the group begins.
+/// Formation of the group.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FormationSettings {
-    /// Peer addresses of the first voters, the same at all of them. A replica among them that
+    /// Peer addresses of the first voters; must be the same at all of them. A replica among them that
     /// starts for the first time founds the group with the others, without an operator.
     pub founders: Vec<SocketAddr>,
-    /// Whether the whole deployment starts for the first time. A replica that lost its disk is
-    /// started with `false`: it may not vote as the founder it was.
+    /// Whether the whole deployment starts for the first time. Must be `false` for a replica that lost
+    /// its disk, since it must not vote under its earlier identity as a founder.
     pub first_start: bool,
-    /// Whether this group's configuration are route tables without signatures. Stated here because
-    /// whoever reaches the operator's interface may then change it.
+    /// Whether the group is configured by route tables without signatures. Must be enabled explicitly,
+    /// because anyone who can reach the operators' interface may then change the configuration.
     pub unsigned_tables: bool,
 }
 
@@ -111,26 +111,27 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SpareSettings {
-    /// Service addresses of members of a group. A replica without a group offers itself to them;
-    /// empty when it is no spare.
+    /// Service addresses of members of a group, to which a replica without a group offers itself as a
+    /// spare. Empty if the replica is not a spare.
     pub offer_to: Vec<SocketAddr>,
     /// Silence after which the leader replaces a voter by a spare, in milliseconds; 0 for never.
     pub replace_after_ms: u64,
-    /// Least time from the begin of any replacement to the next one by a spare, in milliseconds.
+    /// Least time from the beginning of any replacement to the next automatic one, in milliseconds.
     pub period_ms: u64,
     /// Time between offers, in milliseconds.
     pub offer_interval_ms: u64,
-    /// Silence after which the leader replaces a voter by a spare where lost machines must be made
-    /// up for within seconds, in milliseconds; 0 for never. In place of `replace_after_ms` and
-    /// `period_ms`: a machine that only restarts may then lose its vote to the spare.
+    /// Silence after which the leader replaces a voter by a spare, for deployments that must replace lost
+    /// machines within seconds; in milliseconds, 0 for never. Overrides `replace_after_ms` and `period_ms`.
+    /// A voter that merely restarts may then be replaced by a spare.
     pub fast_repair_ms: u64,
-    /// Voters that the group should have: spares are made voters until it has them. It bears the
-    /// loss of fewer than half of them at once. 0 leaves the group as it is.
+    /// Number of voters that the group should have; spares are added until it is reached. The group
+    /// tolerates the simultaneous loss of fewer than half of them. 0 leaves the number unchanged.
     pub voters: usize,
 }
 
 impl Default for SpareSettings {
-    /// Off. Four hours are beyond the longest cut between regions that is planned for.
+    /// Automatic replacement is off. The period of four hours exceeds the longest network partition between
+    /// regions that is planned for.
     fn default() -> Self {
         Self {
             offer_to: Vec::new(),
@@ -144,7 +145,7 @@
 }
 
 impl SpareSettings {
-    /// When the leader replaces a silent voter by a spare, if at all.
+    /// Policy by which the leader replaces a silent voter by a spare; `None` if it never does.
     pub fn policy(&self) -> Option<SparePolicy> {
         if self.fast_repair_ms > 0 {
             return Some(SparePolicy {
@@ -166,14 +167,15 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdminSettings {
-    /// Connections open at one time; further ones are closed at once.
+    /// Connections open at one time; further ones are closed immediately.
     pub connections: usize,
-    /// Time for a message head to arrive, in milliseconds; also ends idle connections.
+    /// Time-out for a message head, in milliseconds; also closes idle connections.
     pub header_timeout_ms: u64,
 }
 
 impl Default for AdminSettings {
-    /// Room for every prober and collector of a site; the time is the daemon's.
+    /// Enough connections for all health probes and metrics collectors of a site. The time-out is the same
+    /// as in the daemon.
     fn default() -> Self {
         Self {
             connections: 256,
@@ -183,7 +185,7 @@
 }
 
 impl AdminSettings {
-    /// Time for a message head to arrive.
+    /// Time-out for a message head.
     pub fn header_timeout(&self) -> Duration {
         Duration::from_millis(self.header_timeout_ms)
     }
--- a/crates/bramblewheel-control/tests/settings.rs
+++ b/crates/bramblewheel-control/tests/settings.rs
@@ -82,7 +82,7 @@
     assert_eq!(settings.admin.connections, 257);
     assert_eq!(settings.admin.header_timeout_ms, 10_001);
     assert_eq!(slog::Level::from(settings.log.level), slog::Level::Debug);
-    let bound = settings.listen.bound(settings.listen.peer);
+    let bound = settings.listen.bind_address(settings.listen.peer);
     assert_eq!(bound.to_string(), "0.0.0.0:7001");
 }
 
