--- a/crates/bramblewheel-control/tests/spares.rs
+++ b/crates/bramblewheel-control/tests/spares.rs
@@ -95,15 +95,15 @@
     let mut cluster = with_spares(1, 62);
     for round in 0..4 {
         let leader = cluster.settle();
-        let isolated = if round < 2 { (leader + 1) % 3 } else { leader };
+        let absent = if round < 2 { (leader + 1) % 3 } else { leader };
         if round % 2 == 0 {
-            cluster.freeze(isolated);
+            cluster.freeze(absent);
         } else {
-            cluster.cut_off(isolated);
+            cluster.cut_off(absent);
         }
         cluster.run(Duration::from_secs(15));
         if round % 2 == 0 {
-            cluster.thaw(isolated);
+            cluster.thaw(absent);
         } else {
             cluster.heal();
         }
@@ -165,18 +165,18 @@
     for seed in 65..71 {
         let mut cluster = with_spares(1, seed);
         // As the leader, this one was in contact with all others.
-        let isolated = cluster.settle();
-        stop_and_restart(&mut cluster, isolated);
+        let absent = cluster.settle();
+        stop_and_restart(&mut cluster, absent);
         cluster.run(Duration::from_secs(60));
         let old = cluster.settle();
-        assert_ne!(old, isolated, "seed {seed}");
-        cluster.crash(isolated);
+        assert_ne!(old, absent, "seed {seed}");
+        cluster.crash(absent);
         cluster.crash(old);
         cluster.run(Duration::from_secs(2));
         cluster.start(old);
         cluster.run(Duration::from_secs(10));
         led_by_third += u32::from(cluster.settle() != old);
-        assert!(is_voter(&mut cluster, isolated), "seed {seed}");
+        assert!(is_voter(&mut cluster, absent), "seed {seed}");
     }
     assert!(led_by_third > 0, "the old leader led in every run");
 }
