--- a/crates/bramblewheel-control/src/node/inputs.rs
+++ b/crates/bramblewheel-control/src/node/inputs.rs
@@ -38,7 +38,7 @@
                 }
             }
             PeerMessage::TenantUsage(sums) => {
-                self.usage.report_of_replica(now.monotonic, from, sums);
+                self.usage.report_from_replica(now.monotonic, from, sums);
             }
             PeerMessage::ReadRequest { id } => self.start_read_for_replica(from, id),
             PeerMessage::ReadReply { id, index } => {
@@ -49,7 +49,7 @@
     }
 
     /// Records the addresses that a replica reported for itself.
-    pub fn introduce(&mut self, now: Now, address: ReplicaAddress) {
+    pub fn record_peer_address(&mut self, now: Now, address: ReplicaAddress) {
         self.now = now;
         self.reported_addresses.insert(address.replica, address);
         if self.is_leader() {
--- a/crates/bramblewheel-control/src/node/usage.rs
+++ b/crates/bramblewheel-control/src/node/usage.rs
@@ -73,7 +73,7 @@
     }
 
     /// Records the sums of another replica.
-    pub fn report_of_replica(
+    pub fn report_from_replica(
         &mut self,
         now: Timestamp,
         replica: ReplicaId,
--- a/crates/bramblewheel-control/src/server/node_thread.rs
+++ b/crates/bramblewheel-control/src/server/node_thread.rs
@@ -177,7 +177,7 @@
         let is_same_group = own.is_none() || hello.group.is_none() || own == hello.group;
         let is_addressed = hello.to == self.own.0 && hello.from.replica != self.own.0;
         if is_addressed && is_same_group {
-            self.node.introduce(self.clock.now(), hello.from);
+            self.node.record_peer_address(self.clock.now(), hello.from);
             return true;
         }
         slog::warn!(self.log, "replica refused"; "name" => hello.from.name,
--- a/crates/bramblewheel-decisions/tests/tenant_quota/fleet.rs
+++ b/crates/bramblewheel-decisions/tests/tenant_quota/fleet.rs
@@ -155,7 +155,7 @@
                 continue;
             };
             for to in (0..REPLICAS).filter(|to| *to != from && !is_lost(*to)) {
-                self.usage[to].report_of_replica(now, ReplicaId(from as u64), sums.clone());
+                self.usage[to].report_from_replica(now, ReplicaId(from as u64), sums.clone());
             }
         }
     }
--- a/crates/bramblewheel-sim/src/requests/replica.rs
+++ b/crates/bramblewheel-sim/src/requests/replica.rs
@@ -179,7 +179,7 @@
             return;
         }
         let from = ReplicaId(hello.from.replica);
-        incarnation.node.introduce(now, hello.from);
+        incarnation.node.record_peer_address(now, hello.from);
         incarnation.node.receive(now, from, message);
         self.drive(context);
     }
