--- a/crates/bramblewheel-core/src/cohort.rs
+++ b/crates/bramblewheel-core/src/cohort.rs
@@ -1,15 +1,15 @@
-//! Cohorts: requests of one class are admitted or refused by a hash of their root id.
+//! Cohorts: requests of one class are admitted or shed by a hash of their root request id.
 
 use crate::event::AdmissionLevel;
 use bramblewheel_types::{Criticality, RequestId};
 
-/// Number of cohorts per class.
+/// Cohorts in each class.
 pub const COHORT_COUNT: u8 = 128;
 
 /// Cohort of a root request, 0 to 127.
 ///
-/// All sub-calls of one request share its cohort, so that endpoints which shed the same share of
-/// a class shed the same requests, and work is not spent on requests that fail elsewhere.
+/// All sub-calls of a request share its cohort. Endpoints that shed the same share of a class
+/// therefore shed the same requests, and no work is spent on requests that fail elsewhere.
 pub fn cohort_of(request: RequestId) -> u8 {
     // Fibonacci hashing: the high bits of the product depend on all bits of the folded id.
     const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
@@ -17,10 +17,11 @@
     (folded.wrapping_mul(MULTIPLIER) >> 57) as u8
 }
 
-/// Place of a request in the order of shedding: requests below an endpoint's level are shed.
+/// Position of a request in the shedding order; requests below an endpoint's level are shed.
 ///
-/// A session's calls rank in the upper half of their class and new calls in the lower, so that
-/// new sessions are refused first and a level can still part a class whose calls all have one.
+/// Calls within a session are placed in the upper half of their class and other calls in the
+/// lower half, so that new sessions are refused first. A level can still split a class whose
+/// calls all belong to sessions.
 pub fn shedding_position(
     criticality: Criticality,
     in_session: bool,
--- a/crates/bramblewheel-core/src/engine.rs
+++ b/crates/bramblewheel-core/src/engine.rs
@@ -1,10 +1,10 @@
-//! The decisions of one daemon: takes events and the time, returns actions.
+//! The decision engine of one daemon: takes events with the current time and returns actions.
 //!
-//! What the shell owes the engine: each attempt sent ends with one `AttemptEnded` unless it was
-//! cancelled; each dispatch ends with one `DispatchEnded` unless it was cancelled; `Tick` comes at
-//! or soon after [`Engine::next_wakeup`]. Each call and each inbound attempt gets exactly one
-//! answer; a repeated message of an attempt in progress gets none of its own. Actions are carried
-//! out in order: a ledger request that precedes an answer is begun before the answer is sent.
+//! The driver must deliver exactly one `AttemptEnded` for each attempt sent and one
+//! `DispatchEnded` for each dispatch, unless it was cancelled, and a `Tick` at or soon after
+//! [`Engine::next_wakeup`]. The engine answers each call and each inbound attempt exactly once; a
+//! duplicate message of an attempt in progress gets no answer of its own. Actions must be carried
+//! out in order: a ledger request that precedes an answer is started before the answer is sent.
 
 use crate::action::Action;
 use crate::event::{EndpointReport, Event};
@@ -25,7 +25,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Limits while there is no bundle: nothing may be retried.
+/// Limits that apply without a bundle: no retries.
 const NO_LIMITS: RequestLimits = RequestLimits {
     retry_tokens: 0,
     retry_ratio_percent: 0,
@@ -34,22 +34,22 @@
     operation_retention: Millis(0),
 };
 
-/// What an engine is told at its start.
+/// Configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
     /// Name of the daemon.
     pub daemon: DaemonId,
     /// Zone of the daemon.
     pub zone: ZoneName,
-    /// The local endpoint, or none for a gateway.
+    /// The local endpoint; `None` for a gateway.
     pub endpoint: Option<LocalEndpoint>,
-    /// Seed of the engine's own random choices; also makes its ids differ from other daemons'.
+    /// Seed of the engine's random generator; it must differ between daemons, so that their ids do.
     pub seed: u64,
-    /// How long an unanswered claim is waited for before the answer is given up.
+    /// Time-out of a claim request to the ledger.
     pub claim_timeout: Duration,
 }
 
-/// The endpoint that a daemon stands beside.
+/// The endpoint that a daemon serves.
 #[derive(Clone, Debug)]
 pub struct LocalEndpoint {
     /// Its name.
@@ -72,13 +72,13 @@
     pub(crate) random: Pcg64Mcg,
     pub(crate) metrics: Metrics,
     pub(crate) is_draining: bool,
-    /// Time of the event that is handled.
+    /// Time of the event being handled.
     pub(crate) now: Timestamp,
     is_drained: bool,
 }
 
 impl Engine {
-    /// Creates an engine that is not ready until a bundle is installed.
+    /// Creates an engine; it answers `NotReady` until a bundle is installed.
     pub fn new(config: EngineConfig) -> Self {
         Self {
             bundle: None,
@@ -97,12 +97,12 @@
         }
     }
 
-    /// What the engine was told at its start.
+    /// Configuration with which the engine was created.
     pub fn config(&self) -> &EngineConfig {
         &self.config
     }
 
-    /// Counters, with the gauges as they are now.
+    /// Counters, with current values of the gauges.
     pub fn metrics(&self) -> Metrics {
         Metrics {
             queue_length: self.inbound.queue.len() as u64,
@@ -121,7 +121,7 @@
             .unwrap_or_default()
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions in order.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.run_due_timers(now, actions);
@@ -143,31 +143,31 @@
             Event::BundleInstalled(bundle) => self.install(bundle),
             Event::DirectoryUpdated(update) => self.directory.apply(now, update),
             Event::DrainRequested => self.is_draining = true,
-            Event::Tick => self.pump(now, actions),
+            Event::Tick => self.fill_slots(now, actions),
         }
         self.report_drained(actions);
     }
 
-    /// When [`Event::Tick`] is due next, if at all.
+    /// Time at which the next [`Event::Tick`] is due, if any.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.timers.next()
     }
 
-    /// Timers come before the event: after a pause of the process, what has run out of time is
-    /// ended before anything else is decided.
+    /// Timers are handled before the event, so that after a pause of the process everything past
+    /// its deadline ends before any other decision is made.
     fn run_due_timers(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
                 Timer::CallDeadline(call) => self.expire_call(now, call, actions),
                 Timer::AttemptDeadline(attempt) => self.expire_attempt(now, attempt, actions),
                 Timer::ClaimTimeout(attempt) => self.claim_timed_out(now, attempt, actions),
-                Timer::ClaimAgain(attempt) => self.claim_again(now, attempt, actions),
+                Timer::RepeatClaim(attempt) => self.repeat_claim(now, attempt, actions),
                 Timer::DetachedDispatch(attempt) => self.detached_timed_out(now, attempt, actions),
             }
         }
     }
 
-    /// Takes a bundle into force. An older one is refused: a bundle in force never goes back.
+    /// Installs a bundle. Versions up to the current one are ignored, so the version never decreases.
     fn install(&mut self, bundle: Arc<Bundle>) {
         if self.bundle.is_some() && bundle.version <= self.bundle_version() {
             return;
@@ -203,13 +203,13 @@
         Some(&policy.admission)
     }
 
-    /// Attempts that may wait at the local endpoint.
+    /// Length limit of the local endpoint's queue.
     pub(crate) fn queue_capacity(&self) -> usize {
         self.admission_policy()
             .map_or(0, |policy| policy.queue_length as usize)
     }
 
-    /// Attempts that may run at the local endpoint now.
+    /// Current limit on attempts running at the local endpoint.
     pub(crate) fn concurrency_limit(&self) -> u32 {
         let slots = self.inbound.report.map(|(_, report)| report.slots);
         self.inbound.limit.with_reported_slots(slots)
@@ -219,10 +219,10 @@
         self.inbound.load_percent(self.concurrency_limit())
     }
 
-    /// Whether the daemon or its endpoint takes no new work.
-    pub(crate) fn is_leaving(&self) -> bool {
-        let wants_no_work = |report: EndpointReport| report.draining;
+    /// Whether the daemon or its endpoint is draining.
+    pub(crate) fn refuses_new_work(&self) -> bool {
+        let is_endpoint_draining = |report: EndpointReport| report.draining;
         let reported = self.inbound.report;
-        self.is_draining || reported.is_some_and(|(_, report)| wants_no_work(report))
+        self.is_draining || reported.is_some_and(|(_, report)| is_endpoint_draining(report))
     }
 }
--- a/crates/bramblewheel-core/src/headers/answer.rs
+++ b/crates/bramblewheel-core/src/headers/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to an attempt: outcome and feedback.
+//! Headers of the answer to an attempt: outcome and feedback.
 
 use crate::cohort::COHORT_COUNT;
 use crate::event::{AdmissionLevel, Feedback};
@@ -9,27 +9,27 @@
 /// [`Outcome::as_str`] of [`Outcome::NotRun`].
 const NOT_RUN: &str = "not-run";
 
-/// An endpoint's own word that it ran nothing.
+/// An endpoint's statement that it did not run the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointRefusal {
-    /// Reason, if one was given.
+    /// Reason, if stated.
     pub reason: Option<NotRunReason>,
-    /// When callers may come back, if a time was given.
+    /// How long callers should wait, if stated.
     pub retry_after: Option<Millis>,
 }
 
 /// Headers of an answer between daemons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerHeaders {
-    /// The attempt answered; the caller drops an answer whose attempt is not the one it sent.
+    /// The answered attempt; the caller discards an answer to an attempt that it did not send.
     pub attempt: AttemptId,
     /// Outcome.
     pub outcome: Outcome,
-    /// News for the calling daemon.
+    /// Feedback for the calling daemon.
     pub feedback: Feedback,
 }
 
-/// Writes the headers that tell an application, or a caller outside, the outcome.
+/// Writes the headers that report the outcome to an application or an external caller.
 pub fn write_outcome(outcome: Outcome, to: &mut impl HeaderSink) {
     to.put_word(names::OUTCOME, outcome.as_str());
     if let Outcome::NotRun {
@@ -48,7 +48,7 @@
     write_feedback(answer.attempt, &answer.feedback, to);
 }
 
-/// Writes what an answer between daemons says besides its outcome.
+/// Writes the headers of an answer between daemons other than the outcome.
 pub fn write_feedback(attempt: AttemptId, feedback: &Feedback, to: &mut impl HeaderSink) {
     let level = feedback.admission_level;
     to.put(names::ATTEMPT, &attempt);
@@ -67,7 +67,7 @@
 /// Parses the headers of an answer between daemons.
 ///
 /// # Errors
-/// [`HeaderError`] when one is missing or can't be understood; the answer is then broken.
+/// [`HeaderError`] when a header is missing or malformed; the answer is then invalid.
 pub fn parse(fields: &Fields<'_>) -> Result<AnswerHeaders, HeaderError> {
     Ok(AnswerHeaders {
         attempt: fields.required(names::ATTEMPT)?,
@@ -85,7 +85,7 @@
 /// Parses an outcome.
 ///
 /// # Errors
-/// [`HeaderError`] when it is missing, unknown or lacks its reason.
+/// [`HeaderError`] when the outcome is missing or unknown, or lacks its reason.
 pub fn parse_outcome(fields: &Fields<'_>) -> Result<Outcome, HeaderError> {
     match fields.text(names::OUTCOME) {
         Some("completed") => Ok(Outcome::Completed),
@@ -100,8 +100,8 @@
     }
 }
 
-/// Parses an endpoint's own word that it ran nothing; the reason and the time to come back that
-/// it gives count only where they can be understood.
+/// Parses an endpoint's statement that it did not run the request. A malformed reason or
+/// retry-after time is ignored.
 pub fn parse_refusal(fields: &Fields<'_>) -> Option<EndpointRefusal> {
     if fields.text(names::OUTCOME) != Some(NOT_RUN) {
         return None;
--- a/crates/bramblewheel-core/src/headers/context.rs
+++ b/crates/bramblewheel-core/src/headers/context.rs
@@ -1,4 +1,4 @@
-//! The context of an attempt, from the calling daemon to the called one.
+//! Headers that carry the context of an attempt between daemons.
 
 use crate::context::{CallContext, Operation};
 use crate::headers::fields::Fields;
@@ -7,9 +7,9 @@
 use bramblewheel_types::{BundleVersion, OperationKey, Timestamp, headers as names};
 use std::time::Duration;
 
-/// Writes the headers of an attempt. The deadline becomes the time that remains at `now`, rounded
-/// down, so that no hop believes to have more time than its caller; the path goes in the request
-/// line.
+/// Writes the headers of an attempt. The deadline is written as the time remaining at `now`,
+/// rounded down, so that no hop assumes more time than its caller has. The path is sent in the
+/// request line.
 pub fn write(now: Timestamp, context: &CallContext, to: &mut impl HeaderSink) {
     to.put(names::CALL_ID, &context.call);
     to.put(names::SERVICE, &context.service);
@@ -26,7 +26,7 @@
     write_for_endpoint(now, context, to);
 }
 
-/// Writes what the endpoint is told of the attempt it runs.
+/// Writes the headers that the endpoint receives with an attempt.
 pub fn write_for_endpoint(now: Timestamp, context: &CallContext, to: &mut impl HeaderSink) {
     let remaining = context.deadline.since(now).as_millis();
     to.put(names::ATTEMPT, &context.attempt);
@@ -41,10 +41,10 @@
     }
 }
 
-/// Context of an attempt that arrived at `now` for `path`.
+/// Parses the context of an attempt that arrived at `now` for `path`.
 ///
 /// # Errors
-/// [`HeaderError`] when a header is missing or not acceptable, or the path is ambiguous.
+/// [`HeaderError`] when a header is missing or invalid, or the path is ambiguous.
 pub fn parse(now: Timestamp, path: &str, fields: &Fields<'_>) -> Result<CallContext, HeaderError> {
     let remaining = fields
         .required_number::<u64>(names::TIMEOUT_MS)?
@@ -66,10 +66,10 @@
     })
 }
 
-/// Key and mint time of an operation; both or neither must be there.
+/// Parses key and creation time of an operation; both or neither must be present.
 ///
 /// # Errors
-/// [`HeaderError`] when only one is there or one can't be understood.
+/// [`HeaderError`] when only one is present or one is malformed.
 pub fn parse_operation(fields: &Fields<'_>) -> Result<Option<Operation>, HeaderError> {
     let minted = fields.optional_number(names::OPERATION_MINTED)?;
     let Some(text) = fields.text(names::OPERATION_KEY) else {
--- a/crates/bramblewheel-core/src/headers/fields.rs
+++ b/crates/bramblewheel-core/src/headers/fields.rs
@@ -1,33 +1,33 @@
-//! The project's headers of one message, looked up by name and parsed by type.
+//! Headers of one message with the project's prefix, looked up by name and parsed by type.
 
 use crate::headers::{
     HeaderError, MAX_HEADERS, MAX_VALUE_LENGTH, has_prefix, may_come_from_outside,
 };
 use std::str::FromStr;
 
-/// Headers that most messages have room for without a second allocation.
-const USUAL_COUNT: usize = 16;
+/// Initial capacity; enough for most messages without a second allocation.
+const INITIAL_CAPACITY: usize = 16;
 
 /// Headers of one message whose names carry the project's prefix.
 ///
-/// They are few, so that a search through all of them is faster than an index.
+/// A message has only a few of them, so a linear search is faster than an index.
 #[derive(Debug, Default)]
 pub struct Fields<'a> {
     values: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Fields<'a> {
-    /// Collects the headers with the project's prefix; all others are ignored.
+    /// Collects the headers with the project's prefix and ignores all others.
     ///
     /// # Errors
-    /// [`HeaderError`] when one appears twice, is too long or is not visible ASCII, or when
-    /// there are too many.
+    /// [`HeaderError`] when a header appears twice, is too long or is not visible ASCII, or when
+    /// there are too many headers.
     pub fn collect<I>(headers: I) -> Result<Self, HeaderError>
     where
         I: IntoIterator<Item = (&'a str, &'a [u8])>,
     {
         let mut fields = Self {
-            values: Vec::with_capacity(USUAL_COUNT),
+            values: Vec::with_capacity(INITIAL_CAPACITY),
         };
         for (name, value) in headers {
             if has_prefix(name) {
@@ -37,7 +37,7 @@
         Ok(fields)
     }
 
-    /// Collects what a caller outside may set; what only daemons tell each other is dropped.
+    /// Collects the headers that external callers may set and drops those reserved for daemons.
     ///
     /// # Errors
     /// As [`Fields::collect`].
@@ -72,33 +72,33 @@
         Ok(())
     }
 
-    /// The text of a header, if it is there. Names are compared without regard to case.
+    /// The text of a header, if present. Names are case-insensitive.
     pub fn text(&self, name: &str) -> Option<&'a str> {
         let mut values = self.values.iter();
-        let found = values.find(|(known, _)| known.eq_ignore_ascii_case(name));
+        let found = values.find(|(present, _)| present.eq_ignore_ascii_case(name));
         found.map(|(_, text)| *text)
     }
 
-    /// A header parsed by its type, if it is there.
+    /// A header parsed by its type, if present.
     ///
     /// # Errors
-    /// [`HeaderError::Malformed`] when the value can't be understood.
+    /// [`HeaderError::Malformed`] when the value can't be parsed.
     pub fn optional<T: FromStr>(&self, name: &'static str) -> Result<Option<T>, HeaderError> {
         self.text(name).map(|text| parse(name, text)).transpose()
     }
 
-    /// A header that must be there.
+    /// A required header.
     ///
     /// # Errors
-    /// [`HeaderError`] when it is missing or can't be understood.
+    /// [`HeaderError`] when it is missing or can't be parsed.
     pub fn required<T: FromStr>(&self, name: &'static str) -> Result<T, HeaderError> {
         self.optional(name)?.ok_or(HeaderError::Missing(name))
     }
 
-    /// A whole number of digits only, if it is there.
+    /// An unsigned decimal number, if present.
     ///
     /// # Errors
-    /// [`HeaderError::Malformed`] when the value has anything but digits or is too large.
+    /// [`HeaderError::Malformed`] when the value contains anything but digits or is too large.
     pub fn optional_number<T: FromStr>(
         &self,
         name: &'static str,
@@ -110,16 +110,16 @@
         }
     }
 
-    /// A whole number that must be there.
+    /// A required unsigned decimal number.
     ///
     /// # Errors
-    /// [`HeaderError`] when it is missing or can't be understood.
+    /// [`HeaderError`] when it is missing or can't be parsed.
     pub fn required_number<T: FromStr>(&self, name: &'static str) -> Result<T, HeaderError> {
         self.optional_number(name)?
             .ok_or(HeaderError::Missing(name))
     }
 
-    /// A mark that is `1` where set and absent, or `0`, where not.
+    /// A flag: set if the value is `1`, not set if it is `0` or absent.
     ///
     /// # Errors
     /// [`HeaderError::Malformed`] for any other value.
--- a/crates/bramblewheel-core/src/headers/mod.rs
+++ b/crates/bramblewheel-core/src/headers/mod.rs
@@ -1,9 +1,9 @@
-//! A call's context and its answer as HTTP headers: one strict parser for all hops.
+//! Call contexts and answers as HTTP headers, with one strict parser for all hops.
 //!
-//! All headers of the project's prefix must be well formed, appear once and keep the length
-//! limit; unknown ones are not looked at beyond that, so that daemons of neighbouring releases
-//! understand each other. A gateway drops what outsiders may not set with
-//! [`may_come_from_outside`].
+//! Every header with the project's prefix must be well formed, appear once and respect the length
+//! limit. Unknown headers are otherwise ignored, so that daemons of adjacent releases can
+//! communicate. A gateway uses [`may_come_from_outside`] to drop headers that external callers
+//! may not set.
 
 pub mod answer;
 pub mod context;
@@ -16,30 +16,30 @@
 use std::fmt::Display;
 use thiserror::Error;
 
-/// Longest value of any of the project's headers, in bytes.
+/// Longest value of a header with the project's prefix, in bytes.
 pub const MAX_VALUE_LENGTH: usize = 320;
-/// Most headers of the project's prefix on one message.
+/// Maximum number of headers with the project's prefix on one message.
 pub const MAX_HEADERS: usize = 32;
 
-/// Longest remaining time believed, in milliseconds: one hour, as long as the longest deadline
-/// that a bundle may set. A longer one is cut.
+/// Longest remaining time accepted, in milliseconds: one hour, the longest deadline that a bundle
+/// may set. Longer values are reduced to it.
 pub const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
-/// A message on which headers are put.
+/// A message to which headers are added.
 pub trait HeaderSink {
-    /// Puts a header on the message; the value consists of visible ASCII by construction.
+    /// Adds a header; the value consists of visible ASCII by construction.
     fn put(&mut self, name: &'static str, value: &dyn Display);
 
-    /// Puts a header with a fixed word on the message.
+    /// Adds a header with a constant value.
     fn put_word(&mut self, name: &'static str, word: &'static str) {
         self.put(name, &word);
     }
 }
 
-/// Value of a mark that is set.
+/// Value of a flag that is set.
 const SET: &str = "1";
 
-/// Headers to be put on a message.
+/// Headers for one message.
 pub type HeaderList = Vec<(&'static str, String)>;
 
 impl HeaderSink for HeaderList {
@@ -48,35 +48,35 @@
     }
 }
 
-/// A header is missing or not acceptable.
+/// A header is missing or invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum HeaderError {
     /// A required header is missing.
     #[error("header `{0}` is missing")]
     Missing(&'static str),
-    /// The value can't be understood.
+    /// The value can't be parsed.
     #[error("header `{0}` has a malformed value")]
     Malformed(String),
     /// The header appears more than once.
     #[error("header `{0}` appears more than once")]
     Repeated(String),
-    /// The value is longer than [`MAX_VALUE_LENGTH`], or than the header's own limit.
+    /// The value exceeds [`MAX_VALUE_LENGTH`] or the header's own limit.
     #[error("header `{name}` is too long with {length} bytes")]
     TooLong {
         /// Header.
         name: String,
-        /// Length found, in bytes.
+        /// Actual length, in bytes.
         length: usize,
     },
-    /// The message has more than [`MAX_HEADERS`] headers of the project's prefix.
+    /// The message has more than [`MAX_HEADERS`] headers with the project's prefix.
     #[error("more than {MAX_HEADERS} headers")]
     TooMany,
-    /// The request's path can't be matched safely.
+    /// The path of the request can't be matched safely.
     #[error(transparent)]
     Path(#[from] AmbiguousPath),
 }
 
-/// Headers that a caller outside the call graph may set.
+/// Headers that callers outside the call graph may set.
 const FROM_OUTSIDE: [&str; 9] = [
     names::SERVICE,
     names::REQUEST_ID,
@@ -89,16 +89,16 @@
     names::OPERATION_MINTED,
 ];
 
-/// Whether a header of this name may come from a caller outside; a gateway drops the others of
-/// the project's prefix. Names are compared without regard to case.
+/// Whether an external caller may set the header; a gateway drops all other headers with the
+/// project's prefix. Names are case-insensitive.
 pub fn may_come_from_outside(name: &str) -> bool {
     !has_prefix(name)
         || FROM_OUTSIDE
             .iter()
-            .any(|known| known.eq_ignore_ascii_case(name))
+            .any(|allowed| allowed.eq_ignore_ascii_case(name))
 }
 
-/// Whether a name carries the project's prefix.
+/// Whether a header name has the project's prefix.
 pub fn has_prefix(name: &str) -> bool {
     name.get(..names::PREFIX.len())
         .is_some_and(|start| start.eq_ignore_ascii_case(names::PREFIX))
--- a/crates/bramblewheel-core/src/headers/request.rs
+++ b/crates/bramblewheel-core/src/headers/request.rs
@@ -1,4 +1,4 @@
-//! What applications and callers outside say of a call.
+//! Headers of a call from an application or an external caller.
 
 use crate::context::Operation;
 use crate::headers::context::parse_operation;
@@ -7,36 +7,36 @@
 use bramblewheel_types::{AttemptId, Criticality, RequestId, ServiceName, headers as names};
 use std::time::Duration;
 
-/// Longest name a caller may state, in bytes.
+/// Longest caller name, in bytes.
 pub const MAX_CALLER_LENGTH: usize = 64;
 
-/// Headers of a call as an application or a caller outside sends it.
+/// Parsed headers of a call from an application or an external caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHeaders {
     /// Service called.
     pub service: ServiceName,
-    /// Attempt on whose behalf an endpoint calls; absent for root calls.
+    /// Attempt for which an endpoint makes the call; absent for root calls.
     pub parent: Option<AttemptId>,
-    /// Original request, if the caller chose one.
+    /// Original request id, if the caller chose one.
     pub request: Option<RequestId>,
-    /// Name the caller gives itself.
+    /// Name stated by the caller.
     pub caller: Option<String>,
     /// Number of this resend; 0 for the first send.
     pub resend: u32,
-    /// Importance stated.
+    /// Requested class.
     pub criticality: Option<Criticality>,
-    /// Time that the caller is ready to wait, cut at [`MAX_TIMEOUT_MS`].
+    /// How long the caller waits, at most [`MAX_TIMEOUT_MS`].
     pub timeout: Option<Duration>,
-    /// Session token, or the wish for one; not verified yet.
+    /// Unverified session token, or a request for a new one.
     pub session: Option<String>,
-    /// Key of an operation that must not run twice.
+    /// Identity of an operation that must not run twice.
     pub operation: Option<Operation>,
 }
 
 /// Parses the headers of a call.
 ///
 /// # Errors
-/// [`HeaderError`] when the service is missing or a header can't be understood.
+/// [`HeaderError`] when the service is missing or a header is malformed.
 pub fn parse(fields: &Fields<'_>) -> Result<RequestHeaders, HeaderError> {
     Ok(RequestHeaders {
         service: fields.required(names::SERVICE)?,
--- a/crates/bramblewheel-core/src/headers/route_path.rs
+++ b/crates/bramblewheel-core/src/headers/route_path.rs
@@ -1,16 +1,16 @@
-//! The path by which a bundle's routes are matched.
+//! Normalization of the request path for matching the routes of a bundle.
 
 use thiserror::Error;
 
-/// A path that endpoints may read differently from how routes are matched.
+/// The endpoint may interpret the path differently from route matching.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the path holds an empty or dot segment, or a broken percent escape")]
 pub struct AmbiguousPath;
 
-/// Undoes percent escapes of letters, digits and `-._~`, and refuses empty and dot segments.
+/// Decodes percent escapes of letters, digits and `-._~`, and refuses empty and dot segments.
 ///
-/// Otherwise a request for `/%70ay` or `//pay` would miss the route `/pay` and with it its mark
-/// as not repeatable, while the endpoint runs it all the same.
+/// Otherwise a request for `/%70ay` or `//pay` would not match the route `/pay` and would count
+/// as repeatable although that route is not, while the endpoint would run it as `/pay`.
 ///
 /// # Errors
 /// [`AmbiguousPath`] when the path can't be matched safely.
--- a/crates/bramblewheel-core/src/inbound/accept.rs
+++ b/crates/bramblewheel-core/src/inbound/accept.rs
@@ -1,4 +1,4 @@
-//! Takes inbound attempts in, or refuses them at once.
+//! Admits inbound attempts or refuses them on arrival.
 
 use crate::action::Action;
 use crate::cohort::shedding_position;
@@ -16,8 +16,8 @@
         context: CallContext,
         actions: &mut Vec<Action>,
     ) {
-        // A repeated message: the first one has been or will be answered.
-        let is_new = self.inbound.recent.insert(context.attempt, ());
+        // A duplicate message: the original has been or will be answered.
+        let is_new = self.inbound.recent_attempts.insert(context.attempt, ());
         if !is_new || self.inbound.attempts.contains_key(&context.attempt) {
             self.metrics.late_events += 1;
             return;
@@ -26,7 +26,7 @@
             Ok(place) => self.enqueue(now, context, place),
             Err(reason) => self.refuse_attempt(&context, reason, actions),
         }
-        self.pump(now, actions);
+        self.fill_slots(now, actions);
     }
 
     fn enqueue(&mut self, now: Timestamp, context: CallContext, place: QueuePlace) {
@@ -50,24 +50,26 @@
         let shedding = shedding_position(context.criticality, context.in_session, context.request);
         self.inbound.level.record_offered(now, shedding);
         let limit = self.concurrency_limit();
-        self.inbound.level.record_use(self.inbound.running, limit);
+        self.inbound
+            .level
+            .record_utilization(self.inbound.running, limit);
         let importance = Importance {
             criticality: context.criticality,
             in_session: context.in_session,
         };
         let is_below_level = shedding < self.inbound.level.level();
-        if is_below_level && self.must_wait() && !self.keeps_less_important(importance) {
+        if is_below_level && self.must_wait() && !self.queue_holds_less_important(importance) {
             return Err(self.shed(context));
         }
         self.offer(context, importance, actions)
     }
 
-    /// Whether the attempt would have to wait for a slot.
+    /// Whether a new attempt would have to wait for a slot.
     fn must_wait(&self) -> bool {
         !self.inbound.queue.is_empty() || self.inbound.running >= self.concurrency_limit()
     }
 
-    fn keeps_less_important(&self, importance: Importance) -> bool {
+    fn queue_holds_less_important(&self, importance: Importance) -> bool {
         self.inbound
             .queue
             .lowest()
@@ -90,7 +92,7 @@
         if !is_ours {
             return Err(NotRunReason::InvalidRequest);
         }
-        if self.is_leaving() {
+        if self.refuses_new_work() {
             return Err(NotRunReason::Draining);
         }
         if context.depth > bundle.limits.max_depth {
@@ -111,7 +113,7 @@
         importance: Importance,
         actions: &mut Vec<Action>,
     ) -> Result<QueuePlace, NotRunReason> {
-        // An attempt that finds a free slot passes through the queue, whatever its length.
+        // With a free slot the attempt only passes through the queue, so the length limit is not applied.
         let capacity = self.queue_capacity() + usize::from(!self.must_wait());
         let order = self.service_order();
         let offer = self
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Answers an attempt that the queue has already let go.
+    /// Answers an attempt that the queue has already evicted.
     fn evict(&mut self, id: AttemptId, actions: &mut Vec<Action>) {
         let Some(attempt) = self.inbound.attempts.remove(&id) else {
             return;
@@ -141,7 +143,7 @@
         self.end_not_run(attempt, reason, actions);
     }
 
-    /// Which end of a group of equal importance is served first now.
+    /// Current service order within a group of equal importance.
     pub(crate) fn service_order(&self) -> ServiceOrder {
         if self.inbound.level.is_overloaded() {
             ServiceOrder::NewestFirst
@@ -150,29 +152,29 @@
         }
     }
 
-    /// The calling daemon went away.
+    /// Handles a disconnect of the calling daemon.
     pub(crate) fn cancel_attempt(
         &mut self,
         now: Timestamp,
         id: AttemptId,
         actions: &mut Vec<Action>,
     ) {
-        self.give_up_attempt(now, id, NotRunReason::Cancelled, actions);
-        self.pump(now, actions);
+        self.abort_attempt(now, id, NotRunReason::Cancelled, actions);
+        self.fill_slots(now, actions);
     }
 
-    /// The deadline of an attempt passed.
+    /// Handles an attempt whose deadline has passed.
     pub(crate) fn expire_attempt(
         &mut self,
         now: Timestamp,
         id: AttemptId,
         actions: &mut Vec<Action>,
     ) {
-        self.give_up_attempt(now, id, NotRunReason::DeadlineExceeded, actions);
-        self.pump(now, actions);
+        self.abort_attempt(now, id, NotRunReason::DeadlineExceeded, actions);
+        self.fill_slots(now, actions);
     }
 
-    fn give_up_attempt(
+    fn abort_attempt(
         &mut self,
         now: Timestamp,
         id: AttemptId,
@@ -187,7 +189,7 @@
                 self.inbound.queue.remove(&place);
                 self.end_not_run(attempt, reason, actions);
             }
-            Stage::Claiming { until } => self.give_up_claim(attempt, until, reason, actions),
+            Stage::Claiming { until } => self.abort_claim(attempt, until, reason, actions),
             Stage::Running { since } => self.abandon_dispatch(now, attempt, since, actions),
             Stage::Detached { .. } => {
                 self.inbound.attempts.insert(id, attempt);
--- a/crates/bramblewheel-core/src/inbound/claim.rs
+++ b/crates/bramblewheel-core/src/inbound/claim.rs
@@ -1,7 +1,7 @@
-//! Life cycle of a claim: asked for, granted, used or given back.
+//! Life cycle of a claim: requested, granted, then used or released.
 //!
-//! A slot is held while the claim is asked for, so that a granted operation runs at once. A
-//! claim belongs to one attempt; the ledger ignores the release of another's claim.
+//! A slot is held while the claim is requested, so that a granted operation runs immediately. A
+//! claim belongs to one attempt; the ledger ignores a release by any other attempt.
 
 use crate::action::Action;
 use crate::engine::Engine;
@@ -11,13 +11,13 @@
 use bramblewheel_types::{AttemptId, NotRunReason, OperationKey, Outcome, Timestamp};
 use std::time::Duration;
 
-/// How often the ledger is asked again while another attempt holds the claim.
-const MAX_CLAIMS_AGAIN: u32 = 2;
-/// Time before the ledger is asked again, times the number of refusals so far.
-const CLAIM_AGAIN_AFTER: Duration = Duration::from_millis(15);
+/// How often a claim request is repeated while another attempt holds the claim.
+const MAX_CLAIM_REPEATS: u32 = 2;
+/// Delay before a claim request is repeated, multiplied by the number of refusals so far.
+const CLAIM_REPEAT_DELAY: Duration = Duration::from_millis(15);
 
 impl Engine {
-    /// Asks for the claim of an attempt that holds a slot.
+    /// Requests the claim for an attempt that holds a slot.
     pub(crate) fn begin_claim(
         &mut self,
         now: Timestamp,
@@ -51,61 +51,67 @@
     ) {
         let stage = self.inbound.attempts.get(&id).map(|attempt| attempt.stage);
         let Some(Stage::Claiming { until }) = stage else {
-            return self.claim_answered_late(id, stage, answer, actions);
+            return self.late_claim_answered(id, stage, answer, actions);
         };
         self.timers.clear(until, Timer::ClaimTimeout(id));
-        self.timers.clear(until, Timer::ClaimAgain(id));
+        self.timers.clear(until, Timer::RepeatClaim(id));
         let Some(attempt) = self.inbound.attempts.remove(&id) else {
             return;
         };
         match answer {
-            ClaimAnswer::Granted => self.use_grant(now, attempt, actions),
+            ClaimAnswer::Granted => self.dispatch_granted(now, attempt, actions),
             ClaimAnswer::Completed { failed, answer } => {
                 self.free_slot();
                 self.end_stored(attempt, failed, answer, actions);
             }
-            ClaimAnswer::HeldElsewhere => self.claim_held(now, attempt, actions),
+            ClaimAnswer::HeldElsewhere => self.claim_held_elsewhere(now, attempt, actions),
             ClaimAnswer::Expired => {
                 self.free_slot();
                 self.end_not_run(attempt, NotRunReason::OperationExpired, actions);
             }
             ClaimAnswer::Unavailable => {
-                self.end_unclaimed(attempt, NotRunReason::LedgerUnavailable, actions);
+                self.end_undispatched(attempt, NotRunReason::LedgerUnavailable, actions);
             }
         }
-        self.pump(now, actions);
+        self.fill_slots(now, actions);
     }
 
-    /// Another attempt holds the claim. Its release or its result may be on the way, when the
-    /// caller was refused there a moment ago or sent twice; so the ledger is asked again, a few
-    /// times within milliseconds, before the caller is told that nothing is known.
-    fn claim_held(
+    /// Handles a claim held by another attempt. That attempt's release or result may be in transit,
+    /// because the caller was just refused there or sent the request twice. The claim request is
+    /// therefore repeated a few times within milliseconds before the caller is answered `Unknown`.
+    fn claim_held_elsewhere(
         &mut self,
         now: Timestamp,
         mut attempt: InboundAttempt,
         actions: &mut Vec<Action>,
     ) {
-        attempt.times_held += 1;
-        if attempt.times_held > MAX_CLAIMS_AGAIN {
+        attempt.held_answers += 1;
+        if attempt.held_answers > MAX_CLAIM_REPEATS {
             self.free_slot();
-            return self.end_bodiless(attempt, Outcome::Unknown, true, actions);
+            return self.end_without_body(attempt, Outcome::Unknown, true, actions);
         }
         let id = attempt.context.attempt;
-        let at = now + CLAIM_AGAIN_AFTER * attempt.times_held;
-        self.timers.set(at, Timer::ClaimAgain(id));
+        let at = now + CLAIM_REPEAT_DELAY * attempt.held_answers;
+        self.timers.set(at, Timer::RepeatClaim(id));
         attempt.stage = Stage::Claiming { until: at };
         self.inbound.attempts.insert(id, attempt);
     }
 
-    pub(crate) fn claim_again(&mut self, now: Timestamp, id: AttemptId, actions: &mut Vec<Action>) {
+    pub(crate) fn repeat_claim(
+        &mut self,
+        now: Timestamp,
+        id: AttemptId,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(attempt) = self.inbound.attempts.remove(&id) else {
             return;
         };
         self.begin_claim(now, attempt, actions);
     }
 
-    /// An answer for an attempt that was given up: a grant is returned, never used.
-    fn claim_answered_late(
+    /// Handles a claim answer for an attempt that no longer waits for it. A grant for an aborted
+    /// attempt is released and never used.
+    fn late_claim_answered(
         &mut self,
         id: AttemptId,
         stage: Option<Stage>,
@@ -113,30 +119,35 @@
         actions: &mut Vec<Action>,
     ) {
         self.metrics.late_events += 1;
-        // A repeated grant of a claim in use is not a late one.
+        // A duplicate grant of a claim in use must not be released.
         let is_in_use = stage.is_some();
         if answer != ClaimAnswer::Granted || is_in_use {
             return;
         }
-        // Only of claims given up before their grant: those that were used have been forgotten.
+        // Contains only attempts aborted before their grant, not those whose claim was used.
         if let Some(key) = self.inbound.abandoned.remove(&id) {
             self.metrics.late_grants += 1;
             self.release(id, key, actions);
         }
     }
 
-    /// The moment before dispatch: after a pause of the process the deadline may have passed,
-    /// although its timer has not been looked at yet. A drain that began meanwhile does not
-    /// stop the operation: it was accepted before, and a planned stop interrupts nothing.
-    fn use_grant(&mut self, now: Timestamp, attempt: InboundAttempt, actions: &mut Vec<Action>) {
+    /// Dispatches a granted operation if it can still finish in time: after a pause of the process
+    /// the deadline may have passed before its timer was handled. A drain that began meanwhile
+    /// does not stop the operation, which was accepted before it.
+    fn dispatch_granted(
+        &mut self,
+        now: Timestamp,
+        attempt: InboundAttempt,
+        actions: &mut Vec<Action>,
+    ) {
         if self.can_finish(now, &attempt.context) {
             return self.dispatch(now, attempt, actions);
         }
-        self.end_unclaimed(attempt, NotRunReason::DeadlineExceeded, actions);
+        self.end_undispatched(attempt, NotRunReason::DeadlineExceeded, actions);
     }
 
-    /// Ends an attempt that holds a slot and perhaps a claim, but was not dispatched.
-    fn end_unclaimed(
+    /// Ends an attempt that holds a slot and possibly a claim, but was not dispatched.
+    fn end_undispatched(
         &mut self,
         attempt: InboundAttempt,
         reason: NotRunReason,
@@ -144,16 +155,16 @@
     ) {
         self.free_slot();
         self.release_claim(&attempt, actions);
-        if attempt.times_held > 0 {
+        if attempt.held_answers > 0 {
             // The holder may have run the operation.
-            return self.end_bodiless(attempt, Outcome::Unknown, true, actions);
+            return self.end_without_body(attempt, Outcome::Unknown, true, actions);
         }
         self.end_not_run(attempt, reason, actions);
     }
 
-    /// Gives up while the ledger has not answered. The claim may be recorded all the same, so
-    /// it is released now, and once more if a grant still comes.
-    pub(crate) fn give_up_claim(
+    /// Aborts an attempt whose claim request is unanswered. The claim may have been recorded
+    /// nevertheless, so it is released now, and again if a grant arrives later.
+    pub(crate) fn abort_claim(
         &mut self,
         attempt: InboundAttempt,
         until: Timestamp,
@@ -162,11 +173,11 @@
     ) {
         let id = attempt.context.attempt;
         self.timers.clear(until, Timer::ClaimTimeout(id));
-        self.timers.clear(until, Timer::ClaimAgain(id));
+        self.timers.clear(until, Timer::RepeatClaim(id));
         if let Some(operation) = &attempt.context.operation {
             self.inbound.abandoned.insert(id, operation.key.clone());
         }
-        self.end_unclaimed(attempt, reason, actions);
+        self.end_undispatched(attempt, reason, actions);
     }
 
     pub(crate) fn claim_timed_out(
@@ -183,11 +194,11 @@
             return;
         };
         let reason = NotRunReason::LedgerUnavailable;
-        self.give_up_claim(attempt, until, reason, actions);
-        self.pump(now, actions);
+        self.abort_claim(attempt, until, reason, actions);
+        self.fill_slots(now, actions);
     }
 
-    /// Returns the claim of an attempt that provably did not run, if it has one.
+    /// Releases the claim, if any, of an attempt that provably did not run.
     pub(crate) fn release_claim(&mut self, attempt: &InboundAttempt, actions: &mut Vec<Action>) {
         if let Some(operation) = &attempt.context.operation {
             self.release(attempt.context.attempt, operation.key.clone(), actions);
@@ -200,7 +211,7 @@
         actions.push(Action::Ledger { attempt, request });
     }
 
-    /// Asks the ledger to record how an operation ended, if the attempt is one.
+    /// Requests that the ledger record the result, if the attempt runs a run-once operation.
     pub(crate) fn complete_claim(
         &mut self,
         attempt: &InboundAttempt,
--- a/crates/bramblewheel-core/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-core/src/inbound/dispatch.rs
@@ -1,4 +1,4 @@
-//! Passes attempts to the local endpoint and judges how they ended there.
+//! Dispatches attempts to the local endpoint and evaluates their results.
 
 use crate::action::Action;
 use crate::context::CallContext;
@@ -10,14 +10,14 @@
 use bramblewheel_types::{AttemptId, Millis, NotRunReason, Outcome, Timestamp};
 use std::time::Duration;
 
-/// How long the end of a run-once operation is waited for after its caller was answered.
+/// How long to wait for the result of a run-once operation after its caller was answered.
 const DETACHED_GRACE: Duration = Duration::from_secs(30);
 /// Status stored for an operation that its endpoint refused after it had begun sub-calls.
 const REFUSED_AFTER_START: u16 = 500;
 
 impl Engine {
-    /// Fills free slots from the queue. What can't finish in time is dropped before it runs.
-    pub(crate) fn pump(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    /// Fills free slots from the queue. Attempts that can't finish in time are refused, not run.
+    pub(crate) fn fill_slots(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         while self.inbound.running < self.concurrency_limit() {
             let order = self.service_order();
             let Some((_, id)) = self.inbound.queue.take(order) else {
@@ -46,10 +46,10 @@
         }
     }
 
-    /// Whether an attempt begun now could end by its deadline.
+    /// Whether an attempt dispatched now could finish by its deadline.
     pub(crate) fn can_finish(&self, now: Timestamp, context: &CallContext) -> bool {
         let route = self.route_number(context);
-        now + self.inbound.service_times.shortest(now, route) < context.deadline
+        now + self.inbound.service_times.lower_bound(now, route) < context.deadline
     }
 
     pub(crate) fn route_number(&self, context: &CallContext) -> usize {
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Passes an attempt that holds a slot to the endpoint.
+    /// Dispatches an attempt that holds a slot.
     pub(crate) fn dispatch(
         &mut self,
         now: Timestamp,
@@ -101,11 +101,11 @@
         self.record_latency(now, since, &attempt.context, &result);
         self.record_path_level(now, &attempt, &result);
         self.free_slot();
-        let end = self.judge_dispatch(&attempt, result, actions);
+        let end = self.evaluate_dispatch(&attempt, result, actions);
         if is_awaited {
             self.end_dispatched(attempt, end, actions);
         }
-        self.pump(now, actions);
+        self.fill_slots(now, actions);
     }
 
     fn record_latency(
@@ -118,7 +118,7 @@
         let running = self.inbound.running;
         let duration = now.since(since);
         match result {
-            // A failed request mostly ended early, so that its time says nothing of a whole one's.
+            // Failed requests usually end early, so their duration says nothing about completed ones.
             DispatchResult::Answered { failed: true, .. } => {}
             DispatchResult::Answered { failed: false, .. } => {
                 let route = self.route_number(context);
@@ -144,13 +144,13 @@
             return;
         }
         let route = self.route_number(&attempt.context);
-        let is_whole = matches!(result, DispatchResult::Answered { failed: false, .. });
+        let succeeded = matches!(result, DispatchResult::Answered { failed: false, .. });
         let levels = &mut self.inbound.path_levels;
-        levels.record(now, route, attempt.met_level, is_whole);
+        levels.record(now, route, attempt.sub_call_level, succeeded);
     }
 
-    /// What is proved by the end of a dispatch; also settles the claim of an operation.
-    fn judge_dispatch(
+    /// Determines what the result of a dispatch proves, and completes or releases the claim.
+    fn evaluate_dispatch(
         &mut self,
         attempt: &InboundAttempt,
         result: DispatchResult,
@@ -162,7 +162,7 @@
                 DispatchEnd::Answered { failed }
             }
             DispatchResult::Lost => DispatchEnd::Lost,
-            // Whatever the endpoint says, a request whose sub-calls were begun has run in part.
+            // A request that has made sub-calls has partly run, whatever the endpoint reports.
             DispatchResult::NotSent | DispatchResult::Refused { .. } if attempt.has_sub_calls => {
                 let stored = StoredAnswer {
                     status: REFUSED_AFTER_START,
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Gives up an attempt that is running. What may be run again is stopped. A run-once
-    /// operation is left to end, so that its result can be recorded for resends.
+    /// Aborts a running attempt. A repeatable request is cancelled at the endpoint. A run-once
+    /// operation keeps running, so that its result can be recorded for resends.
     pub(crate) fn abandon_dispatch(
         &mut self,
         now: Timestamp,
@@ -207,7 +207,7 @@
                 .record(now, now.since(since), self.inbound.running);
             self.free_slot();
             actions.push(Action::CancelDispatch { attempt: id });
-            return self.end_bodiless(attempt, Outcome::Unknown, false, actions);
+            return self.end_without_body(attempt, Outcome::Unknown, false, actions);
         }
         let until = now + DETACHED_GRACE;
         self.timers.set(until, Timer::DetachedDispatch(id));
@@ -216,7 +216,7 @@
         self.inbound.attempts.insert(id, attempt);
     }
 
-    /// A run-once operation did not end within its grace; its claim stays.
+    /// Handles a run-once operation that did not end within its grace time; its claim is kept.
     pub(crate) fn detached_timed_out(
         &mut self,
         now: Timestamp,
@@ -227,26 +227,26 @@
             self.free_slot();
             actions.push(Action::CancelDispatch { attempt: id });
         }
-        self.pump(now, actions);
+        self.fill_slots(now, actions);
     }
 }
 
-/// How a dispatch ended, as far as it is proved.
+/// Proven result of a dispatch.
 pub(crate) enum DispatchEnd {
     /// The endpoint answered.
     Answered {
-        /// Whether it reported an error.
+        /// Whether the answer reports an error.
         failed: bool,
     },
-    /// The endpoint refused, but only after it had begun sub-calls.
+    /// The endpoint refused after it had made sub-calls.
     RanInPart,
-    /// It may have run.
+    /// The request may have run.
     Lost,
-    /// The endpoint did not run it.
+    /// The endpoint did not run the request.
     NotRun {
-        /// Why.
+        /// Reason for the refusal.
         reason: NotRunReason,
-        /// The endpoint's own wish, if it stated one.
+        /// Retry-after time stated by the endpoint, if any.
         retry_after: Option<Millis>,
     },
 }
--- a/crates/bramblewheel-core/src/inbound/finish.rs
+++ b/crates/bramblewheel-core/src/inbound/finish.rs
@@ -1,4 +1,4 @@
-//! Answers to inbound attempts, each with news for the calling daemon.
+//! Answers to inbound attempts, each with feedback for the calling daemon.
 
 use crate::action::{Action, Answer, AnswerBody};
 use crate::context::CallContext;
@@ -17,8 +17,8 @@
         end: DispatchEnd,
         actions: &mut Vec<Action>,
     ) {
-        // The hop below has tried again as often as it may; doing so here would re-run it all.
-        let lies_below = attempt.has_failed_sub_call;
+        // The hop below has already used its retries; retrying here would rerun the whole subtree.
+        let failed_below = attempt.has_failed_sub_call;
         match end {
             DispatchEnd::Answered { failed } => {
                 let outcome = if failed {
@@ -27,13 +27,13 @@
                     Outcome::Completed
                 };
                 let body = AnswerBody::FromAttempt(attempt.context.attempt);
-                self.end_attempt(attempt, outcome, failed && lies_below, body, actions);
+                self.end_attempt(attempt, outcome, failed && failed_below, body, actions);
             }
             DispatchEnd::RanInPart => {
-                self.end_bodiless(attempt, Outcome::Failed, lies_below, actions);
+                self.end_without_body(attempt, Outcome::Failed, failed_below, actions);
             }
             DispatchEnd::Lost => {
-                self.end_bodiless(attempt, Outcome::Unknown, lies_below, actions);
+                self.end_without_body(attempt, Outcome::Unknown, failed_below, actions);
             }
             DispatchEnd::NotRun {
                 reason,
@@ -59,7 +59,7 @@
             }
             _ => own,
         };
-        self.end_bodiless(attempt, outcome, is_final(reason), actions);
+        self.end_without_body(attempt, outcome, is_final(reason), actions);
     }
 
     /// Ends an attempt that has not run.
@@ -70,10 +70,10 @@
         actions: &mut Vec<Action>,
     ) {
         let outcome = self.refusal(reason);
-        self.end_bodiless(attempt, outcome, is_final(reason), actions);
+        self.end_without_body(attempt, outcome, is_final(reason), actions);
     }
 
-    /// Ends an attempt with the answer that the ledger keeps of its operation.
+    /// Ends an attempt with the answer stored in the ledger for its operation.
     pub(crate) fn end_stored(
         &mut self,
         attempt: InboundAttempt,
@@ -90,7 +90,7 @@
         self.end_attempt(attempt, outcome, true, body, actions);
     }
 
-    pub(crate) fn end_bodiless(
+    pub(crate) fn end_without_body(
         &mut self,
         attempt: InboundAttempt,
         outcome: Outcome,
@@ -115,8 +115,8 @@
         self.answer(&mut attempt, answer, is_final, actions);
     }
 
-    /// Answers `Unknown` for an operation that goes on running. Its sub-calls go on as well:
-    /// stopping them would leave the operation half done.
+    /// Answers `Unknown` for an operation that keeps running. Its sub-calls are not cancelled, since
+    /// that would leave the operation half done.
     pub(crate) fn answer_detached(
         &mut self,
         attempt: &mut InboundAttempt,
@@ -129,7 +129,7 @@
         self.answer(attempt, answer, true, actions);
     }
 
-    /// Answers an attempt: closes its pool and tells the news.
+    /// Answers an attempt, closing its token pool and adding feedback.
     fn answer(
         &mut self,
         attempt: &mut InboundAttempt,
@@ -143,12 +143,12 @@
         let feedback = Feedback {
             retry_tokens_spent: attempt.pool.close(),
             is_final,
-            ..self.news(&attempt.context)
+            ..self.current_feedback(&attempt.context)
         };
         self.push_answer(&attempt.context, answer, feedback, actions);
     }
 
-    /// Refuses an attempt that was never taken in.
+    /// Refuses an attempt that was not admitted.
     pub(crate) fn refuse_attempt(
         &mut self,
         context: &CallContext,
@@ -158,7 +158,7 @@
         let outcome = self.refusal(reason);
         let feedback = Feedback {
             is_final: is_final(reason),
-            ..self.news(context)
+            ..self.current_feedback(context)
         };
         let body = AnswerBody::None;
         self.push_answer(context, Answer { outcome, body }, feedback, actions);
@@ -169,13 +169,13 @@
         not_run(reason, load, &mut self.random)
     }
 
-    fn news(&self, context: &CallContext) -> Feedback {
+    fn current_feedback(&self, context: &CallContext) -> Feedback {
         let route = self.route_number(context);
         let below = self.inbound.path_levels.level(self.now, route);
         Feedback {
             retry_tokens_spent: 0,
             is_final: false,
-            draining: self.is_leaving(),
+            draining: self.refuses_new_work(),
             load_percent: self.load_percent(),
             admission_level: self.inbound.level.level().max(below),
         }
@@ -199,8 +199,8 @@
     }
 }
 
-/// Whether no hop above may try a refused attempt again. Overload is final: trying elsewhere
-/// adds load at the moment when there is too much of it already.
+/// Whether hops above must not retry a refused attempt. Overload is final, because an attempt
+/// elsewhere would add load while there is already too much.
 fn is_final(reason: NotRunReason) -> bool {
     match reason {
         NotRunReason::Overloaded
--- a/crates/bramblewheel-core/src/inbound/level.rs
+++ b/crates/bramblewheel-core/src/inbound/level.rs
@@ -1,10 +1,11 @@
-//! Admission level from queueing delay, told to callers so that they shed before sending.
+//! Admission level derived from queueing delay and reported to callers, which shed before sending.
 //!
-//! At the end of each window the level moves: up, while the mean queueing delay is too long, so
-//! that what passes is what was served, or a twentieth less; down by a small step otherwise. A
-//! histogram of the offered requests over (class, cohort) says how far to move. Down is slower
-//! than up, and both are relative, so that callers do not swing between all and nothing; only
-//! when slots are clearly free does the level fall fast.
+//! The level is adjusted at the end of each window. If the mean queueing delay was too long, it
+//! rises so that the admitted load falls to the served load, or by a twentieth if that is more.
+//! Otherwise it falls by a small step. A histogram of offered requests over (class, cohort)
+//! determines the size of the change. Falling is slower than rising and both are relative to the
+//! admitted load, so that callers do not oscillate between sending everything and nothing. The
+//! level falls fast only when slots are clearly free.
 
 use crate::cohort::COHORT_COUNT;
 use crate::event::AdmissionLevel;
@@ -13,29 +14,29 @@
 
 /// Length of a window.
 const WINDOW: Duration = Duration::from_millis(200);
-/// Mean queueing delay from which the endpoint counts as overloaded.
+/// Mean queueing delay above which the endpoint counts as overloaded.
 const TARGET_DELAY: Duration = Duration::from_millis(20);
-/// Smallest share of the admitted load that is taken off in an overloaded window.
+/// Smallest share of the admitted load removed in an overloaded window.
 const DECREASE: f64 = 0.05;
-/// Largest share of the admitted load that is taken off in one window.
+/// Largest share of the admitted load removed in one window.
 const MAX_DECREASE: f64 = 0.5;
-/// Share of the admitted load that is added in a window without overload.
+/// Share of the admitted load added in a window without overload.
 const INCREASE: f64 = 0.02;
-/// Positions over all classes.
+/// Number of positions over all classes.
 const POSITIONS: usize = Criticality::ALL.len() * COHORT_COUNT as usize;
-/// Mean share of the slots in use below which there is clearly room.
-const IDLE_USE: f64 = 0.75;
-/// Steps down per window while there is no overload.
+/// Mean slot utilization below which slots are clearly free.
+const IDLE_UTILIZATION: f64 = 0.75;
+/// Steps that the level falls per window without overload.
 const FALL_STEPS: u128 = COHORT_COUNT as u128 / 8;
-/// Steps down in the first window with clearly room; doubled with each further one in a row, so
-/// that refusals end soon after a surge.
+/// Steps that the level falls in the first window with clearly free slots. Doubled in each further
+/// consecutive one, so that refusals end soon after a surge.
 const IDLE_FALL_STEPS: u128 = COHORT_COUNT as u128 / 2;
-/// Most doublings of the steps down.
+/// Maximum number of doublings of these steps.
 const MAX_IDLE_DOUBLINGS: u32 = 3;
-/// The level never passes this, so that some of the most important calls always come through.
+/// Highest level, so that some of the most important calls are always admitted.
 const MAX_POSITION: usize = POSITIONS - COHORT_COUNT as usize / 4;
 
-/// Moves the admission level of the local endpoint.
+/// Adjusts the admission level of the local endpoint.
 #[derive(Debug)]
 pub struct LevelController {
     position: usize,
@@ -45,14 +46,14 @@
     delays: u32,
     served: u32,
     has_shed: bool,
-    use_sum: f64,
-    uses: u32,
-    /// Windows with clearly room in a row.
+    utilization_sum: f64,
+    utilization_samples: u32,
+    /// Consecutive windows with clearly free slots.
     idle_windows: u32,
 }
 
 impl LevelController {
-    /// A controller that admits everything.
+    /// Creates a controller that admits everything.
     pub fn new() -> Self {
         Self {
             position: 0,
@@ -62,13 +63,13 @@
             delays: 0,
             served: 0,
             has_shed: false,
-            use_sum: 0.0,
-            uses: 0,
+            utilization_sum: 0.0,
+            utilization_samples: 0,
             idle_windows: 0,
         }
     }
 
-    /// The level in force.
+    /// The current level.
     pub fn level(&self) -> AdmissionLevel {
         let cohorts = usize::from(COHORT_COUNT);
         AdmissionLevel {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Whether the last window was overloaded, or the level still recovers.
+    /// Whether the last window was overloaded or the level has not yet fallen back to zero.
     pub fn is_overloaded(&self) -> bool {
         self.position > 0
     }
@@ -88,31 +89,31 @@
         self.offered[position_of(place)] += 1;
     }
 
-    /// Counts the time a request spent in the queue before it was taken out.
+    /// Records the time a request waited in the queue.
     pub fn record_delay(&mut self, now: Timestamp, delay: Duration) {
         self.roll(now);
         self.delay_sum += delay;
         self.delays += 1;
     }
 
-    /// Counts a request that was taken out of the queue to run.
+    /// Counts a request that was taken from the queue to run.
     pub fn record_served(&mut self) {
         self.served += 1;
     }
 
-    /// Notes how many of the slots were in use when a request arrived.
-    pub fn record_use(&mut self, running: u32, limit: u32) {
-        self.use_sum += f64::from(running) / f64::from(limit.max(1));
-        self.uses += 1;
+    /// Records the slot utilization on arrival of a request.
+    pub fn record_utilization(&mut self, running: u32, limit: u32) {
+        self.utilization_sum += f64::from(running) / f64::from(limit.max(1));
+        self.utilization_samples += 1;
     }
 
-    /// Notes that a request was shed for want of room or time.
+    /// Records that a request was shed for lack of capacity or time.
     pub fn record_shed(&mut self) {
         self.has_shed = true;
     }
 
-    /// Ends the window if its time is over. An idle controller falls by one step per call, so
-    /// callers' copies expire by age rather than by waiting for it.
+    /// Ends the window if it is over. The level is adjusted only when this is called, so an idle
+    /// controller lags; callers' copies of the level expire by age instead.
     pub fn roll(&mut self, now: Timestamp) {
         if now < self.window_end {
             return;
@@ -129,8 +130,8 @@
         self.delays = 0;
         self.served = 0;
         self.has_shed = false;
-        self.use_sum = 0.0;
-        self.uses = 0;
+        self.utilization_sum = 0.0;
+        self.utilization_samples = 0;
         self.window_end = now + WINDOW;
     }
 
@@ -155,11 +156,11 @@
         }
     }
 
-    /// Callers shed below the level before sending, so that little of what lies below is counted
-    /// here; hence the steps down are bounded per window as well. With clearly free slots the
-    /// count is not needed.
+    /// Callers shed requests below the level before sending, so few of them are counted here;
+    /// therefore the number of steps per window is bounded as well. With clearly free slots the
+    /// count is not used.
     fn fall(&mut self, windows: u128) {
-        if self.has_room() {
+        if self.has_free_slots() {
             let doublings = self.idle_windows.min(MAX_IDLE_DOUBLINGS);
             let steps = (IDLE_FALL_STEPS << doublings) * windows;
             let steps = usize::try_from(steps).unwrap_or(POSITIONS);
@@ -168,19 +169,20 @@
             return;
         }
         self.idle_windows = 0;
-        let room = (self.admitted() as f64 * INCREASE).ceil() as u64;
+        let max_added = (self.admitted() as f64 * INCREASE).ceil() as u64;
         let max_steps = FALL_STEPS * windows;
         let mut steps = 0;
         let mut added = 0;
-        while self.position > 0 && steps < max_steps && added <= room {
+        while self.position > 0 && steps < max_steps && added <= max_added {
             self.position -= 1;
             added += u64::from(self.offered[self.position]);
             steps += 1;
         }
     }
 
-    fn has_room(&self) -> bool {
-        self.uses > 0 && self.use_sum / f64::from(self.uses) < IDLE_USE
+    fn has_free_slots(&self) -> bool {
+        self.utilization_samples > 0
+            && self.utilization_sum / f64::from(self.utilization_samples) < IDLE_UTILIZATION
     }
 }
 
--- a/crates/bramblewheel-core/src/inbound/limit.rs
+++ b/crates/bramblewheel-core/src/inbound/limit.rs
@@ -1,47 +1,47 @@
-//! Concurrency limit of the local endpoint, from the latency that its daemon observes.
+//! Concurrency limit of the local endpoint, derived from the latency observed by its daemon.
 //!
-//! Additive increase, multiplicative decrease: in each window of samples the mean is held
-//! against a slowly moving baseline. A decrease is on trial until the next windows show that
-//! fewer requests side by side are quicker: if the endpoint ends clearly fewer requests a second
-//! instead, its slowness does not come from its load (slow sub-calls, a slow disk), a lower limit
-//! only costs capacity, and it is taken back for a while. The endpoint's own report never raises
-//! the limit, since it may be frozen or flattering.
+//! Additive increase, multiplicative decrease: in each window of samples the mean is compared with
+//! a slowly moving baseline. A decrease is a trial until the following windows show that fewer
+//! concurrent requests are faster. If the endpoint completes clearly fewer requests per second
+//! instead, the latency is not caused by its load (but by slow sub-calls or a slow disk) and a
+//! lower limit only costs capacity; the decrease is then reverted and not tried again for a while.
+//! The endpoint's own report never raises the limit, since it may be stale or too optimistic.
 
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
-/// Samples that make a window.
+/// Minimum number of samples in a window.
 const WINDOW_SAMPLES: u32 = 32;
-/// Shortest window.
+/// Minimum length of a window.
 const MIN_WINDOW: Duration = Duration::from_millis(50);
-/// Mean latency, as a multiple of the baseline, from which the endpoint counts as overloaded.
+/// Mean latency, as a multiple of the baseline, above which the endpoint counts as overloaded.
 const TOLERANCE: f64 = 2.0;
 /// Slack added to the tolerated latency, in microseconds, so that noise in very short service
-/// times is not taken for overload.
+/// times does not count as overload.
 const SLACK_MICROS: f64 = 1_000.0;
-/// Factor of a decrease.
+/// Factor by which the limit is decreased.
 const DECREASE: f64 = 0.9;
-/// Share by which the baseline follows the mean upwards in a window.
+/// Share of the difference by which the baseline follows a higher mean in each window.
 const BASELINE_DRIFT: f64 = 0.01;
-/// Share of the limit that must be in use for it to rise.
-const USE_TO_RISE: f64 = 0.8;
+/// Share of the limit that must be in use for the limit to rise.
+const UTILIZATION_TO_RISE: f64 = 0.8;
 
-/// A trial has failed when the rate has fallen by more than this power of the limit's own fall:
-/// half of what it falls by when all of the limit was needed.
+/// A trial has failed when the completion rate, relative to the rate before, is lower than the
+/// relative limit raised to this power: about half the fall expected if the whole limit was needed.
 const TRIAL_EXPONENT: f64 = 0.5;
-/// Time without another trial after one has failed.
+/// Time after a failed trial during which no other is started.
 const HOLD_AFTER_TRIAL: Duration = Duration::from_secs(5);
 
-/// A decrease that has to prove itself.
+/// A decrease whose effect is being checked.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
-    /// Limit before it.
+    /// Limit before the decrease.
     limit: f64,
-    /// Requests a second that ended before it.
+    /// Requests completed per second before the decrease.
     rate: f64,
 }
 
-/// How many attempts may run at the local endpoint side by side.
+/// Limit on concurrent attempts at the local endpoint.
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
     min: f64,
@@ -58,7 +58,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// A limit between `min` and `max` that begins at `max`.
+    /// Creates a limit between `min` and `max`, initially `max`.
     pub fn new(min: u32, max: u32) -> Self {
         let min = f64::from(min.max(1));
         let max = f64::from(max).max(min);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes over the bounds of a new bundle.
+    /// Applies the bounds of a new bundle.
     pub fn set_bounds(&mut self, min: u32, max: u32) {
         let was_at_max = self.limit >= self.max;
         self.min = f64::from(min.max(1));
@@ -89,19 +89,19 @@
         };
     }
 
-    /// The limit by own observation.
+    /// The limit according to the daemon's own observation.
     pub fn observed(&self) -> u32 {
         self.limit as u32
     }
 
-    /// The limit, lowered by the slots that the endpoint itself states, if it states any.
+    /// The limit, capped at the number of slots that the endpoint reports, if any.
     pub fn with_reported_slots(&self, slots: Option<u32>) -> u32 {
         let observed = self.observed();
         let reported = slots.filter(|slots| *slots > 0).unwrap_or(observed);
         observed.min(reported).max(self.min as u32)
     }
 
-    /// Records the latency of an attempt that ended while `running` ran, itself included.
+    /// Records the latency of an attempt that ended while `running` attempts, including itself, ran.
     pub fn record(&mut self, now: Timestamp, latency: Duration, running: u32) {
         if self.samples == 0 {
             self.window_start = now;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Records that the endpoint could not be reached or broke off.
+    /// Records that the endpoint could not be reached or the connection broke.
     pub fn record_failure(&mut self) {
         self.has_failure = true;
     }
@@ -128,13 +128,13 @@
         };
         self.baseline_micros = Some(baseline);
         let is_slow = mean > baseline * TOLERANCE + SLACK_MICROS;
-        let is_in_use = f64::from(self.peak_running) >= self.limit * USE_TO_RISE;
+        let is_in_use = f64::from(self.peak_running) >= self.limit * UTILIZATION_TO_RISE;
         let rate = f64::from(self.samples) / now.since(self.window_start).as_secs_f64();
         if self.has_failure {
             self.trial = None;
             self.decrease();
         } else if is_in_use && self.has_failed_trial(rate) {
-            self.take_back(now);
+            self.revert_decrease(now);
         } else if is_slow {
             self.try_decrease(now, rate);
         } else if is_in_use {
@@ -167,7 +167,7 @@
         })
     }
 
-    fn take_back(&mut self, now: Timestamp) {
+    fn revert_decrease(&mut self, now: Timestamp) {
         if let Some(trial) = self.trial.take() {
             self.limit = trial.limit.min(self.max);
             self.held_until = now + HOLD_AFTER_TRIAL;
--- a/crates/bramblewheel-core/src/inbound/mod.rs
+++ b/crates/bramblewheel-core/src/inbound/mod.rs
@@ -1,4 +1,4 @@
-//! Attempts that other daemons hand to the local endpoint: admission, queue, claim, dispatch.
+//! Attempts sent by other daemons to the local endpoint: admission, queue, claim, dispatch.
 
 mod accept;
 pub(crate) mod attempt;
@@ -21,11 +21,11 @@
 use crate::table::{RecentMap, Table};
 use bramblewheel_types::{AttemptId, OperationKey, Timestamp};
 
-/// Attempts that are remembered after their end, so that a repeated message neither runs one
-/// that was refused or has run, nor a late grant is left unreleased.
+/// Attempts remembered after their end, so that a duplicate message does not run an attempt that
+/// was refused or has already run, and a late grant is released.
 const MAX_REMEMBERED_ATTEMPTS: usize = 8_192;
 
-/// Inbound attempts in progress and what limits them.
+/// Inbound attempts in progress and the state that limits them.
 #[derive(Debug)]
 pub(crate) struct Inbound {
     pub(crate) attempts: Table<AttemptId, InboundAttempt>,
@@ -37,9 +37,9 @@
     /// Attempts that hold a slot: claiming or running.
     pub(crate) running: u32,
     pub(crate) report: Option<(Timestamp, EndpointReport)>,
-    /// Attempts of the recent past, whatever became of them.
-    pub(crate) recent: RecentMap<AttemptId, ()>,
-    /// Run-once attempts given up before the ledger answered, whose grant may still come.
+    /// Ids of recent attempts, whatever their outcome.
+    pub(crate) recent_attempts: RecentMap<AttemptId, ()>,
+    /// Run-once attempts aborted before the ledger answered, whose grant may still arrive.
     pub(crate) abandoned: RecentMap<AttemptId, OperationKey>,
 }
 
@@ -54,7 +54,7 @@
             path_levels: PathLevels::default(),
             running: 0,
             report: None,
-            recent: RecentMap::new(MAX_REMEMBERED_ATTEMPTS),
+            recent_attempts: RecentMap::new(MAX_REMEMBERED_ATTEMPTS),
             abandoned: RecentMap::new(MAX_REMEMBERED_ATTEMPTS),
         }
     }
--- a/crates/bramblewheel-core/src/inbound/path_level.rs
+++ b/crates/bramblewheel-core/src/inbound/path_level.rs
@@ -1,36 +1,47 @@
-//! Admission levels of what the local endpoint calls, by its own route.
+//! Admission levels of the services called by the local endpoint, per route of its service.
 //!
-//! A request below the level of a service that its route calls would be shed there, after the
-//! local endpoint has worked for it. So the level that callers are told for a route is the higher
-//! of the own one and of those below, and the request is shed where it enters.
+//! A request below the level of a service that its route calls would be shed there after the
+//! local endpoint has already worked on it. The level reported to callers of a route is therefore
+//! the maximum of the endpoint's own level and those of the called services, so that the request
+//! is shed where it enters.
 
 use crate::event::AdmissionLevel;
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
-/// A level that no request has confirmed for this long is forgotten.
+/// Age at which a level that no request has confirmed expires.
 const LIFETIME: Duration = Duration::from_millis(1_000);
 
-/// Levels below the local endpoint; as many as the bundle has routes, and one for the rest.
+/// Levels below the local endpoint: one per route of the bundle and one for all other paths.
 #[derive(Debug, Default)]
 pub struct PathLevels {
     routes: Vec<(AdmissionLevel, Timestamp)>,
 }
 
 impl PathLevels {
-    /// Records the highest level that the sub-calls of one request met. A request that failed
-    /// has not met all of them, so that it can't lower the level.
-    pub fn record(&mut self, now: Timestamp, route: usize, met: AdmissionLevel, is_whole: bool) {
-        let known = self.level(now, route);
+    /// Records the highest level among the sub-calls of one request. A failed request may not have
+    /// made all of its sub-calls, so it can't lower the level.
+    pub fn record(
+        &mut self,
+        now: Timestamp,
+        route: usize,
+        observed: AdmissionLevel,
+        succeeded: bool,
+    ) {
+        let current = self.level(now, route);
         if self.routes.len() <= route {
             let none = (AdmissionLevel::default(), Timestamp::ZERO);
             self.routes.resize(route + 1, none);
         }
-        let level = if is_whole { met } else { met.max(known) };
+        let level = if succeeded {
+            observed
+        } else {
+            observed.max(current)
+        };
         self.routes[route] = (level, now);
     }
 
-    /// The level below a route; admits everything when none is known.
+    /// The level below a route; admits everything if none is recorded.
     pub fn level(&self, now: Timestamp, route: usize) -> AdmissionLevel {
         self.routes
             .get(route)
@@ -39,7 +50,7 @@
             .unwrap_or_default()
     }
 
-    /// Forgets all levels: routes are numbered anew by a new bundle.
+    /// Clears all levels, because a new bundle renumbers the routes.
     pub fn clear(&mut self) {
         self.routes.clear();
     }
--- a/crates/bramblewheel-core/src/inbound/queue.rs
+++ b/crates/bramblewheel-core/src/inbound/queue.rs
@@ -1,36 +1,36 @@
-//! The admission queue: most important first, bounded, evicting the least important.
+//! Bounded admission queue: serves the most important attempts first and evicts the least important.
 //!
-//! Order of importance: criticality, then calls in a session before others. Within one such
-//! group the oldest goes first while the queue is short-lived, and the newest under overload:
-//! the oldest then have the least time left, and serving them first would make all of them late.
+//! Attempts are ordered by criticality, then calls in a session before others. Within a group of
+//! equal importance the oldest is served first in normal operation and the newest under overload:
+//! then the oldest have the least time left, and serving them first would make all attempts late.
 
 use bramblewheel_types::{AttemptId, Criticality};
 use std::collections::BTreeMap;
 
-/// Each time this many were taken, the next is taken from the middle class if one waits.
+/// Every this many attempts, one is taken from the middle class if one is waiting.
 const MIDDLE_CLASS_TURN: u32 = 8;
-/// The class that a flood of more important calls must not starve.
+/// The class that more important calls must not starve.
 const MIDDLE_CLASS: Criticality = Criticality::Normal;
 
-/// Importance of a queued attempt; larger is more important.
+/// Importance of a queued attempt; larger values are more important.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Importance {
-    /// Class from the root.
+    /// Class set at the root.
     pub criticality: Criticality,
     /// Whether the root request belongs to an open session.
     pub in_session: bool,
 }
 
-/// Place of one attempt; later arrivals have larger numbers.
+/// Position of an attempt in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePlace {
     /// Importance.
     pub importance: Importance,
-    /// Position among all arrivals.
+    /// Sequence number of the arrival.
     pub arrival: u64,
 }
 
-/// Which end of a group is served first.
+/// Service order within a group of equal importance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServiceOrder {
     /// First in, first out.
@@ -40,18 +40,18 @@
     NewestFirst,
 }
 
-/// What became of an attempt offered to the queue.
+/// Result of offering an attempt to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It waits.
+    /// The attempt was queued.
     Queued(QueuePlace),
-    /// It waits, and another was evicted for it.
+    /// The attempt was queued and another one was evicted for it.
     QueuedInsteadOf(QueuePlace, AttemptId),
-    /// Nothing in the full queue is less important.
+    /// The queue is full and contains nothing less important.
     Refused,
 }
 
-/// Bounded queue of attempts; each operation takes logarithmic time.
+/// Bounded queue of attempts; all operations take logarithmic time.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     waiting: BTreeMap<QueuePlace, AttemptId>,
@@ -60,24 +60,24 @@
 }
 
 impl AdmissionQueue {
-    /// Attempts waiting.
+    /// Number of waiting attempts.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no attempt is waiting.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Importance of the least important attempt waiting.
+    /// Importance of the least important waiting attempt.
     pub fn lowest(&self) -> Option<Importance> {
         self.waiting
             .first_key_value()
             .map(|(place, _)| place.importance)
     }
 
-    /// Offers an attempt to the queue, which keeps at most `capacity`.
+    /// Offers an attempt to the queue, which holds at most `capacity` attempts.
     pub fn offer(
         &mut self,
         attempt: AttemptId,
@@ -87,7 +87,7 @@
     ) -> Offer {
         let is_full = self.waiting.len() >= capacity;
         let displaced = if is_full {
-            let Some(displaced) = self.displaced_by(importance, order) else {
+            let Some(displaced) = self.find_displaced(importance, order) else {
                 return Offer::Refused;
             };
             self.waiting.remove(&displaced)
@@ -106,9 +106,9 @@
         }
     }
 
-    /// The attempt that an arrival pushes out: the oldest of the least important group, if that
-    /// is less important than the arrival, or as important while the newest go first.
-    fn displaced_by(&self, importance: Importance, order: ServiceOrder) -> Option<QueuePlace> {
+    /// The attempt that an arrival displaces: the oldest of the least important group, if that group
+    /// is less important than the arrival, or equally important while the newest are served first.
+    fn find_displaced(&self, importance: Importance, order: ServiceOrder) -> Option<QueuePlace> {
         let (least, _) = self.waiting.first_key_value()?;
         let is_displaced = match order {
             ServiceOrder::OldestFirst => least.importance < importance,
@@ -117,18 +117,18 @@
         is_displaced.then_some(*least)
     }
 
-    /// Takes the attempt to be served next.
+    /// Removes and returns the attempt to be served next.
     pub fn take(&mut self, order: ServiceOrder) -> Option<(QueuePlace, AttemptId)> {
         let (top, _) = self.waiting.last_key_value()?;
         let top = top.importance;
-        let group = self.middle_class_turn(top).unwrap_or(top);
-        let place = self.next_of(group, order)?;
+        let group = self.take_middle_class_turn(top).unwrap_or(top);
+        let place = self.next_in_group(group, order)?;
         let attempt = self.waiting.remove(&place)?;
         Some((place, attempt))
     }
 
-    /// The middle group to be served instead of `top`, if it is its turn.
-    fn middle_class_turn(&mut self, top: Importance) -> Option<Importance> {
+    /// The middle-class group to be served instead of `top`, if it is its turn.
+    fn take_middle_class_turn(&mut self, top: Importance) -> Option<Importance> {
         if top.criticality <= MIDDLE_CLASS {
             self.taken_since_middle = 0;
             return None;
@@ -150,7 +150,7 @@
         is_middle.then_some(place.importance)
     }
 
-    fn next_of(&self, importance: Importance, order: ServiceOrder) -> Option<QueuePlace> {
+    fn next_in_group(&self, importance: Importance, order: ServiceOrder) -> Option<QueuePlace> {
         let first = QueuePlace {
             importance,
             arrival: 0,
@@ -167,7 +167,7 @@
         next.map(|(place, _)| *place)
     }
 
-    /// Takes out an attempt that was given up; false if it does not wait.
+    /// Removes an aborted attempt; returns false if it is not in the queue.
     pub fn remove(&mut self, place: &QueuePlace) -> bool {
         self.waiting.remove(place).is_some()
     }
--- a/crates/bramblewheel-core/src/inbound/service_time.rs
+++ b/crates/bramblewheel-core/src/inbound/service_time.rs
@@ -1,24 +1,24 @@
-//! How long requests run at the local endpoint, by route of the bundle.
+//! Service time estimates of the local endpoint, per route of the bundle.
 //!
-//! The estimate is cautious: what is dropped on its word could hardly have ended in time. It is
-//! the mean less twice the mean deviation, so that a route whose requests differ much drops
-//! little; and it is forgotten when no answer has confirmed it for a while, since a route all of
-//! whose requests are dropped would otherwise never be measured again.
+//! The estimate is conservative, so that only requests with little chance of finishing in time are
+//! dropped. It is the mean minus twice the mean deviation: a route with widely varying service times
+//! drops few requests. It expires when no answer has confirmed it for a while, because a route whose
+//! requests are all dropped would otherwise never be measured again.
 
 use bramblewheel_bundle::Bundle;
 use bramblewheel_types::{ServiceName, Timestamp};
 use std::time::Duration;
 
-/// Samples before there is an estimate.
+/// Samples needed for an estimate.
 const MIN_SAMPLES: u32 = 16;
-/// Weight of a new sample in mean and deviation.
+/// Weight of a new sample in the mean and the mean deviation.
 const WEIGHT: f64 = 0.1;
-/// Deviations taken off the mean.
-const CAUTION: f64 = 2.0;
-/// Age of the last sample from which there is no estimate.
+/// Multiple of the mean deviation subtracted from the mean.
+const DEVIATION_MULTIPLE: f64 = 2.0;
+/// Age of the last sample at which the estimate expires.
 const LIFETIME: Duration = Duration::from_millis(500);
 
-/// Running estimate of one route.
+/// Running estimate for one route.
 #[derive(Clone, Copy, Debug, Default)]
 struct Estimate {
     mean_micros: f64,
@@ -39,10 +39,10 @@
         self.last = now;
     }
 
-    fn shortest(&self, now: Timestamp) -> Duration {
-        let is_known = self.samples >= MIN_SAMPLES && now.since(self.last) < LIFETIME;
-        let micros = self.mean_micros - CAUTION * self.deviation_micros;
-        if is_known && micros > 0.0 {
+    fn lower_bound(&self, now: Timestamp) -> Duration {
+        let is_valid = self.samples >= MIN_SAMPLES && now.since(self.last) < LIFETIME;
+        let micros = self.mean_micros - DEVIATION_MULTIPLE * self.deviation_micros;
+        if is_valid && micros > 0.0 {
             Duration::from_micros(micros as u64)
         } else {
             Duration::ZERO
@@ -50,14 +50,14 @@
     }
 }
 
-/// Estimates of the local service's routes; as many as the bundle has, and one for the rest.
+/// Estimates for the local service: one per route of the bundle and one for all other paths.
 #[derive(Debug, Default)]
 pub struct ServiceTimes {
     routes: Vec<Estimate>,
 }
 
 impl ServiceTimes {
-    /// Records how long a request of a route ran.
+    /// Records the service time of a request.
     pub fn record(&mut self, now: Timestamp, route: usize, duration: Duration) {
         if self.routes.len() <= route {
             self.routes.resize(route + 1, Estimate::default());
@@ -65,20 +65,20 @@
         self.routes[route].record(now, duration.as_micros() as f64);
     }
 
-    /// Time below which a request of a route hardly ever ends.
-    pub fn shortest(&self, now: Timestamp, route: usize) -> Duration {
+    /// Time within which a request of the route is unlikely to finish.
+    pub fn lower_bound(&self, now: Timestamp, route: usize) -> Duration {
         self.routes
             .get(route)
-            .map_or(Duration::ZERO, |estimate| estimate.shortest(now))
+            .map_or(Duration::ZERO, |estimate| estimate.lower_bound(now))
     }
 
-    /// Forgets all estimates: routes are numbered anew by a new bundle.
+    /// Clears all estimates, because a new bundle renumbers the routes.
     pub fn clear(&mut self) {
         self.routes.clear();
     }
 }
 
-/// Number of the route that a path takes in the bundle; 0 if none matches.
+/// Number of the bundle's route that matches a path, counted from 1; 0 if none matches.
 pub fn route_number(bundle: &Bundle, service: &ServiceName, path: &str) -> usize {
     let Some(policy) = bundle.service(service) else {
         return 0;
--- a/crates/bramblewheel-core/src/lib.rs
+++ b/crates/bramblewheel-core/src/lib.rs
@@ -1,7 +1,8 @@
 //! Request decisions as pure state machines: admission, routing, retries, run-once claims.
 //!
-//! The [`engine::Engine`] is one daemon's mind. It is driven by the daemon process (tokio) and by
-//! the simulator alike: events in, actions out, time and seed as arguments.
+//! The [`engine::Engine`] makes all decisions of one daemon. A driver, either the daemon process
+//! (tokio) or the simulator, passes it events and carries out the actions it returns; time and
+//! random seed are arguments.
 
 pub mod action;
 pub mod cohort;
--- a/crates/bramblewheel-core/src/outbound/accept.rs
+++ b/crates/bramblewheel-core/src/outbound/accept.rs
@@ -1,4 +1,4 @@
-//! Takes calls in: who asks, with which deadline, importance and tokens.
+//! Accepts calls and determines their deadline, class, retry tokens and caller.
 
 use crate::action::Action;
 use crate::cohort::shedding_position;
@@ -16,15 +16,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Name under which the ratio of the local endpoint's own sub-calls is kept.
+/// Key of the retry ratio budget for sub-calls of the local endpoint.
 const LOCAL_CALLER: &str = "local-endpoint";
 
-/// Longest part of a caller's name that is told apart, in characters.
+/// Length to which a caller's name is truncated, in characters.
 const MAX_CALLER_LENGTH: usize = 64;
-/// Longest time that a caller may ask to wait.
+/// Longest time-out that a caller may request.
 const MAX_TIMEOUT: Duration = Duration::from_secs(3_600);
 
-/// What a call inherits from where it comes from.
+/// Values that a call inherits from its origin.
 struct Inherited {
     criticality: Criticality,
     in_session: bool,
@@ -36,14 +36,14 @@
     may_have_run: bool,
 }
 
-/// A root call among the sends of its request.
+/// Arrival of a root call, recorded among the sends of its request.
 #[derive(Clone, Copy)]
 pub(crate) struct RootArrival {
     pub(crate) request: RequestId,
     pub(crate) arrival: Arrival,
 }
 
-/// A call that is not taken in.
+/// Refusal of a call that was not accepted.
 pub(crate) struct Refusal {
     pub(crate) reason: NotRunReason,
     pub(crate) criticality: Criticality,
@@ -60,15 +60,15 @@
         if self.outbound.calls.contains_key(&id) {
             return;
         }
-        let arrival = self.record_root(&request.origin);
+        let arrival = self.record_root_arrival(&request.origin);
         match self.build_call(now, request, arrival) {
             Ok(call) => self.begin_call(now, id, call, actions),
             Err(refusal) => self.refuse_call(id, refusal, arrival, actions),
         }
     }
 
-    /// Counts a root call among the sends of its request.
-    fn record_root(&mut self, origin: &CallOrigin) -> Option<RootArrival> {
+    /// Records the arrival of a root call.
+    fn record_root_arrival(&mut self, origin: &CallOrigin) -> Option<RootArrival> {
         let CallOrigin::Root {
             request, resend, ..
         } = origin
@@ -225,7 +225,7 @@
         route: &ResolvedRoute,
         call: &CallRequest,
     ) -> Result<Inherited, NotRunReason> {
-        // A call that names no running parent gets no fresh tokens by pretending to be a root.
+        // A call without a running parent is refused; treating it as a root would grant it fresh tokens.
         let running = self
             .inbound
             .attempts
@@ -233,7 +233,7 @@
             .filter(|attempt| attempt.is_running())
             .ok_or(NotRunReason::InvalidRequest)?;
         running.has_sub_calls = true;
-        let is_repeat = !running.note_sub_call(&call.service, call.fingerprint);
+        let is_repeat = !running.record_sub_call(&call.service, call.fingerprint);
         if is_repeat {
             self.metrics.application_repeats += 1;
             if !running.pool.spend() {
@@ -255,7 +255,7 @@
     }
 }
 
-/// Time that the caller of a call is ready to wait.
+/// How long the caller waits for the answer.
 fn timeout_of(call: &CallRequest, route: &ResolvedRoute) -> Duration {
     let timeout = call.timeout.unwrap_or_else(|| route.deadline.into());
     timeout.min(MAX_TIMEOUT)
--- a/crates/bramblewheel-core/src/outbound/attempt.rs
+++ b/crates/bramblewheel-core/src/outbound/attempt.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of an attempt: the answer, or another attempt.
+//! Handles the end of an attempt: the call is answered or another attempt is sent.
 
 use crate::action::{Action, AnswerBody};
 use crate::engine::Engine;
@@ -8,19 +8,19 @@
 use bramblewheel_types::{AttemptId, CallId, NotRunReason, Outcome, Timestamp};
 use std::time::Duration;
 
-/// A retry is not begun with less time than this left, in addition to what the last one took.
+/// Minimum time before the deadline for another attempt, in addition to the last attempt's duration.
 const MIN_TIME_TO_RETRY: Duration = Duration::from_millis(2);
-/// Ejection ceiling while no bundle names the service.
+/// Ejection limit for services that are not in the bundle.
 const DEFAULT_MAX_EJECTED_PERCENT: u32 = 0;
 
-/// What a further attempt would cost.
+/// Cost of another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Retry {
-    /// The answer is final.
+enum RetryCost {
+    /// No further attempt is allowed.
     Never,
-    /// Nothing ran and nothing was queued: a new route is free, a few times per call.
+    /// Nothing was run or queued: a reroute is free, up to a limit per call.
     Free,
-    /// One token.
+    /// One retry token.
     Token,
 }
 
@@ -43,12 +43,12 @@
             return;
         };
         self.record_end(now, &mut call, &current, &result);
-        let (outcome, retry) = self.judge(&call, &result);
+        let (outcome, retry) = self.evaluate_attempt(&call, &result);
         if outcome == Outcome::Completed {
             let body = AnswerBody::FromAttempt(attempt);
             return self.end_call(id, call, outcome, body, actions);
         }
-        if self.may_retry(now, &mut call, &current, retry) {
+        if self.acquire_retry(now, &mut call, &current, retry) {
             call.evidence = call.evidence.max(Evidence::of(outcome));
             return self.send_attempt(now, id, call, actions);
         }
@@ -63,7 +63,7 @@
         self.end_call(id, call, outcome, body, actions);
     }
 
-    /// Tokens and routing news of an ended attempt.
+    /// Settles the tokens of an ended attempt and updates the directory.
     fn record_end(
         &mut self,
         now: Timestamp,
@@ -87,7 +87,7 @@
                 call.route,
                 feedback,
             );
-            self.note_met_level(now, call);
+            self.record_sub_call_level(now, call);
             return;
         }
         let ceiling = self.max_ejected_percent(call);
@@ -106,55 +106,62 @@
             })
     }
 
-    /// Outcome of the attempt by itself, and what another would cost.
-    fn judge(&mut self, call: &Call, result: &AttemptResult) -> (Outcome, Retry) {
+    /// Outcome of this attempt alone and the cost of another.
+    fn evaluate_attempt(&mut self, call: &Call, result: &AttemptResult) -> (Outcome, RetryCost) {
         let may_run_again = call.operation.is_none();
         let if_repeatable = if may_run_again {
-            Retry::Token
+            RetryCost::Token
         } else {
-            Retry::Never
+            RetryCost::Never
         };
         match result {
             AttemptResult::NotSent => {
                 let refusal = not_run(NotRunReason::Unreachable, 100, &mut self.random);
-                (refusal, Retry::Free)
+                (refusal, RetryCost::Free)
             }
             AttemptResult::Lost => (Outcome::Unknown, if_repeatable),
             AttemptResult::Answered { outcome, feedback } => {
                 let retry = match outcome {
-                    Outcome::Completed => Retry::Never,
-                    Outcome::NotRun { reason, .. } => cost_after_refusal(*reason),
+                    Outcome::Completed => RetryCost::Never,
+                    Outcome::NotRun { reason, .. } => retry_cost_after_refusal(*reason),
                     Outcome::Failed | Outcome::Unknown => if_repeatable,
                 };
-                let is_free = retry == Retry::Free;
-                let is_barred = feedback.is_final && !is_free;
-                (*outcome, if is_barred { Retry::Never } else { retry })
+                let is_free = retry == RetryCost::Free;
+                let is_retry_forbidden = feedback.is_final && !is_free;
+                (
+                    *outcome,
+                    if is_retry_forbidden {
+                        RetryCost::Never
+                    } else {
+                        retry
+                    },
+                )
             }
         }
     }
 
-    /// Decides on another attempt and pays for it.
-    fn may_retry(
+    /// Decides whether to make another attempt and, if so, takes the token for it.
+    fn acquire_retry(
         &mut self,
         now: Timestamp,
         call: &mut Call,
         last: &OutstandingAttempt,
-        retry: Retry,
+        retry: RetryCost,
     ) -> bool {
         let needed = now.since(last.sent) + MIN_TIME_TO_RETRY;
         let has_time = now + needed < call.deadline;
-        if retry == Retry::Never || !has_time {
+        if retry == RetryCost::Never || !has_time {
             return false;
         }
-        if retry == Retry::Free && call.free_reroutes < self.limits().max_free_reroutes {
+        if retry == RetryCost::Free && call.free_reroutes < self.limits().max_free_reroutes {
             call.free_reroutes += 1;
             self.metrics.free_reroutes += 1;
             return true;
         }
-        self.pay_for_retry(call)
+        self.take_retry_token(call)
     }
 
-    fn pay_for_retry(&mut self, call: &mut Call) -> bool {
+    fn take_retry_token(&mut self, call: &mut Call) -> bool {
         let has_token = self.pool_of(call).is_some_and(|pool| pool.available() > 0);
         if !has_token {
             self.metrics.retries_without_token += 1;
@@ -168,12 +175,12 @@
         self.pool_of(call).is_some_and(|pool| pool.spend())
     }
 
-    /// The application went away, or its own caller did.
+    /// Handles a disconnect of the application or of its own caller.
     pub(crate) fn cancel_call(&mut self, id: CallId, actions: &mut Vec<Action>) {
-        self.give_up_call(id, NotRunReason::Cancelled, actions);
+        self.abort_call(id, NotRunReason::Cancelled, actions);
     }
 
-    /// The deadline passed: answer at once with what is proved.
+    /// Handles a call whose deadline has passed: answers immediately with the proven outcome.
     pub(crate) fn expire_call(&mut self, now: Timestamp, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.outbound.calls.get(&id) else {
             return;
@@ -186,17 +193,17 @@
                 .record_timeout(now, &endpoint, current.sent, ceiling);
             self.metrics.ejections += u64::from(is_ejected);
         }
-        self.give_up_call(id, NotRunReason::DeadlineExceeded, actions);
+        self.abort_call(id, NotRunReason::DeadlineExceeded, actions);
     }
 
-    fn give_up_call(&mut self, id: CallId, reason: NotRunReason, actions: &mut Vec<Action>) {
+    fn abort_call(&mut self, id: CallId, reason: NotRunReason, actions: &mut Vec<Action>) {
         let Some(mut call) = self.outbound.calls.remove(&id) else {
             return;
         };
         if let Some(current) = call.current.take() {
-            // Its answer is not awaited: it may run, and the tokens that went with it are gone.
+            // The attempt may still run; the tokens lent with it are lost.
             self.outbound.attempts.remove(&current.attempt);
-            self.directory.record_given_up(&current.endpoint);
+            self.directory.record_attempt_end(&current.endpoint);
             call.evidence = Evidence::Unknown;
             let attempt = current.attempt;
             actions.push(Action::CancelAttempt { attempt });
@@ -207,15 +214,16 @@
     }
 }
 
-/// What another attempt costs after a refusal with a not-run proof.
+/// Cost of another attempt after a refusal with a not-run proof.
 ///
-/// All daemons ask one ledger, and the claim of the refused attempt may take a moment to be given
-/// back, so that trying elsewhere at once would only turn a clear refusal into `Unknown`.
-fn cost_after_refusal(reason: NotRunReason) -> Retry {
+/// After `LedgerUnavailable` another attempt is useless: all daemons use the same ledger, and the
+/// claim of the refused attempt may not be released yet, so that an immediate attempt elsewhere would
+/// only turn a clear refusal into `Unknown`.
+fn retry_cost_after_refusal(reason: NotRunReason) -> RetryCost {
     match reason {
-        NotRunReason::Draining => Retry::Free,
+        NotRunReason::Draining => RetryCost::Free,
         NotRunReason::Unreachable | NotRunReason::NotReady | NotRunReason::Overloaded => {
-            Retry::Token
+            RetryCost::Token
         }
         NotRunReason::DeadlineExceeded
         | NotRunReason::Cancelled
@@ -224,6 +232,6 @@
         | NotRunReason::LedgerUnavailable
         | NotRunReason::OperationExpired
         | NotRunReason::TooDeep
-        | NotRunReason::InvalidRequest => Retry::Never,
+        | NotRunReason::InvalidRequest => RetryCost::Never,
     }
 }
--- a/crates/bramblewheel-core/src/outbound/call.rs
+++ b/crates/bramblewheel-core/src/outbound/call.rs
@@ -7,7 +7,7 @@
     AttemptId, Criticality, EndpointId, Outcome, RequestId, ServiceName, Timestamp,
 };
 
-/// One call of a local application.
+/// One call of a local application or of a caller at a gateway.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) request: RequestId,
@@ -20,10 +20,10 @@
     pub(crate) position: AdmissionLevel,
     pub(crate) deadline: Timestamp,
     pub(crate) depth: u8,
-    /// Present exactly when the call must not run twice.
+    /// Present if and only if the call must not run twice.
     pub(crate) operation: Option<Operation>,
     pub(crate) tokens: TokenSource,
-    /// Name under which the caller's retry ratio is kept.
+    /// Key of the caller's retry ratio budget.
     pub(crate) caller: String,
     pub(crate) tried: Vec<EndpointId>,
     pub(crate) free_reroutes: u8,
@@ -31,7 +31,7 @@
     pub(crate) current: Option<OutstandingAttempt>,
 }
 
-/// Whose tokens a call spends.
+/// Pool from which a call spends tokens.
 #[derive(Debug)]
 pub(crate) enum TokenSource {
     /// The call is a root and has its own pool.
@@ -55,24 +55,24 @@
     pub(crate) attempt: AttemptId,
     pub(crate) endpoint: EndpointId,
     pub(crate) sent: Timestamp,
-    /// Tokens that went with it.
+    /// Tokens lent with the attempt.
     pub(crate) lent: u32,
 }
 
-/// The most that is proved about the attempts of a call that ended without being the answer.
+/// Combined evidence of the earlier attempts of a call, whose results were not its answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Evidence {
-    /// Each came back with a not-run proof, or was never sent.
+    /// Every attempt was refused with a not-run proof or never sent.
     #[default]
     NotRun,
-    /// One ran and its endpoint reported an error.
+    /// An attempt ran and its endpoint reported an error.
     Failed,
-    /// One may have run.
+    /// An attempt may have run.
     Unknown,
 }
 
 impl Evidence {
-    /// What the outcome of an ended attempt proves.
+    /// Evidence given by the outcome of an ended attempt.
     pub(crate) fn of(outcome: Outcome) -> Self {
         match outcome {
             Outcome::NotRun { .. } => Self::NotRun,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Outcome of a call whose last attempt, if it was refused, was refused as `refusal` says.
+    /// Outcome of a call that ends with `refusal`, given the evidence of its attempts.
     pub(crate) fn outcome_or(self, refusal: Outcome) -> Outcome {
         match self {
             Self::NotRun => refusal,
--- a/crates/bramblewheel-core/src/outbound/mod.rs
+++ b/crates/bramblewheel-core/src/outbound/mod.rs
@@ -1,4 +1,4 @@
-//! Calls that the local applications, or callers at a gateway, make to other services.
+//! Calls to other services made by local applications or by callers at a gateway.
 
 mod accept;
 mod attempt;
@@ -9,13 +9,13 @@
 use crate::table::Table;
 use bramblewheel_types::{AttemptId, CallId};
 
-/// Calls in progress beyond which new ones are refused.
+/// Maximum number of calls in progress; further calls are refused.
 pub(crate) const MAX_CALLS: usize = 65_536;
 
 /// Outbound calls in progress.
 #[derive(Debug, Default)]
 pub(crate) struct Outbound {
     pub(crate) calls: Table<CallId, Call>,
-    /// Attempts in progress and the calls they belong to.
+    /// Calls of the attempts in progress.
     pub(crate) attempts: Table<AttemptId, CallId>,
 }
--- a/crates/bramblewheel-core/src/outbound/send.rs
+++ b/crates/bramblewheel-core/src/outbound/send.rs
@@ -1,4 +1,4 @@
-//! Sends attempts and gives calls their final answers.
+//! Sends attempts and answers calls.
 
 use crate::action::{Action, Answer, AnswerBody};
 use crate::context::CallContext;
@@ -7,23 +7,23 @@
 use crate::outbound::accept::{Refusal, RootArrival};
 use crate::outbound::call::{Call, Evidence, OutstandingAttempt, TokenSource};
 use crate::retry::tokens::TokenPool;
-use crate::route::choice::{NoChoice, Wanted};
+use crate::route::choice::{NoChoice, Requirements};
 use crate::route::endpoint::Target;
 use crate::timers::Timer;
 use bramblewheel_types::{AttemptId, CallId, NotRunReason, Outcome, Timestamp};
 use rand::Rng;
 use std::time::Duration;
 
-/// Load assumed of a service all of whose endpoints would shed, for the wait asked of callers.
+/// Load assumed for the retry-after time when all endpoints of a service would shed the call.
 const SHED_LOAD_PERCENT: u32 = 400;
-/// Part of the remaining time kept at each hop, so that the answer of a callee that ran out of
-/// time still finds its caller waiting.
+/// Divisor for the share of the remaining time reserved at each hop, so that a callee that runs
+/// out of time can still answer before its caller stops waiting.
 const HOP_MARGIN_DIVISOR: u32 = 64;
-/// Longest time kept at a hop.
+/// Longest time reserved at a hop.
 const MAX_HOP_MARGIN: Duration = Duration::from_millis(5);
 
 impl Engine {
-    /// Sends the next attempt of a call, or ends the call if there is nowhere to send it.
+    /// Sends the next attempt of a call, or ends the call if no endpoint can be chosen.
     pub(crate) fn send_attempt(
         &mut self,
         now: Timestamp,
@@ -34,8 +34,8 @@
         let target = match self.choose_endpoint(now, &call) {
             Ok(target) => target,
             Err(reason) => {
-                self.note_met_level(now, &call);
-                return self.end_unsent(id, call, reason, actions);
+                self.record_sub_call_level(now, &call);
+                return self.end_without_attempt(id, call, reason, actions);
             }
         };
         let attempt = AttemptId(self.random.next_u64());
@@ -62,18 +62,18 @@
         self.outbound.calls.insert(id, call);
     }
 
-    /// Keeps for the parent attempt which level its sub-call met.
-    pub(crate) fn note_met_level(&mut self, now: Timestamp, call: &Call) {
+    /// Records for the parent attempt the admission level of the service it called.
+    pub(crate) fn record_sub_call_level(&mut self, now: Timestamp, call: &Call) {
         let Some(parent) = call.parent() else {
             return;
         };
         let level = self.directory.service_level(now, &call.service, call.route);
         if let Some(attempt) = self.inbound.attempts.get_mut(&parent) {
-            attempt.met_level = attempt.met_level.max(level);
+            attempt.sub_call_level = attempt.sub_call_level.max(level);
         }
     }
 
-    /// The pool whose tokens a call spends; none once the parent attempt has been answered.
+    /// The token pool of a call; `None` after the parent attempt has ended.
     pub(crate) fn pool_of<'a>(&'a mut self, call: &'a mut Call) -> Option<&'a mut TokenPool> {
         match &mut call.tokens {
             TokenSource::Own(pool) => Some(pool),
@@ -90,7 +90,7 @@
         let policy = bundle
             .service(&call.service)
             .ok_or(NotRunReason::InvalidRequest)?;
-        let wanted = Wanted {
+        let requirements = Requirements {
             now,
             service: &call.service,
             route: call.route,
@@ -98,7 +98,7 @@
             position: call.position,
             tried: &call.tried,
         };
-        let choice = self.directory.choose(&wanted, &mut self.random);
+        let choice = self.directory.choose(&requirements, &mut self.random);
         choice.map_err(|none| match none {
             NoChoice::NoEndpoint => NotRunReason::NoEndpoint,
             NoChoice::AllShed => {
@@ -135,7 +135,7 @@
         }
     }
 
-    fn end_unsent(
+    fn end_without_attempt(
         &mut self,
         id: CallId,
         call: Call,
@@ -147,7 +147,7 @@
         self.end_call(id, call, outcome, AnswerBody::None, actions);
     }
 
-    /// Answers a call that was never taken in.
+    /// Answers a call that was not accepted.
     pub(crate) fn refuse_call(
         &mut self,
         call: CallId,
@@ -170,7 +170,7 @@
         });
     }
 
-    /// Gives a call, already taken out of the table, its final answer.
+    /// Answers a call that was already removed from the table.
     pub(crate) fn end_call(
         &mut self,
         id: CallId,
--- a/crates/bramblewheel-core/src/retry/mod.rs
+++ b/crates/bramblewheel-core/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Bounds on retries: tokens per request tree, ratio budgets, callers' resends.
+//! Retry bounds: tokens per request tree, ratio budgets, detection of resends by callers.
 
 pub(crate) mod ratio;
 pub(crate) mod resend;
--- a/crates/bramblewheel-core/src/retry/ratio.rs
+++ b/crates/bramblewheel-core/src/retry/ratio.rs
@@ -1,19 +1,19 @@
-//! Ratio budgets: retries stay below a share of first tries, per caller and called service.
+//! Ratio budgets limit retries to a share of first attempts, per caller and per called service.
 //!
-//! Tokens bound what one request may cause; the ratio bounds what all requests together may
-//! add when everything fails at once.
+//! Tokens bound the retries of one request; the ratio bounds the retries of all requests together
+//! when everything fails at once.
 
 use crate::table::RecentMap;
 use bramblewheel_types::ServiceName;
 
-/// Retries that may be made at once when there were no recent ones.
+/// Retries that may be made in a burst if there were no recent ones.
 const BURST: f64 = 10.0;
-/// Callers whose budget is remembered.
+/// Capacity of the map of caller budgets.
 const MAX_CALLERS: usize = 4_096;
-/// Called services whose budget is remembered.
+/// Capacity of the map of service budgets.
 const MAX_SERVICES: usize = 1_024;
 
-/// A bucket filled by first tries and emptied by retries.
+/// A token bucket filled by first attempts and drained by retries.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     retries: f64,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Counts a first try.
+    /// Records a first attempt.
     pub(crate) fn record_first_try(
         &mut self,
         caller: &String,
@@ -63,7 +63,7 @@
             .deposit(ratio_percent);
     }
 
-    /// Takes one retry from both budgets; false, and nothing taken, if either is empty.
+    /// Takes one retry from both budgets; returns false and takes nothing if either is empty.
     pub(crate) fn withdraw(&mut self, caller: &String, service: &ServiceName) -> bool {
         let of_caller = self.callers.get_or_insert_with(caller, Bucket::full);
         let of_service = self.services.get_or_insert_with(service, Bucket::full);
--- a/crates/bramblewheel-core/src/retry/resend.rs
+++ b/crates/bramblewheel-core/src/retry/resend.rs
@@ -1,16 +1,16 @@
-//! Recognises a caller's own resends of one original request, and what became of the others.
+//! Detects resends of an original request by its caller and tracks the results of earlier sends.
 //!
-//! A refusal proves that this send was not run, not that an earlier one was not. A caller that is
-//! told `NotRun` may start anew under another key, so it is told so only if all sends of the
-//! request came through this daemon and all of them were provably not run.
+//! A refusal proves that this send was not run, but not that no earlier send was. A caller that is
+//! answered `NotRun` may start again under another key, so that answer is given only if all sends of
+//! the request came through this daemon and all of them were provably not run.
 
 use crate::table::RecentMap;
 use bramblewheel_types::RequestId;
 
-/// Original requests that are remembered.
+/// Capacity of the map of original requests.
 const MAX_REQUESTS: usize = 65_536;
 
-/// Sends of one original request that this daemon has seen.
+/// Sends of one original request received by this daemon.
 #[derive(Debug, Default)]
 struct Sends {
     seen: u32,
@@ -18,16 +18,16 @@
     may_have_run: bool,
 }
 
-/// What is known of an arrival.
+/// Classification of an arriving request by its earlier sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Arrival {
-    /// Whether the request was sent before, here or elsewhere.
+    /// Whether the request was sent before, to this daemon or another.
     pub(crate) is_resend: bool,
     /// Whether an earlier send may have run.
     pub(crate) may_have_run: bool,
 }
 
-/// Original requests seen lately at this daemon.
+/// Recent original requests at this daemon.
 #[derive(Debug)]
 pub(crate) struct RecentRequests {
     requests: RecentMap<RequestId, Sends>,
@@ -40,11 +40,11 @@
         }
     }
 
-    /// Records an arrival; [`Self::record_end`] must follow.
+    /// Records an arrival; each must be followed by [`Self::record_end`].
     ///
-    /// A request is a resend by its number, or because it was seen before: a caller that forgot
-    /// to count gets no fresh tokens either. A number beyond the sends seen here means that
-    /// others went elsewhere, or were forgotten.
+    /// A request is a resend if its resend number is above 0 or it was seen before, so a caller
+    /// that does not count its resends gets no fresh tokens either. A number above the count of
+    /// sends seen here means that earlier sends went elsewhere or are no longer remembered.
     pub(crate) fn record_arrival(&mut self, request: RequestId, resend: u32) -> Arrival {
         let sends = self.requests.get_or_insert_with(&request, Sends::default);
         sends.may_have_run |= resend > sends.seen;
@@ -57,7 +57,7 @@
         arrival
     }
 
-    /// Records how a send ended.
+    /// Records the end of a send.
     pub(crate) fn record_end(&mut self, request: RequestId, is_not_run: bool) {
         let sends = self.requests.get_or_insert_with(&request, Sends::default);
         sends.in_progress = sends.in_progress.saturating_sub(1);
--- a/crates/bramblewheel-core/src/route/choice.rs
+++ b/crates/bramblewheel-core/src/route/choice.rs
@@ -1,8 +1,8 @@
-//! Choice of an endpoint: the cheapest of a few random ones, own zone first.
+//! Endpoint selection: the cheapest of a few randomly picked endpoints, preferring the own zone.
 //!
-//! A few random choices bring nearly all of the gain of knowing every load, without the herd that
-//! goes to the one endpoint that looked idle a moment ago. Two are enough while there is room;
-//! near saturation, where a parent's slot waits for each sub-call, four wait clearly less
+//! A few random choices give nearly the full benefit of comparing all endpoints, without a herd of
+//! calls to the one endpoint that just looked idle. Two are enough while capacity is free. Near
+//! saturation, where a parent's slot waits for each sub-call, four give clearly shorter waits
 //! (`docs/design/05-admission.md`).
 
 use crate::event::AdmissionLevel;
@@ -13,43 +13,43 @@
 use rand::{Rng, RngExt};
 use std::time::Duration;
 
-/// Endpoints among which the cheapest is chosen.
+/// Number of endpoints compared.
 const CHOICES: usize = 4;
-/// Random picks after which the list is searched from a random place.
+/// Random picks before the list is searched from a random start.
 const MAX_PICKS: usize = 4;
 
-/// What is asked of an endpoint.
-pub(crate) struct Wanted<'a> {
+/// Requirements for an endpoint.
+pub(crate) struct Requirements<'a> {
     pub(crate) now: Timestamp,
     pub(crate) service: &'a ServiceName,
     /// Number of the route among those of the service.
     pub(crate) route: usize,
     pub(crate) policy: &'a RoutingPolicy,
-    /// Place of the request in the order of shedding.
+    /// Position of the request in the shedding order.
     pub(crate) position: AdmissionLevel,
-    /// Endpoints that this call tried before.
+    /// Endpoints that this call has already tried.
     pub(crate) tried: &'a [EndpointId],
 }
 
-/// Why there is no endpoint to send to.
+/// Reason why no endpoint was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoChoice {
-    /// No endpoint takes new work.
+    /// No endpoint accepts new work.
     NoEndpoint,
-    /// All of them would shed the request.
+    /// Endpoints accept work, but none can take this request now.
     AllShed,
 }
 
-/// How choosy a search is; from strict to lax.
+/// Search modes, from strict to lenient.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Strictness {
-    /// Not tried before, neither ejected nor silent, and its level admits the request.
+    /// Not tried yet, neither ejected nor silent, and the endpoint's level admits the request.
     Healthy,
-    /// May be ejected: better a doubtful endpoint than none.
-    EvenEjected,
-    /// May have been tried before.
-    EvenTried,
-    /// May be above the request's level, if a probe is due.
+    /// Also ejected or silent endpoints, which are better than none.
+    AllowEjected,
+    /// Also endpoints that were already tried.
+    AllowTried,
+    /// Endpoints that would shed the request, if a probe is due.
     Probe,
 }
 
@@ -57,20 +57,20 @@
     /// Chooses an endpoint for an attempt.
     pub(crate) fn choose(
         &mut self,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         random: &mut impl Rng,
     ) -> Result<Target, NoChoice> {
         let service = self
             .services
-            .get(wanted.service)
+            .get(requirements.service)
             .ok_or(NoChoice::NoEndpoint)?;
         for strictness in [
             Strictness::Healthy,
-            Strictness::EvenEjected,
-            Strictness::EvenTried,
+            Strictness::AllowEjected,
+            Strictness::AllowTried,
             Strictness::Probe,
         ] {
-            let Some(endpoint) = self.search(service, wanted, strictness, random) else {
+            let Some(endpoint) = self.search(service, requirements, strictness, random) else {
                 continue;
             };
             let endpoint = endpoint.clone();
@@ -79,15 +79,15 @@
                 .get_mut(&endpoint)
                 .expect("the lists of services name only known endpoints");
             if strictness == Strictness::Probe {
-                state.record_probe(wanted.now);
+                state.record_probe(requirements.now);
             }
             let address = state.address;
             return Ok(Target { endpoint, address });
         }
-        Err(self.why_none(service, wanted.now))
+        Err(self.no_choice_reason(service, requirements.now))
     }
 
-    fn why_none(&self, service: &ServiceEndpoints, now: Timestamp) -> NoChoice {
+    fn no_choice_reason(&self, service: &ServiceEndpoints, now: Timestamp) -> NoChoice {
         let takes_work = |endpoint| {
             self.endpoints
                 .get(endpoint)
@@ -104,14 +104,14 @@
     fn search<'a>(
         &self,
         service: &'a ServiceEndpoints,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         strictness: Strictness,
         random: &mut impl Rng,
     ) -> Option<&'a EndpointId> {
-        let local = self.pick(&service.local, None, wanted, strictness, random);
-        // Once the own zone is loaded, further choices come from outside; the first stays local,
-        // so that the own zone goes on being measured.
-        let stays_local = local.is_some() && !is_spilling_over(service, wanted.policy);
+        let local = self.pick(&service.local, None, requirements, strictness, random);
+        // Once the own zone is loaded, further candidates come from other zones. The first candidate
+        // stays local, so that the own zone is still measured.
+        let stays_local = local.is_some() && !is_spilling_over(service, requirements.policy);
         let list = if stays_local {
             &service.local
         } else {
@@ -119,11 +119,11 @@
         };
         let mut best = match local {
             Some(local) => local,
-            None => self.pick(list, None, wanted, strictness, random)?,
+            None => self.pick(list, None, requirements, strictness, random)?,
         };
         for _ in 1..CHOICES {
-            let other = self.pick(list, Some(best), wanted, strictness, random);
-            best = self.cheaper(best, other, wanted);
+            let other = self.pick(list, Some(best), requirements, strictness, random);
+            best = self.cheaper(best, other, requirements);
         }
         Some(best)
     }
@@ -132,44 +132,52 @@
         &self,
         list: &'a [EndpointId],
         other_than: Option<&EndpointId>,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         strictness: Strictness,
         random: &mut impl Rng,
     ) -> Option<&'a EndpointId> {
         if list.is_empty() {
             return None;
         }
-        let fits = |endpoint: &&EndpointId| {
-            Some(*endpoint) != other_than && self.fits(endpoint, wanted, strictness)
+        let is_eligible = |endpoint: &&EndpointId| {
+            Some(*endpoint) != other_than && self.is_eligible(endpoint, requirements, strictness)
         };
         for _ in 0..MAX_PICKS {
             let endpoint = &list[random.random_range(0..list.len())];
-            if fits(&endpoint) {
+            if is_eligible(&endpoint) {
                 return Some(endpoint);
             }
         }
         let start = random.random_range(0..list.len());
         let (before, after) = list.split_at(start);
-        after.iter().chain(before).find(fits)
+        after.iter().chain(before).find(is_eligible)
     }
 
-    fn fits(&self, endpoint: &EndpointId, wanted: &Wanted<'_>, strictness: Strictness) -> bool {
+    fn is_eligible(
+        &self,
+        endpoint: &EndpointId,
+        requirements: &Requirements<'_>,
+        strictness: Strictness,
+    ) -> bool {
         let Some(state) = self.endpoints.get(endpoint) else {
             return false;
         };
-        if !state.takes_new_work(wanted.now) || state.outstanding >= wanted.policy.max_connections {
+        if !state.takes_new_work(requirements.now)
+            || state.outstanding >= requirements.policy.max_connections
+        {
             return false;
         }
-        let is_tried = wanted.tried.contains(endpoint);
-        let admits = state.admits(wanted.now, wanted.route, wanted.position);
+        let is_tried = requirements.tried.contains(endpoint);
+        let admits = state.admits(requirements.now, requirements.route, requirements.position);
         match strictness {
             Strictness::Healthy => {
-                let is_doubtful = state.is_ejected(wanted.now) || state.is_silent(wanted.now);
-                admits && !is_tried && !is_doubtful
+                let is_suspect =
+                    state.is_ejected(requirements.now) || state.is_silent(requirements.now);
+                admits && !is_tried && !is_suspect
             }
-            Strictness::EvenEjected => admits && !is_tried,
-            Strictness::EvenTried => admits,
-            Strictness::Probe => !is_tried && state.may_probe(wanted.now),
+            Strictness::AllowEjected => admits && !is_tried,
+            Strictness::AllowTried => admits,
+            Strictness::Probe => !is_tried && state.may_probe(requirements.now),
         }
     }
 
@@ -177,13 +185,13 @@
         &self,
         first: &'a EndpointId,
         second: Option<&'a EndpointId>,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
     ) -> &'a EndpointId {
-        let slow_start = Duration::from(wanted.policy.slow_start);
+        let slow_start = Duration::from(requirements.policy.slow_start);
         let cost = |endpoint: &EndpointId| {
-            self.endpoints
-                .get(endpoint)
-                .map_or(f64::INFINITY, |state| state.cost(wanted.now, slow_start))
+            self.endpoints.get(endpoint).map_or(f64::INFINITY, |state| {
+                state.cost(requirements.now, slow_start)
+            })
         };
         match second {
             Some(second) if cost(second) < cost(first) => second,
--- a/crates/bramblewheel-core/src/route/directory.rs
+++ b/crates/bramblewheel-core/src/route/directory.rs
@@ -1,4 +1,4 @@
-//! Live endpoints of the services this daemon calls.
+//! Live endpoints of the services that this daemon calls.
 
 use crate::event::{AdmissionLevel, DirectoryEndpoint, DirectoryUpdate, Feedback};
 use crate::route::endpoint::Endpoint;
@@ -6,14 +6,14 @@
 use bramblewheel_types::{EndpointId, ServiceName, Timestamp, ZoneName};
 use std::collections::BTreeSet;
 
-/// Endpoints of one service, split by whether they are in the own zone.
+/// Endpoints of one service, split into the own zone and all others.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceEndpoints {
     pub(crate) local: Vec<EndpointId>,
     pub(crate) remote: Vec<EndpointId>,
-    /// Sum of the reported loads of `local`, kept up to date with each answer.
+    /// Sum of the reported loads of `local`, updated with each answer.
     pub(crate) local_load_sum: u64,
-    /// Ejected endpoints by the time they come back.
+    /// Ejected endpoints, ordered by the end of the ejection.
     ejected: BTreeSet<(Timestamp, EndpointId)>,
 }
 
@@ -22,7 +22,7 @@
         self.local.len() + self.remote.len()
     }
 
-    /// Forgets ejections that are over and counts the others.
+    /// Removes expired ejections and counts the rest.
     fn ejected_count(&mut self, now: Timestamp) -> usize {
         while self.ejected.first().is_some_and(|(until, _)| *until <= now) {
             self.ejected.pop_first();
@@ -31,8 +31,8 @@
     }
 }
 
-/// All endpoints this daemon knows. Bounded by what the control plane names: the endpoints of
-/// the services it calls.
+/// All endpoints known to this daemon. Bounded by the directory of the control group, which lists
+/// only endpoints of services that this daemon calls.
 #[derive(Debug)]
 pub(crate) struct Directory {
     zone: ZoneName,
@@ -62,14 +62,14 @@
     }
 
     fn remove_all_but(&mut self, live: &[DirectoryEndpoint]) {
-        let named: BTreeSet<&EndpointId> = live.iter().map(|entry| &entry.endpoint).collect();
-        let gone: Vec<EndpointId> = self
+        let listed: BTreeSet<&EndpointId> = live.iter().map(|entry| &entry.endpoint).collect();
+        let unlisted: Vec<EndpointId> = self
             .endpoints
             .keys()
-            .filter(|endpoint| !named.contains(endpoint))
+            .filter(|endpoint| !listed.contains(endpoint))
             .cloned()
             .collect();
-        for endpoint in &gone {
+        for endpoint in &unlisted {
             self.remove(endpoint);
         }
     }
@@ -115,21 +115,21 @@
             .insert(entry.endpoint.clone(), Endpoint::new(now, entry));
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     pub(crate) fn record_sent(&mut self, now: Timestamp, endpoint: &EndpointId) {
         if let Some(state) = self.endpoints.get_mut(endpoint) {
             state.record_sent(now);
         }
     }
 
-    /// An attempt was ended without news of the endpoint.
-    pub(crate) fn record_given_up(&mut self, endpoint: &EndpointId) {
+    /// Records the end of an attempt without feedback from the endpoint.
+    pub(crate) fn record_attempt_end(&mut self, endpoint: &EndpointId) {
         if let Some(state) = self.endpoints.get_mut(endpoint) {
-            state.record_over();
+            state.record_ended();
         }
     }
 
-    /// An attempt was answered.
+    /// Records the answer to an attempt.
     pub(crate) fn record_answer(
         &mut self,
         now: Timestamp,
@@ -138,7 +138,7 @@
         route: usize,
         feedback: &Feedback,
     ) {
-        self.record_given_up(endpoint);
+        self.record_attempt_end(endpoint);
         let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Level below which all endpoints of a service would shed a request to a route.
+    /// Level below which every endpoint of a service would shed a request to the route.
     pub(crate) fn service_level(
         &self,
         now: Timestamp,
@@ -170,19 +170,20 @@
         levels.min().unwrap_or_default()
     }
 
-    /// An attempt failed to reach the endpoint or lost its answer. Returns whether the endpoint
-    /// was ejected for it; the ceiling keeps a general slowdown from emptying the service.
+    /// Records an attempt that did not reach the endpoint or whose answer was lost. Returns whether
+    /// the endpoint was ejected; the limit prevents a general slowdown from ejecting all endpoints.
     pub(crate) fn record_failure(
         &mut self,
         now: Timestamp,
         endpoint: &EndpointId,
         max_ejected_percent: u32,
     ) -> bool {
-        self.record_given_up(endpoint);
-        self.record_trouble(now, endpoint, max_ejected_percent)
+        self.record_attempt_end(endpoint);
+        self.record_endpoint_failure(now, endpoint, max_ejected_percent)
     }
 
-    /// An attempt ran out of time; it is given up separately. Returns as `record_failure`.
+    /// Records an attempt that timed out; its end is recorded separately. Returns whether the
+    /// endpoint was ejected.
     pub(crate) fn record_timeout(
         &mut self,
         now: Timestamp,
@@ -193,10 +194,10 @@
         if let Some(state) = self.endpoints.get_mut(endpoint) {
             state.record_latency(now, sent);
         }
-        self.record_trouble(now, endpoint, max_ejected_percent)
+        self.record_endpoint_failure(now, endpoint, max_ejected_percent)
     }
 
-    fn record_trouble(
+    fn record_endpoint_failure(
         &mut self,
         now: Timestamp,
         endpoint: &EndpointId,
--- a/crates/bramblewheel-core/src/route/endpoint.rs
+++ b/crates/bramblewheel-core/src/route/endpoint.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows of one endpoint from its own observation.
+//! State of one endpoint as observed by this daemon.
 
 use crate::event::{AdmissionLevel, DirectoryEndpoint, Feedback};
 use bramblewheel_types::{EndpointId, ServiceName, Timestamp, ZoneName};
@@ -7,33 +7,32 @@
 
 /// Weight of a new latency sample in the moving average.
 const LATENCY_WEIGHT: f64 = 0.2;
-/// Smallest latency that counts, in microseconds; also that of an endpoint not measured yet, so
-/// that it is measured soon. Differences below it say nothing about load.
+/// Lower bound of the latency, in microseconds; smaller differences say nothing about load. An
+/// endpoint without measurements is assumed to have this latency, so that it is measured soon.
 const MIN_LATENCY: f64 = 100.0;
-/// Time in which a latency that is not measured again counts half: an endpoint that was slow
-/// once would otherwise never be tried again.
+/// Half-life of a latency without new measurements, in seconds. Without decay, an endpoint that was
+/// slow once would never be tried again.
 const LATENCY_HALF_LIFE: f64 = 1.0;
-/// An admission level older than this is not acted on.
+/// Age at which a reported admission level is ignored.
 const LEVEL_LIFETIME: Duration = Duration::from_millis(1_500);
-/// How often a call goes to an endpoint although its level would shed it, to learn the level.
+/// Interval at which a call is sent to an endpoint despite its level, to refresh the level.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long an endpoint's own word that it is leaving outweighs the directory.
+/// How long an endpoint's report that it is draining overrides the directory.
 const DRAINING_LIFETIME: Duration = Duration::from_secs(5);
 /// Consecutive failures after which an endpoint is ejected.
 const FAILURES_TO_EJECT: u32 = 5;
-/// Shortest time without any answer, while answers are awaited, from which an endpoint counts as
-/// silent.
+/// Minimum time with unanswered attempts and no answer after which an endpoint counts as silent.
 const MIN_SILENCE: Duration = Duration::from_millis(100);
-/// The same as a multiple of the observed latency.
+/// The same time as a multiple of the observed latency.
 const SILENCE_FACTOR: f64 = 4.0;
-/// First ejection time; doubled with each ejection that follows without a success.
+/// First ejection time; doubled with each further ejection without an answer in between.
 const BASE_EJECTION: Duration = Duration::from_secs(1);
-/// Most doublings of the ejection time.
+/// Maximum number of doublings of the ejection time.
 const MAX_EJECTION_DOUBLINGS: u32 = 5;
-/// Share of the traffic that slow start begins with.
+/// Initial share of traffic during slow start.
 const SLOW_START_FLOOR: f64 = 0.1;
 
-/// One endpoint as this daemon sees it.
+/// Observed state of one endpoint.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) service: ServiceName,
@@ -45,14 +44,14 @@
     latency_micros: f64,
     measured_at: Timestamp,
     pub(crate) load_percent: u32,
-    /// By the number of the route called; the level of a route holds for what it calls as well.
+    /// Levels by number of the called route; each also covers the services that the route calls.
     levels: Vec<Option<(AdmissionLevel, Timestamp)>>,
     last_probe: Option<Timestamp>,
     warm_since: Timestamp,
     failures: u32,
     ejections: u32,
     ejected_until: Timestamp,
-    /// Since when answers are awaited and none has come.
+    /// Since when attempts are outstanding without any answer.
     unanswered_since: Option<Timestamp>,
 }
 
@@ -78,22 +77,22 @@
         }
     }
 
-    /// Counts an attempt that is sent.
+    /// Counts a sent attempt.
     pub(crate) fn record_sent(&mut self, now: Timestamp) {
         self.outstanding += 1;
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Counts an attempt that is over, answered or not.
-    pub(crate) fn record_over(&mut self) {
+    /// Counts the end of an attempt, answered or not.
+    pub(crate) fn record_ended(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
         if self.outstanding == 0 {
             self.unanswered_since = None;
         }
     }
 
-    /// Whether nothing has come back for suspiciously long: a cut-off endpoint refuses nothing,
-    /// and each call sent there would keep its caller's slot until its deadline.
+    /// Whether the endpoint has sent no answer for suspiciously long. An endpoint that is cut off
+    /// refuses nothing, and each call sent to it would hold its caller's slot until the deadline.
     pub(crate) fn is_silent(&self, now: Timestamp) -> bool {
         let by_latency = Duration::from_micros((self.latency(now) * SILENCE_FACTOR) as u64);
         let longest = by_latency.max(MIN_SILENCE);
@@ -101,7 +100,7 @@
             .is_some_and(|since| now.since(since) > longest)
     }
 
-    /// Takes over what the directory says; own observation stays.
+    /// Applies a directory entry and keeps this daemon's own observations.
     pub(crate) fn update(&mut self, now: Timestamp, entry: &DirectoryEndpoint) {
         if self.address != entry.address || (self.is_draining && !entry.draining) {
             self.warm_since = now;
@@ -121,15 +120,16 @@
         now < self.ejected_until
     }
 
-    /// Level of a route; admits everything when none was told lately.
+    /// Level of a route; admits everything if none was reported recently.
     pub(crate) fn level(&self, now: Timestamp, route: usize) -> AdmissionLevel {
-        let told = self.levels.get(route).copied().flatten();
-        told.filter(|(_, at)| now.since(*at) < LEVEL_LIFETIME)
+        let reported = self.levels.get(route).copied().flatten();
+        reported
+            .filter(|(_, at)| now.since(*at) < LEVEL_LIFETIME)
             .map(|(level, _)| level)
             .unwrap_or_default()
     }
 
-    /// Whether a request at `position` may be sent, or would be shed on arrival.
+    /// Whether a request at `position` would be admitted rather than shed on arrival.
     pub(crate) fn admits(&self, now: Timestamp, route: usize, position: AdmissionLevel) -> bool {
         position >= self.level(now, route)
     }
@@ -141,7 +141,7 @@
         self.levels[route] = Some((level, now));
     }
 
-    /// Whether a call may be sent against the level, to learn whether it has fallen.
+    /// Whether a call may be sent despite the level, to find out whether the level has fallen.
     pub(crate) fn may_probe(&self, now: Timestamp) -> bool {
         self.last_probe
             .is_none_or(|at| now.since(at) >= PROBE_INTERVAL)
@@ -151,22 +151,22 @@
         self.last_probe = Some(now);
     }
 
-    /// Cost of sending one more request here; the smaller is chosen. Own observation first: the
-    /// reported load only scales it.
+    /// Cost of sending one more request to this endpoint; lower is better. It is based on this
+    /// daemon's own observation; the reported load only scales it.
     pub(crate) fn cost(&self, now: Timestamp, slow_start: Duration) -> f64 {
         let queue = f64::from(self.outstanding + 1);
         let load = 1.0 + f64::from(self.load_percent.min(1_000)) / 100.0;
         queue * self.latency(now) * load / self.slow_start_share(now, slow_start)
     }
 
-    /// Observed latency in microseconds, fading with its age.
+    /// Observed latency in microseconds, decaying with its age.
     fn latency(&self, now: Timestamp) -> f64 {
         let half_lives = now.since(self.measured_at).as_secs_f64() / LATENCY_HALF_LIFE;
         let faded = self.latency_micros * (-half_lives).exp2();
         faded.max(MIN_LATENCY)
     }
 
-    /// Share of its full traffic that a cold endpoint gets, rising with time.
+    /// Share of its full traffic that the endpoint gets during slow start, rising with time.
     fn slow_start_share(&self, now: Timestamp, slow_start: Duration) -> f64 {
         if slow_start.is_zero() {
             return 1.0;
@@ -175,7 +175,7 @@
         (warm_for / slow_start.as_secs_f64()).clamp(SLOW_START_FLOOR, 1.0)
     }
 
-    /// Counts the time that an attempt has taken.
+    /// Adds the duration of an attempt to the average.
     pub(crate) fn record_latency(&mut self, now: Timestamp, sent: Timestamp) {
         let sample = now.since(sent).as_micros() as f64;
         let before = self.latency(now);
@@ -201,14 +201,14 @@
         }
     }
 
-    /// Counts a failure; returns whether the endpoint should be ejected.
+    /// Records a failure; returns whether the endpoint should be ejected.
     pub(crate) fn record_failure(&mut self, now: Timestamp) -> bool {
         self.failures += 1;
         let is_bad = self.failures >= FAILURES_TO_EJECT || self.is_silent(now);
         is_bad && !self.is_ejected(now)
     }
 
-    /// Ejects the endpoint; it comes back with slow start.
+    /// Ejects the endpoint and returns the end of the ejection; it then resumes with slow start.
     pub(crate) fn eject(&mut self, now: Timestamp) -> Timestamp {
         let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
         self.ejected_until = now + BASE_EJECTION * 2_u32.pow(doublings);
@@ -219,7 +219,7 @@
     }
 }
 
-/// An endpoint and where it is.
+/// An endpoint and its address.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) endpoint: EndpointId,
--- a/crates/bramblewheel-core/src/route/mod.rs
+++ b/crates/bramblewheel-core/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Which endpoint an attempt goes to.
+//! Directory of endpoints and selection of the endpoint for an attempt.
 
 pub(crate) mod choice;
 pub(crate) mod directory;
--- a/crates/bramblewheel-core/src/session.rs
+++ b/crates/bramblewheel-core/src/session.rs
@@ -1,11 +1,11 @@
-//! Session tokens: held by the caller, recognised by any daemon that has the keys.
+//! Session tokens, held by the caller and verified by any daemon that has the keys.
 //!
-//! No daemon keeps a table of sessions, so none can lose one: a restart, a rollout or the loss of
-//! a zone ends no session. Keys are rotated by verifying with the old and the new one while
-//! minting with the new; a token stays valid as long as its key is kept.
+//! Daemons keep no session state, so a restart, a rollout or the loss of a zone ends no session.
+//! During a key rotation tokens are verified with the old and the new key and minted with the new
+//! one; a token stays valid as long as its key is kept.
 //!
-//! Text form: `1:KEY:OPENED:ZONE:CLASS:RANDOM:MAC`, where the MAC is HMAC-SHA-256 over all that
-//! comes before its colon.
+//! Text form: `1:KEY:OPENED:ZONE:CLASS:RANDOM:MAC`, where the MAC is HMAC-SHA-256 over everything
+//! before its colon.
 
 use bramblewheel_types::{Criticality, ZoneName};
 use hmac::{Hmac, KeyInit, Mac};
@@ -19,26 +19,26 @@
 pub const MIN_KEY_LENGTH: usize = 32;
 /// First field of every token.
 const FORMAT: &str = "1";
-/// Fields of a token without its MAC.
+/// Number of fields of a token without its MAC.
 const FIELDS: usize = 6;
 
-/// What a token says of its session.
+/// Session described by a token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Session {
-    /// When it was opened, in milliseconds since the Unix epoch.
+    /// Time at which the session was opened, in milliseconds since the Unix epoch.
     pub opened_at_unix_millis: u64,
-    /// Zone in which it was opened.
+    /// Zone in which the session was opened.
     pub home_zone: ZoneName,
-    /// Importance of its calls.
+    /// Class of its calls.
     pub criticality: Criticality,
-    /// Drawn at random; tells sessions apart.
+    /// Random value that distinguishes sessions.
     pub random: u128,
 }
 
 /// A secret with which tokens are signed.
 #[derive(Clone)]
 pub struct SessionKey {
-    /// Named in tokens, so that the right key is found during a rotation.
+    /// Key id, contained in tokens to find the right key during a rotation.
     pub id: u32,
     secret: Vec<u8>,
 }
@@ -47,7 +47,7 @@
     /// Wraps a secret.
     ///
     /// # Errors
-    /// [`SessionError::WeakKey`] when it is shorter than [`MIN_KEY_LENGTH`].
+    /// [`SessionError::WeakKey`] when the secret is shorter than [`MIN_KEY_LENGTH`].
     pub fn new(id: u32, secret: Vec<u8>) -> Result<Self, SessionError> {
         if secret.len() < MIN_KEY_LENGTH {
             return Err(SessionError::WeakKey);
@@ -69,16 +69,16 @@
     }
 }
 
-/// A token or key is not acceptable.
+/// A session token or key is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SessionError {
     /// The token is longer than [`MAX_TOKEN_LENGTH`].
     #[error("session token is too long")]
     TooLong,
-    /// The token's text can't be understood.
+    /// The text of the token can't be parsed.
     #[error("session token is malformed")]
     Malformed,
-    /// No key of that id is held.
+    /// There is no key with the token's key id.
     #[error("session token is signed with an unknown key")]
     UnknownKey,
     /// The signature does not match.
@@ -89,7 +89,7 @@
     WeakKey,
 }
 
-/// Makes the token of a session.
+/// Creates the token of a session.
 pub fn mint(key: &SessionKey, session: &Session) -> String {
     let text = format!(
         "{FORMAT}:{}:{}:{}:{}:{:032x}",
@@ -103,11 +103,11 @@
     format!("{text}:{}", hex::encode(mac))
 }
 
-/// Verifies a token with the keys held; the signature is compared in constant time, and nothing
-/// that the token says is used before it.
+/// Verifies a token. The signature is compared in constant time, before any field other than
+/// the key id is parsed.
 ///
 /// # Errors
-/// [`SessionError`] when the token is not one that a holder of `keys` has minted.
+/// [`SessionError`] when the token was not minted with one of `keys`.
 pub fn verify(keys: &[SessionKey], token: &str) -> Result<Session, SessionError> {
     if token.len() > MAX_TOKEN_LENGTH {
         return Err(SessionError::TooLong);
--- a/crates/bramblewheel-core/src/table.rs
+++ b/crates/bramblewheel-core/src/table.rs
@@ -1,17 +1,18 @@
-//! Hash tables whose order is the same in every run, and a bounded memory of recent keys.
+//! Hash tables with deterministic order, and a bounded map of recent keys.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{BuildHasherDefault, DefaultHasher};
 
-/// Hash table with a fixed hash function, so that a run can be repeated.
+/// Hash table with a fixed hash function, so that runs are reproducible.
 ///
-/// Only for keys drawn by the project's own processes: outsiders could choose colliding keys.
+/// Only for keys that the project's own processes generate; external callers could choose colliding
+/// keys.
 pub(crate) type Table<K, V> = HashMap<K, V, BuildHasherDefault<DefaultHasher>>;
 
-/// Remembers at least the `capacity` most recently used keys and at most twice as many.
+/// Map that keeps at least the `capacity` most recently used keys and at most twice as many.
 ///
-/// Two generations: when the young one is full it becomes the old one and the old one is
-/// forgotten. Ordered maps, because keys may be chosen by outsiders.
+/// It has two generations: when the young one is full, it replaces the old one, which is discarded.
+/// The maps are ordered, because external callers may choose the keys.
 #[derive(Debug)]
 pub(crate) struct RecentMap<K, V> {
     capacity: usize,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The value of a key, made by `make` if the key is not remembered; the key becomes young.
+    /// The value of a key, created by `make` if absent; moves the key to the young generation.
     pub(crate) fn get_or_insert_with(&mut self, key: &K, make: impl FnOnce() -> V) -> &mut V {
         if !self.young.contains_key(key) {
             let value = self.old.remove(key).unwrap_or_else(make);
@@ -38,16 +39,16 @@
         }
         self.young
             .get_mut(key)
-            .expect("the key was found or inserted in the line above")
+            .expect("the key is present or was inserted above")
     }
 
-    /// Remembers a key; returns whether it was new.
+    /// Inserts a key; returns whether it was new.
     pub(crate) fn insert(&mut self, key: K, value: V) -> bool {
         if self.young.len() >= self.capacity {
             self.forgotten = std::mem::take(&mut self.old);
             self.old = std::mem::take(&mut self.young);
         }
-        // Freed a little at each insert: a whole generation at once would take milliseconds.
+        // Discarded in small steps at each insert; freeing a whole generation at once takes milliseconds.
         self.forgotten.pop_first();
         self.forgotten.pop_first();
         let was_old = self.old.contains_key(&key);
--- a/crates/bramblewheel-core/src/timers.rs
+++ b/crates/bramblewheel-core/src/timers.rs
@@ -1,25 +1,25 @@
-//! Points in time at which the engine must act by itself.
+//! Timers of the engine.
 
 use bramblewheel_types::{AttemptId, CallId, Timestamp};
 use std::collections::BTreeSet;
 
-/// What is due.
+/// Event of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// The deadline of an outbound call.
     CallDeadline(CallId),
     /// The deadline of an inbound attempt.
     AttemptDeadline(AttemptId),
-    /// The wait for a ledger's answer is over.
+    /// A claim request to the ledger has timed out.
     ClaimTimeout(AttemptId),
-    /// A claim that another attempt held is to be asked for again.
-    ClaimAgain(AttemptId),
-    /// A run-once dispatch that nobody waits for has had its grace.
+    /// A claim request is to be repeated, because another attempt held the claim.
+    RepeatClaim(AttemptId),
+    /// The grace time of a run-once dispatch without a waiting caller is over.
     DetachedDispatch(AttemptId),
 }
 
-/// Timers in the order in which they are due. Each is set and cleared in logarithmic time, and
-/// is cleared with its owner, so that there are never more than a few per call in progress.
+/// Timers in due order. Setting and clearing takes logarithmic time. Timers are cleared with their
+/// owner, so there are never more than a few per call in progress.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     due: BTreeSet<(Timestamp, Timer)>,
@@ -38,7 +38,7 @@
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Takes the first timer that is due by `now`.
+    /// Removes and returns the first timer due at or before `now`.
     pub(crate) fn pop_due(&mut self, now: Timestamp) -> Option<Timer> {
         let (at, _) = *self.due.first()?;
         if at > now {
--- a/crates/bramblewheel-core/tests/admission.rs
+++ b/crates/bramblewheel-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Order and bounds of the admission queue, the concurrency limit and the level.
+//! Tests of the admission queue, the concurrency limit and the admission level.
 
 mod support;
 
@@ -20,7 +20,7 @@
 };
 
 #[test]
-fn the_queue_never_sheds_while_it_keeps_less_important() {
+fn queue_never_sheds_while_it_holds_less_important_attempts() {
     for_seeds(200, 2_000, |u| {
         let capacity: usize = u.int_in_range(0..=8)?;
         let mut queue = AdmissionQueue::default();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_most_important_goes_first_but_the_middle_class_gets_its_turns() {
+fn most_important_is_served_first_except_every_eighth_from_the_middle_class() {
     let mut queue = AdmissionQueue::default();
     let mut offer = |id, criticality| {
         let importance = Importance {
@@ -73,8 +73,8 @@
         .map(|(_, attempt)| attempt.0)
         .collect();
     assert_eq!(taken[..7], [10, 11, 12, 13, 14, 15, 16]);
-    assert_eq!(taken[7], 2, "the middle class has its turn");
-    assert_eq!(taken.last(), Some(&1), "the bottom has none");
+    assert_eq!(taken[7], 2, "every eighth attempt is of the middle class");
+    assert_eq!(taken.last(), Some(&1), "the lowest class is served last");
 }
 
 fn busy_daemon(queue_length: u32) -> Daemon {
@@ -85,17 +85,17 @@
 }
 
 #[test]
-fn a_full_queue_evicts_the_less_important_and_answers_at_once() {
+fn full_queue_evicts_the_less_important_attempt_and_answers_it_at_once() {
     let mut daemon = busy_daemon(1);
     daemon.step(at(1), inbound(2, Criticality::Low, None));
     let actions = daemon.step(at(2), inbound(3, Criticality::Critical, None));
-    let (answer, feedback) = attempt_answer(&actions, 2).expect("the low one is evicted");
+    let (answer, feedback) = attempt_answer(&actions, 2).expect("the low attempt is evicted");
     assert_eq!(reason(answer.outcome), Some(NotRunReason::Overloaded));
     assert!(feedback.is_final);
     let actions = daemon.step(at(3), inbound(4, Criticality::Low, None));
-    let (answer, _) = attempt_answer(&actions, 4).expect("the low one is refused");
+    let (answer, _) = attempt_answer(&actions, 4).expect("the low attempt is refused");
     let Outcome::NotRun { retry_after, .. } = answer.outcome else {
-        panic!("expected a refusal");
+        panic!("expected a not-run outcome");
     };
     assert!(retry_after.0 > 0);
     let attempt = AttemptId(1);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn the_endpoints_report_lowers_the_limit_but_never_raises_it() {
+fn endpoint_report_lowers_the_limit_but_never_raises_it() {
     let limit = ConcurrencyLimit::new(2, 10);
     assert_eq!(limit.with_reported_slots(None), 10);
     assert_eq!(limit.with_reported_slots(Some(4)), 4);
@@ -143,31 +143,34 @@
     assert_eq!(limit.observed(), 10);
 }
 
-/// Each of the running requests takes the same time whatever the limit: sub-calls are slow.
+/// Slow sub-calls: each running request takes the same time whatever the limit is.
 #[test]
-fn the_limit_stays_when_fewer_requests_would_not_be_quicker() {
+fn limit_is_restored_when_lowering_it_does_not_reduce_latency() {
     let mut limit = ConcurrencyLimit::new(2, 40);
     let mut now = at(0);
     let mut lowest = 40;
-    let mut windows_lowered = 0;
+    let mut lowered_samples = 0;
     let mut feed = |limit: &mut ConcurrencyLimit, millis: u64, samples| {
         for _ in 0..samples {
             let running = limit.observed();
             now += Duration::from_micros(millis * 1_000 / u64::from(running));
             limit.record(now, Duration::from_millis(millis), running);
             lowest = lowest.min(running);
-            windows_lowered += u32::from(running < 40);
+            lowered_samples += u32::from(running < 40);
         }
     };
     feed(&mut limit, 10, 2_000);
     feed(&mut limit, 50, 6_000);
     assert_eq!(limit.observed(), 40);
     assert!(lowest >= 30, "the limit fell to {lowest}");
-    assert!(windows_lowered < 600, "low for {windows_lowered} requests");
+    assert!(
+        lowered_samples < 600,
+        "the limit was lowered for {lowered_samples} requests"
+    );
 }
 
 #[test]
-fn requests_that_fail_early_do_not_make_whole_ones_look_slow() {
+fn early_failures_do_not_lower_the_limit() {
     let bundle = bundle(&["a"], 8, admission(0, 8));
     let mut daemon = Daemon::new("a-0", Some("a"), 1, bundle);
     let run = |daemon: &mut Daemon, id: u64, failed: bool, takes: u64| {
@@ -214,12 +217,12 @@
 }
 
 #[test]
-fn a_call_below_the_level_is_shed_before_it_is_sent_until_the_level_is_stale() {
+fn call_below_the_level_is_shed_before_sending_until_the_level_is_stale() {
     let bundle = bundle(&["a"], 8, admission(4, 1));
     let mut gateway = Daemon::new("gateway", None, 1, bundle);
-    gateway.know(&["a-0"], "a");
+    gateway.add_endpoints(&["a-0"], "a");
     let actions = gateway.step(at(1), root_call(1, "a", "/", None));
-    let (attempt, _) = sent(&actions).expect("it is sent");
+    let (attempt, _) = sent(&actions).expect("the call is sent");
     let feedback = Feedback {
         admission_level: AdmissionLevel {
             criticality: Criticality::Critical,
@@ -231,21 +234,23 @@
     let result = AttemptResult::Answered { outcome, feedback };
     gateway.step(at(2), Event::AttemptEnded { attempt, result });
     let probe = gateway.step(at(3), root_call(2, "a", "/", None));
-    assert!(sent(&probe).is_some(), "one call probes the level");
+    assert!(sent(&probe).is_some(), "one call is sent as a probe");
     let actions = gateway.step(at(4), root_call(3, "a", "/", None));
     assert!(
         !actions
             .iter()
             .any(|a| matches!(a, Action::SendAttempt { .. }))
     );
-    let outcome = call_answer(&actions).expect("it is shed at once").outcome;
+    let outcome = call_answer(&actions)
+        .expect("the call is shed at once")
+        .outcome;
     assert_eq!(reason(outcome), Some(NotRunReason::Overloaded));
     let actions = gateway.step(at(2_000), root_call(4, "a", "/", None));
-    assert!(sent(&actions).is_some(), "a stale level is not acted on");
+    assert!(sent(&actions).is_some(), "a stale level is ignored");
 }
 
 #[test]
-fn what_can_not_end_in_time_is_dropped_by_its_own_route_only() {
+fn attempt_that_cannot_finish_in_time_is_refused_by_its_own_route_only() {
     let bundle = bundle(&["a"], 8, admission(100, 100));
     let mut daemon = Daemon::new("a-0", Some("a"), 1, bundle);
     for id in 1..=40 {
@@ -266,11 +271,11 @@
         Event::InboundCall { context }
     };
     let actions = daemon.step(at(2_100), short(100, "/"));
-    let (answer, _) = attempt_answer(&actions, 100).expect("it is refused at once");
+    let (answer, _) = attempt_answer(&actions, 100).expect("the attempt is refused at once");
     assert_eq!(reason(answer.outcome), Some(NotRunReason::DeadlineExceeded));
     let actions = daemon.step(at(2_100), short(101, support::RUN_ONCE_PATH));
     assert_eq!(attempt_answer(&actions, 101), None);
-    // Without news the estimate is forgotten, so that the route is measured again.
+    // Without new samples the estimate expires, so that the route is measured again.
     let mut context = support::context(102, Criticality::Normal, None);
     context.deadline = at(3_020);
     let actions = daemon.step(at(3_000), Event::InboundCall { context });
@@ -278,10 +283,10 @@
 }
 
 #[test]
-fn the_level_below_a_route_is_told_for_that_route() {
+fn level_of_a_called_service_is_reported_only_for_the_calling_route() {
     let bundle = bundle(&["a", "b"], 8, admission(8, 8));
     let mut daemon = Daemon::new("a-0", Some("a"), 1, bundle);
-    daemon.know(&["b-0"], "b");
+    daemon.add_endpoints(&["b-0"], "b");
     daemon.step(at(1), inbound(1, Criticality::Normal, None));
     let actions = daemon.step(at(2), sub_call(10, "b", AttemptId(1), 1));
     let (attempt, _) = sent(&actions).expect("the sub-call is sent");
@@ -301,7 +306,7 @@
         result: succeeded(),
     };
     let actions = daemon.step(at(4), ended(1));
-    let (_, feedback) = attempt_answer(&actions, 1).expect("it is answered");
+    let (_, feedback) = attempt_answer(&actions, 1).expect("attempt 1 is answered");
     assert_eq!(feedback.admission_level, below);
 
     let once = inbound(2, Criticality::Normal, Some(operation("other-route")));
@@ -310,6 +315,6 @@
     let answer = ClaimAnswer::Granted;
     daemon.step(at(6), Event::ClaimAnswered { attempt, answer });
     let actions = daemon.step(at(7), ended(2));
-    let (_, feedback) = attempt_answer(&actions, 2).expect("it is answered");
+    let (_, feedback) = attempt_answer(&actions, 2).expect("attempt 2 is answered");
     assert_eq!(feedback.admission_level, AdmissionLevel::default());
 }
--- a/crates/bramblewheel-core/tests/drain.rs
+++ b/crates/bramblewheel-core/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop takes no new work and interrupts none.
+//! A planned stop refuses new work and interrupts no work in progress.
 
 mod support;
 
@@ -13,7 +13,7 @@
 fn daemon() -> Daemon {
     let bundle = bundle(&["a", "b"], 8, admission(4, 1));
     let mut daemon = Daemon::new("a-0", Some("a"), 1, bundle);
-    daemon.know(&["b-0"], "b");
+    daemon.add_endpoints(&["b-0"], "b");
     daemon
 }
 
@@ -36,12 +36,12 @@
     assert!(feedback.draining && !feedback.is_final);
     let actions = daemon.step(at(3), root_call(9, "b", "/", None));
     let outcome = call_answer(&actions)
-        .expect("a new root is refused")
+        .expect("a new root call is refused")
         .outcome;
     assert_eq!(reason(outcome), Some(NotRunReason::Draining));
 
     let actions = daemon.step(at(4), sub_call(5, "b", AttemptId(1), 1));
-    let (below, _) = sent(&actions).expect("sub-calls of running work go out");
+    let (below, _) = sent(&actions).expect("sub-calls of running attempts are sent");
     let result = answered(Outcome::Completed);
     daemon.step(
         at(5),
@@ -51,7 +51,10 @@
         },
     );
     let actions = daemon.step(at(6), ended(1));
-    assert!(dispatches(&actions, 2), "what was queued before is run");
+    assert!(
+        dispatches(&actions, 2),
+        "attempts queued before the drain are run"
+    );
     assert!(!actions.contains(&Action::Drained));
     let actions = daemon.step(at(7), ended(2));
     assert_eq!(actions.last(), Some(&Action::Drained));
@@ -59,7 +62,7 @@
 }
 
 #[test]
-fn an_operation_accepted_before_the_drain_runs_when_its_grant_comes() {
+fn operation_accepted_before_the_drain_runs_when_it_is_granted() {
     let mut daemon = daemon();
     let key = Some(operation("key"));
     daemon.step(at(1), inbound(1, Criticality::Normal, key));
@@ -72,7 +75,7 @@
 }
 
 #[test]
-fn the_endpoints_own_word_on_draining_refuses_new_work() {
+fn new_work_is_refused_when_the_endpoint_reports_draining() {
     let mut daemon = daemon();
     let report = EndpointReport {
         slots: 4,
@@ -81,17 +84,17 @@
     };
     daemon.step(at(1), Event::LocalReport(report));
     let actions = daemon.step(at(2), inbound(1, Criticality::Normal, None));
-    let (answer, _) = attempt_answer(&actions, 1).expect("it is refused");
+    let (answer, _) = attempt_answer(&actions, 1).expect("the attempt is refused");
     assert_eq!(reason(answer.outcome), Some(NotRunReason::Draining));
 }
 
 #[test]
-fn an_endpoint_that_says_it_leaves_gets_nothing_more() {
+fn endpoint_that_reports_draining_gets_no_more_calls() {
     let bundle = bundle(&["b"], 8, admission(4, 1));
     let mut gateway = Daemon::new("gateway", None, 1, bundle);
-    gateway.know(&["b-0", "b-1"], "b");
+    gateway.add_endpoints(&["b-0", "b-1"], "b");
     let actions = gateway.step(at(1), root_call(1, "b", "/", None));
-    let (attempt, leaving) = sent(&actions).expect("it is sent");
+    let (attempt, draining_endpoint) = sent(&actions).expect("the call is sent");
     let feedback = Feedback {
         draining: true,
         ..Default::default()
@@ -101,8 +104,8 @@
     gateway.step(at(2), Event::AttemptEnded { attempt, result });
     for id in 2..50 {
         let actions = gateway.step(at(2), root_call(id, "b", "/", None));
-        let (_, endpoint) = sent(&actions).expect("the other takes it");
-        assert_ne!(endpoint, leaving);
+        let (_, endpoint) = sent(&actions).expect("the other endpoint gets the call");
+        assert_ne!(endpoint, draining_endpoint);
     }
 }
 
--- a/crates/bramblewheel-core/tests/headers.rs
+++ b/crates/bramblewheel-core/tests/headers.rs
@@ -1,4 +1,4 @@
-//! Headers and session tokens: what is written is read back, all else is refused.
+//! Headers and session tokens: written values are parsed back, invalid ones are refused.
 
 mod support;
 
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn contexts_and_answers_are_read_back_as_written() {
+fn contexts_and_answers_survive_a_round_trip() {
     for_seeds(300, 300, |u| {
         let written = random_context(u)?;
         let mut list = HeaderList::new();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn arbitrary_values_are_refused_or_understood_but_never_panic() {
+fn arbitrary_values_are_parsed_or_refused_without_panic() {
     for_seeds(300, 600, |u| {
         let mut list = HeaderList::new();
         context::write(at(5), &random_context(u)?, &mut list);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn an_unknown_cohort_or_a_doubtful_mark_breaks_an_answer() {
+fn answer_with_invalid_level_flag_or_outcome_is_malformed() {
     let answer = |name: &str, value: &'static str| {
         let mut list = [
             (names::ATTEMPT, "00000000000000ff"),
@@ -160,7 +160,7 @@
             (names::FINAL, "0"),
         ];
         let entry = list.iter_mut().find(|(known, _)| *known == name);
-        entry.expect("one of the list").1 = value;
+        entry.expect("the list contains the header").1 = value;
         let pairs = list.iter().map(|(name, value)| (*name, value.as_bytes()));
         Fields::collect(pairs).and_then(|fields| answer::parse(&fields))
     };
@@ -177,10 +177,10 @@
 }
 
 #[test]
-fn an_endpoints_refusal_counts_without_its_details() {
+fn endpoint_refusal_is_recognized_without_reason_or_retry_after() {
     let refusal = |list: &[(&'static str, &'static str)]| {
         let pairs = list.iter().map(|(name, value)| (*name, value.as_bytes()));
-        answer::parse_refusal(&Fields::collect(pairs).expect("well formed"))
+        answer::parse_refusal(&Fields::collect(pairs).expect("the headers are well formed"))
     };
     assert_eq!(refusal(&[(names::OUTCOME, "completed")]), None);
     let bare = refusal(&[(names::OUTCOME, "not-run"), (names::REASON, "siesta")]);
@@ -190,13 +190,13 @@
         (names::REASON, "draining"),
         (names::RETRY_AFTER_MS, "7"),
     ]);
-    let full = full.expect("a refusal");
+    let full = full.expect("the headers state a refusal");
     assert_eq!(full.reason, Some(NotRunReason::Draining));
     assert_eq!(full.retry_after, Some(Millis(7)));
 }
 
 #[test]
-fn paths_are_matched_in_one_form_or_refused() {
+fn paths_are_normalized_or_refused() {
     for (path, plain) in [
         ("/", "/"),
         ("/%70ay/", "/pay/"),
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn outsiders_may_not_set_what_daemons_tell_each_other() {
+fn external_callers_cannot_set_headers_between_daemons() {
     for name in [
         names::RETRY_TOKENS,
         names::DEPTH,
@@ -247,13 +247,13 @@
     let pairs = spoofed
         .iter()
         .map(|(name, value)| (*name, value.as_bytes()));
-    let fields = Fields::collect_from_outside(pairs).expect("what is spoofed is dropped");
+    let fields = Fields::collect_from_outside(pairs).expect("spoofed headers are dropped");
     assert_eq!(fields.text(names::DEPTH), None);
     assert!(request::parse(&fields).is_ok_and(|headers| headers.parent.is_none()));
 }
 
 #[test]
-fn sessions_survive_key_rotation_and_forgeries_do_not_pass() {
+fn sessions_survive_key_rotation_and_forged_tokens_are_refused() {
     let key = |id, byte| SessionKey::new(id, vec![byte; 32]).expect("the key is long enough");
     let session = Session {
         opened_at_unix_millis: 1_790_000_000_000,
@@ -292,9 +292,9 @@
     assert!(SessionKey::new(3, vec![0; 31]).is_err());
 }
 
-/// The form of headers between daemons, for rolling restarts that mix programs.
+/// Pins the headers between daemons, so that a rolling restart can mix program versions.
 #[test]
-fn headers_between_daemons_are_written_as_recorded() {
+fn headers_between_daemons_match_the_pinned_form() {
     let context = CallContext {
         request: RequestId(0xa1),
         call: CallId(0xb2),
--- a/crates/bramblewheel-core/tests/outcome_truth.rs
+++ b/crates/bramblewheel-core/tests/outcome_truth.rs
@@ -1,4 +1,4 @@
-//! What a caller is told follows from what is proved about the attempts.
+//! The outcome reported to a caller follows from what is proven about the attempts.
 
 mod support;
 
@@ -18,25 +18,25 @@
 fn gateway(retry_tokens: u32) -> Daemon {
     let bundle = bundle(&["a"], retry_tokens, admission(9, 9));
     let mut daemon = Daemon::new("gateway", None, 1, bundle);
-    daemon.know(&["a-0", "a-1", "a-2", "a-3"], "a");
+    daemon.add_endpoints(&["a-0", "a-1", "a-2", "a-3"], "a");
     daemon
 }
 
-/// Ends the attempts of one call with the results in turn; returns the outcome and how many
-/// attempts were made.
+/// Ends the attempts of one call with the given results in turn; returns the outcome and the
+/// number of attempts made.
 fn call_with(path: &str, results: &[AttemptResult]) -> (Outcome, usize) {
     let mut daemon = gateway(8);
     let key = (path == support::RUN_ONCE_PATH).then(|| operation("key"));
     let mut actions = daemon.step(at(1), root_call(1, "a", path, key));
     for (made, result) in results.iter().enumerate() {
         let Some((attempt, _)) = sent(&actions) else {
-            let answer = call_answer(&actions).expect("a call without attempt is answered");
+            let answer = call_answer(&actions).expect("a call without another attempt is answered");
             return (answer.outcome, made);
         };
         let result = result.clone();
         actions = daemon.step(at(2), Event::AttemptEnded { attempt, result });
     }
-    let answer = call_answer(&actions).expect("the results end the call");
+    let answer = call_answer(&actions).expect("the last result ends the call");
     (answer.outcome, results.len())
 }
 
@@ -98,15 +98,15 @@
         actions = daemon.step(at(2), Event::AttemptEnded { attempt, result });
     }
     assert_eq!(tried.len(), 3);
-    let outcome = call_answer(&actions).expect("it ends").outcome;
+    let outcome = call_answer(&actions).expect("the call is answered").outcome;
     assert_eq!(reason(outcome), NOT_RUN);
 }
 
 #[test]
-fn a_final_refusal_is_not_tried_again() {
+fn final_refusal_is_not_followed_by_another_attempt() {
     let mut daemon = gateway(8);
     let actions = daemon.step(at(1), root_call(1, "a", "/", None));
-    let (attempt, _) = sent(&actions).expect("it is sent");
+    let (attempt, _) = sent(&actions).expect("the call is sent");
     let feedback = Feedback {
         is_final: true,
         ..Default::default()
@@ -114,19 +114,19 @@
     let outcome = refused(NotRunReason::Overloaded);
     let result = AttemptResult::Answered { outcome, feedback };
     let actions = daemon.step(at(2), Event::AttemptEnded { attempt, result });
-    let answer = call_answer(&actions).expect("it ends at once");
+    let answer = call_answer(&actions).expect("the call is answered at once");
     assert_eq!(answer.outcome, outcome);
 }
 
 #[test]
-fn a_deadline_with_an_attempt_out_is_unknown_and_late_answers_are_dropped() {
+fn deadline_with_an_attempt_in_progress_is_unknown_and_late_answers_are_dropped() {
     let mut daemon = gateway(8);
     let actions = daemon.step(at(1), root_call(1, "a", "/", None));
-    let (attempt, _) = sent(&actions).expect("it is sent");
+    let (attempt, _) = sent(&actions).expect("the call is sent");
     let due = daemon.engine.next_wakeup().expect("a deadline is set");
     let actions = daemon.step(due, Event::Tick);
     assert!(actions.contains(&Action::CancelAttempt { attempt }));
-    let answer = call_answer(&actions).expect("it ends at its deadline");
+    let answer = call_answer(&actions).expect("the call is answered at its deadline");
     assert_eq!(answer.outcome, Outcome::Unknown);
     let result = answered(Outcome::Completed);
     let late = daemon.step(due, Event::AttemptEnded { attempt, result });
@@ -165,10 +165,10 @@
 }
 
 fn end(daemon: &mut Daemon, actions: &[Action], outcome: Outcome) -> Outcome {
-    let (attempt, _) = sent(actions).expect("it is sent");
+    let (attempt, _) = sent(actions).expect("the call is sent");
     let result = answered(outcome);
     let actions = daemon.step(at(4), Event::AttemptEnded { attempt, result });
-    call_answer(&actions).expect("it ends").outcome
+    call_answer(&actions).expect("the call is answered").outcome
 }
 
 #[test]
@@ -189,7 +189,7 @@
     let mut daemon = gateway(8);
     let actions = send(&mut daemon, 30, 1);
     assert_eq!(end(&mut daemon, &actions, refusal), Outcome::Unknown);
-    // An earlier send is still on its way.
+    // An earlier send is still in progress.
     let mut daemon = gateway(8);
     send(&mut daemon, 40, 0);
     let actions = send(&mut daemon, 41, 1);
@@ -197,14 +197,16 @@
     // The gateway refuses the resend itself.
     daemon.step(at(5), Event::DrainRequested);
     let actions = send(&mut daemon, 42, 2);
-    let outcome = call_answer(&actions).expect("it is refused").outcome;
+    let outcome = call_answer(&actions)
+        .expect("the resend is refused")
+        .outcome;
     assert_eq!(outcome, Outcome::Unknown);
 }
 
-fn beside_endpoint() -> Daemon {
+fn endpoint_daemon() -> Daemon {
     let bundle = bundle(&["a", "b"], 8, admission(4, 1));
     let mut daemon = Daemon::new("a-0", Some("a"), 1, bundle);
-    daemon.know(&["b-0"], "b");
+    daemon.add_endpoints(&["b-0"], "b");
     daemon
 }
 
@@ -221,16 +223,16 @@
 }
 
 #[test]
-fn an_endpoint_that_refuses_after_sub_calls_has_run() {
+fn endpoint_refusal_after_sub_calls_counts_as_failed() {
     for (has_sub_call, expected) in [(false, true), (true, false)] {
-        let mut daemon = beside_endpoint();
+        let mut daemon = endpoint_daemon();
         let actions = daemon.step(at(1), inbound(1, Criticality::Normal, None));
         assert!(dispatches(&actions, 1));
         if has_sub_call {
             daemon.step(at(2), sub_call(5, "b", AttemptId(1), 1));
         }
         let actions = daemon.step(at(3), ended(endpoint_refusal()));
-        let (answer, _) = attempt_answer(&actions, 1).expect("it is answered");
+        let (answer, _) = attempt_answer(&actions, 1).expect("the attempt is answered");
         assert_eq!(answer.outcome.is_not_run(), expected);
         if has_sub_call {
             assert_eq!(answer.outcome, Outcome::Failed);
@@ -239,7 +241,7 @@
 }
 
 #[test]
-fn the_ends_of_a_dispatch_are_told_as_they_are() {
+fn dispatch_results_map_to_the_matching_outcomes() {
     let attempt = AttemptId(1);
     let failed = DispatchResult::Answered {
         failed: true,
@@ -255,28 +257,28 @@
         (DispatchResult::Lost, Outcome::Unknown, AnswerBody::None),
     ];
     for (result, outcome, body) in table {
-        let mut daemon = beside_endpoint();
+        let mut daemon = endpoint_daemon();
         daemon.step(at(1), inbound(1, Criticality::Normal, None));
         let actions = daemon.step(at(2), ended(result));
-        let (answer, _) = attempt_answer(&actions, 1).expect("it is answered");
+        let (answer, _) = attempt_answer(&actions, 1).expect("the attempt is answered");
         assert_eq!((answer.outcome, &answer.body), (outcome, &body));
     }
-    let mut daemon = beside_endpoint();
+    let mut daemon = endpoint_daemon();
     daemon.step(at(1), inbound(1, Criticality::Normal, None));
     let actions = daemon.step(at(2), ended(DispatchResult::NotSent));
-    let (answer, _) = attempt_answer(&actions, 1).expect("it is answered");
+    let (answer, _) = attempt_answer(&actions, 1).expect("the attempt is answered");
     assert_eq!(reason(answer.outcome), NOT_RUN);
 }
 
 #[test]
 fn cancelled_while_queued_is_not_run_and_never_dispatched() {
-    let mut daemon = beside_endpoint();
+    let mut daemon = endpoint_daemon();
     daemon.step(at(1), inbound(1, Criticality::Normal, None));
     let queued = daemon.step(at(1), inbound(2, Criticality::Normal, None));
     assert_eq!(queued, Vec::new());
     let attempt = AttemptId(2);
     let actions = daemon.step(at(2), Event::InboundCancelled { attempt });
-    let (answer, _) = attempt_answer(&actions, 2).expect("it is answered");
+    let (answer, _) = attempt_answer(&actions, 2).expect("the attempt is answered");
     assert_eq!(reason(answer.outcome), Some(NotRunReason::Cancelled));
     let actions = daemon.step(at(3), ended(succeeded()));
     assert!(!dispatches(&actions, 2));
@@ -284,7 +286,7 @@
 
 #[test]
 fn cancelling_a_running_attempt_stops_it_and_its_sub_calls() {
-    let mut daemon = beside_endpoint();
+    let mut daemon = endpoint_daemon();
     let attempt = AttemptId(1);
     daemon.step(at(1), inbound(1, Criticality::Normal, None));
     let actions = daemon.step(at(2), sub_call(5, "b", attempt, 1));
@@ -292,18 +294,18 @@
     let actions = daemon.step(at(3), Event::InboundCancelled { attempt });
     assert!(actions.contains(&Action::CancelDispatch { attempt }));
     assert!(actions.contains(&Action::CancelAttempt { attempt: below }));
-    let (answer, _) = attempt_answer(&actions, 1).expect("it is answered");
+    let (answer, _) = attempt_answer(&actions, 1).expect("the attempt is answered");
     assert_eq!(answer.outcome, Outcome::Unknown);
 }
 
 #[test]
 fn an_attempt_that_waited_past_its_deadline_is_not_run() {
-    let mut daemon = beside_endpoint();
+    let mut daemon = endpoint_daemon();
     daemon.step(at(1), inbound(1, Criticality::Normal, None));
     daemon.step(at(1), inbound(2, Criticality::Normal, None));
-    // The process was paused: the first end is seen long after the second's deadline.
+    // After a pause of the process the end of attempt 1 is handled long after the deadline of attempt 2.
     let actions = daemon.step(at(5_000), ended(succeeded()));
     assert!(!dispatches(&actions, 2));
-    let (answer, _) = attempt_answer(&actions, 2).expect("it is answered");
+    let (answer, _) = attempt_answer(&actions, 2).expect("the attempt is answered");
     assert_eq!(reason(answer.outcome), Some(NotRunReason::DeadlineExceeded));
 }
--- a/crates/bramblewheel-core/tests/retry_bound.rs
+++ b/crates/bramblewheel-core/tests/retry_bound.rs
@@ -1,4 +1,4 @@
-//! The retries of one original request stay within its tokens, whatever fails.
+//! The retries of one original request stay within its retry tokens, whatever fails.
 
 mod support;
 
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn every_hop_failing_15_deep_stays_within_the_tokens() {
+fn tree_of_depth_15_with_every_hop_failing_stays_within_the_tokens() {
     const DEPTH: u8 = 15;
     const TOKENS: u32 = 6;
     for loses_answers in [false, true] {
-        // Three sub-calls per hop, of which two end at once and one goes on down.
+        // Three sub-calls per hop, of which two are leaves and one continues the chain.
         let fan_out = |context: &CallContext| {
-            let goes_on = context.depth < DEPTH && context.path == "/";
-            let branches: u64 = if goes_on { 3 } else { 0 };
+            let has_sub_calls = context.depth < DEPTH && context.path == "/";
+            let branches: u64 = if has_sub_calls { 3 } else { 0 };
             let calls = (0..branches)
                 .map(|index| {
                     let name = if index == 0 { "chain" } else { "leaf" };
@@ -53,8 +53,8 @@
     }
 }
 
-/// A random tree: each endpoint calls up to three others, some repeat themselves, some answers
-/// are lost, some endpoints fail.
+/// A random call tree: each endpoint makes up to three sub-calls, some of them repeated; some
+/// answers are lost and some endpoints fail.
 fn random_plan(
     unstructured: &RefCell<&mut Unstructured<'_>>,
     context: &CallContext,
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn random_trees_stay_within_the_tokens_and_tell_the_truth() {
+fn random_trees_stay_within_the_tokens_and_report_true_outcomes() {
     for_seeds(200, 3_000, |u| {
         let tokens = u.int_in_range(0..=8)?;
         let source = RefCell::new(u);
@@ -98,15 +98,18 @@
         network.send(Duration::ZERO, 0, root_call(1, "a", "/", None));
         network.run();
         assert!(network.counts.extra_attempts() <= tokens);
-        // Each sub-call and the root got one answer, save those whose parent was cancelled.
-        let asked = network.counts.sub_calls as usize + 1;
-        assert_eq!(network.counts.answers.len(), asked);
+        // The root call and every sub-call got exactly one answer.
+        let call_count = network.counts.sub_calls as usize + 1;
+        assert_eq!(network.counts.answers.len(), call_count);
         for (call, outcome) in &network.counts.answers {
             let has_run = network.counts.ran.contains(call);
-            assert!(!(outcome.is_not_run() && has_run), "{call} was run");
+            assert!(
+                !(outcome.is_not_run() && has_run),
+                "{call} was run but answered not-run"
+            );
             assert!(
                 *outcome != Outcome::Completed || has_run,
-                "{call} was not run"
+                "{call} was completed but not run"
             );
         }
         Ok(())
@@ -114,7 +117,7 @@
 }
 
 #[test]
-fn a_pool_neither_makes_nor_forgets_tokens() {
+fn pool_neither_creates_nor_loses_tokens() {
     for_seeds(300, 400, |u| {
         let granted: u32 = u.int_in_range(0..=20)?;
         let mut pool = TokenPool::new(granted);
@@ -143,10 +146,10 @@
 }
 
 #[test]
-fn an_application_that_repeats_itself_pays_and_is_then_refused() {
+fn repeated_sub_calls_cost_tokens_and_are_then_refused() {
     let mut daemon =
         support::Daemon::new("a-0", Some("a"), 1, bundle(&["a", "b"], 9, admission(9, 9)));
-    daemon.know(&["b-0"], "b");
+    daemon.add_endpoints(&["b-0"], "b");
     let normal = bramblewheel_types::Criticality::Normal;
     let Event::InboundCall { mut context } = support::inbound(1, normal, None) else {
         unreachable!("inbound makes inbound calls");
@@ -158,16 +161,16 @@
     assert!(support::sent(&first).is_some());
     let repeated = daemon.step(at(3), sub_call(2, "b", parent, 77));
     assert!(support::sent(&repeated).is_some());
-    let once_more = daemon.step(at(4), sub_call(3, "b", parent, 77));
-    assert_eq!(support::sent(&once_more), None);
-    let outcome = support::call_answer(&once_more)
-        .expect("it is refused at once")
+    let third = daemon.step(at(4), sub_call(3, "b", parent, 77));
+    assert_eq!(support::sent(&third), None);
+    let outcome = support::call_answer(&third)
+        .expect("the third sub-call is refused at once")
         .outcome;
     let exhausted = bramblewheel_types::NotRunReason::RetryBudgetExhausted;
     assert_eq!(support::reason(outcome), Some(exhausted));
     let orphan = daemon.step(at(5), sub_call(4, "b", AttemptId(99), 1));
     let outcome = support::call_answer(&orphan)
-        .expect("it is refused at once")
+        .expect("a sub-call without a running parent is refused at once")
         .outcome;
     let invalid = bramblewheel_types::NotRunReason::InvalidRequest;
     assert_eq!(support::reason(outcome), Some(invalid));
@@ -179,6 +182,6 @@
         },
     );
     let (_, feedback) = attempt_answer(&ended, 1).expect("the attempt is answered");
-    // One for the repeat; one was lent with a sub-call that is cancelled unanswered.
+    // One token for the repeat, one lent with a sub-call that was cancelled unanswered.
     assert_eq!(feedback.retry_tokens_spent, 2);
 }
--- a/crates/bramblewheel-core/tests/routing.rs
+++ b/crates/bramblewheel-core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Choice of endpoints, ejection, and ratio budgets.
+//! Endpoint selection, ejection and ratio budgets.
 
 mod support;
 
@@ -56,12 +56,12 @@
     }
 }
 
-/// Share of calls by endpoint; each call is answered at once, by the near ones with the load.
+/// Calls per endpoint. Each call is answered at once; the near endpoints report `load`.
 fn shares(daemon: &mut Daemon, calls: u64, load: u32) -> BTreeMap<String, u64> {
     let mut shares = BTreeMap::new();
     for id in 0..calls {
         let now = at(10 + id);
-        let (attempt, endpoint) = call(daemon, now, 1_000 + id).expect("it is sent");
+        let (attempt, endpoint) = call(daemon, now, 1_000 + id).expect("the call is sent");
         *shares.entry(endpoint.to_string()).or_default() += 1;
         let is_near = endpoint.name().starts_with("near");
         end(
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_own_zone_comes_first_until_it_is_loaded() {
+fn own_zone_is_preferred_until_it_is_loaded() {
     let live = vec![
         entry("near-0", "zone-a", false),
         entry("near-1", "zone-a", false),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_slow_endpoint_gets_less() {
+fn slow_endpoint_gets_fewer_calls() {
     let live = vec![
         entry("fast", "zone-a", false),
         entry("slow", "zone-a", false),
@@ -99,7 +99,7 @@
     let mut counts: BTreeMap<String, u64> = BTreeMap::new();
     for id in 0..100 {
         let now = at(10 + id * 20);
-        let (attempt, endpoint) = call(&mut daemon, now, id).expect("it is sent");
+        let (attempt, endpoint) = call(&mut daemon, now, id).expect("the call is sent");
         let took = if endpoint.name() == "slow" { 15 } else { 1 };
         *counts.entry(endpoint.to_string()).or_default() += 1;
         end(&mut daemon, at(10 + id * 20 + took), attempt, completed(0));
@@ -108,20 +108,20 @@
 }
 
 #[test]
-fn failing_endpoints_are_ejected_up_to_the_ceiling_and_come_back() {
+fn failing_endpoints_are_ejected_up_to_the_limit_and_return() {
     let names = ["a-0", "a-1", "a-2", "a-3"];
     let live = names.map(|name| entry(name, "zone-a", false)).to_vec();
     let mut daemon = gateway(0, live);
     for id in 0..200 {
         let Some((attempt, _)) = call(&mut daemon, at(10), id) else {
-            panic!("a general failure never empties the service");
+            panic!("no endpoint was chosen although only a part of them may be ejected");
         };
         end(&mut daemon, at(10), attempt, AttemptResult::Lost);
     }
     assert_eq!(
         daemon.engine.metrics().ejections,
         2,
-        "half of the endpoints"
+        "half of the endpoints are ejected"
     );
     let during: Vec<_> = (300..340)
         .filter_map(|id| call(&mut daemon, at(20), id))
@@ -147,15 +147,15 @@
     let mut daemon = gateway(0, vec![entry("a-0", "zone-a", false)]);
     daemon.step(at(1), update(vec![entry("a-0", "zone-a", true)]));
     let actions = daemon.step(at(2), root_call(1, "a", "/", None));
-    let outcome = call_answer(&actions).expect("it is refused").outcome;
+    let outcome = call_answer(&actions).expect("the call is refused").outcome;
     assert_eq!(reason(outcome), Some(NotRunReason::NoEndpoint));
     daemon.step(at(3), update(vec![entry("a-1", "zone-a", false)]));
-    let (_, endpoint) = call(&mut daemon, at(4), 2).expect("the new one takes it");
+    let (_, endpoint) = call(&mut daemon, at(4), 2).expect("the new endpoint gets the call");
     assert_eq!(endpoint.name(), "a-1");
 }
 
 #[test]
-fn a_storm_of_failures_is_retried_within_the_ratio() {
+fn retries_stay_within_the_ratio_when_all_calls_fail() {
     let names = ["a-0", "a-1", "a-2", "a-3"];
     let live = names.map(|name| entry(name, "zone-a", false)).to_vec();
     let mut limits = bundle(&["a"], 100, admission(9, 9));
@@ -180,24 +180,24 @@
 }
 
 #[test]
-fn calls_beyond_the_connections_are_refused_at_once() {
+fn calls_beyond_the_connection_limit_are_refused_at_once() {
     let mut bundle = bundle(&["a"], 0, admission(9, 9));
     for policy in bundle.services.values_mut() {
         policy.routing.max_connections = 3;
     }
     let mut daemon = Daemon::new("gateway", None, 1, bundle);
     daemon.step(at(0), update(vec![entry("a-0", "zone-a", false)]));
-    let (first, _) = call(&mut daemon, at(1), 1).expect("it is sent");
+    let (first, _) = call(&mut daemon, at(1), 1).expect("the call is sent");
     assert!(call(&mut daemon, at(1), 2).is_some());
     assert!(call(&mut daemon, at(1), 3).is_some());
     let actions = daemon.step(at(1), root_call(4, "a", "/", None));
-    let answer = call_answer(&actions).expect("no connection is free");
+    let answer = call_answer(&actions).expect("the call is refused without a free connection");
     assert_eq!(reason(answer.outcome), Some(NotRunReason::Overloaded));
     end(&mut daemon, at(2), first, completed(10));
     assert!(call(&mut daemon, at(2), 5).is_some());
 }
 
-/// A cut-off endpoint answers nothing, so that it never looks slow; the other takes 20 ms.
+/// An endpoint that is cut off answers nothing, so its latency never rises; the other takes 20 ms.
 #[test]
 fn a_silent_endpoint_gets_no_more_calls_while_another_answers() {
     let live = vec![entry("a-0", "zone-a", false), entry("a-1", "zone-a", false)];
@@ -207,10 +207,10 @@
     for id in 1..900 {
         let now = at(id);
         while running.front().is_some_and(|(ends, _)| *ends <= now) {
-            let (_, attempt) = running.pop_front().expect("it was just looked at");
+            let (_, attempt) = running.pop_front().expect("the queue has a first entry");
             end(&mut daemon, now, attempt, completed(10));
         }
-        let (attempt, to) = call(&mut daemon, now, id).expect("it is sent");
+        let (attempt, to) = call(&mut daemon, now, id).expect("the call is sent");
         if to == endpoint("a-0") {
             unanswered.push(now);
         } else {
@@ -219,6 +219,9 @@
     }
     let last = unanswered
         .last()
-        .expect("it had some before it was found out");
-    assert!(*last < at(200), "a call went there at {last:?}");
+        .expect("the silent endpoint got calls before it was detected");
+    assert!(
+        *last < at(200),
+        "the silent endpoint got a call at {last:?}"
+    );
 }
--- a/crates/bramblewheel-core/tests/support/mod.rs
+++ b/crates/bramblewheel-core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Bundles, contexts and an in-memory network of engines for the tests.
+//! Test support: bundles, contexts and an in-memory network of engines.
 
 #![allow(dead_code, reason = "each test file uses a part of the support")]
 
@@ -24,7 +24,7 @@
 use std::time::Duration;
 
 pub const CLAIM_TIMEOUT: Duration = Duration::from_millis(200);
-/// Path whose route may not be repeated.
+/// Path of a route that is not repeatable.
 pub const RUN_ONCE_PATH: &str = "/once";
 
 /// Runs a property on fixed seeds, each with `size` bytes of randomness.
@@ -107,14 +107,14 @@
     }
 }
 
-/// One engine with the actions it has returned since the last look.
+/// One engine with the actions returned since they were last taken.
 pub struct Daemon {
     pub engine: Engine,
     pub actions: Vec<Action>,
 }
 
 impl Daemon {
-    /// A daemon beside the endpoint `name` of service `of`, or a gateway, with a bundle.
+    /// A daemon of endpoint `name` of service `of`, or a gateway if `of` is `None`, with a bundle.
     pub fn new(name: &str, of: Option<&str>, seed: u64, bundle: Bundle) -> Self {
         let mut daemon = Self {
             engine: Engine::new(EngineConfig {
@@ -141,14 +141,14 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Handles one event and returns what follows from it alone.
+    /// Handles one event and returns only the resulting actions.
     pub fn step(&mut self, now: Timestamp, event: Event) -> Vec<Action> {
         self.actions.clear();
         self.handle(now, event);
         self.take()
     }
 
-    pub fn know(&mut self, names: &[&str], of: &str) {
+    pub fn add_endpoints(&mut self, names: &[&str], of: &str) {
         let live = (0..names.len())
             .map(|index| DirectoryEndpoint {
                 endpoint: endpoint(names[index]),
@@ -265,7 +265,7 @@
     }
 }
 
-/// The only attempt that the actions send.
+/// The first attempt sent by the actions.
 pub fn sent(actions: &[Action]) -> Option<(AttemptId, EndpointId)> {
     actions.iter().find_map(|action| match action {
         Action::SendAttempt {
@@ -275,7 +275,7 @@
     })
 }
 
-/// The answer that the actions give to a call.
+/// The first answer to a call among the actions.
 pub fn call_answer(actions: &[Action]) -> Option<&Answer> {
     actions.iter().find_map(|action| match action {
         Action::AnswerCall { answer, .. } => Some(answer),
@@ -283,7 +283,7 @@
     })
 }
 
-/// The answer that the actions give to an inbound attempt.
+/// The answer to an inbound attempt among the actions.
 pub fn attempt_answer(actions: &[Action], id: u64) -> Option<(&Answer, &Feedback)> {
     actions.iter().find_map(|action| match action {
         Action::AnswerAttempt {
@@ -295,7 +295,7 @@
     })
 }
 
-/// Whether the actions pass the attempt to the local endpoint.
+/// Whether the actions dispatch the attempt to the local endpoint.
 pub fn dispatches(actions: &[Action], id: u64) -> bool {
     actions.contains(&Action::Dispatch {
         attempt: AttemptId(id),
--- a/crates/bramblewheel-core/tests/support/network.rs
+++ b/crates/bramblewheel-core/tests/support/network.rs
@@ -1,4 +1,4 @@
-//! Engines joined by an in-memory network in virtual time, with scripted endpoints.
+//! Engines connected by an in-memory network in virtual time, with scripted endpoints.
 
 use super::{Daemon, at, bundle, endpoint, service, zone};
 use bramblewheel_bundle::model::AdmissionPolicy;
@@ -12,17 +12,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const HOP: Duration = Duration::from_micros(500);
-/// Events after which a run counts as endless.
+const HOP_DELAY: Duration = Duration::from_micros(500);
+/// Maximum number of events in a run.
 const MAX_EVENTS: usize = 2_000_000;
 
-/// What an endpoint does with an attempt.
+/// Scripted behaviour of an endpoint for one attempt.
 pub struct Plan {
-    /// Services called side by side before the end, with fingerprints.
+    /// Services called concurrently, with fingerprints.
     pub sub_calls: Vec<(ServiceName, u64)>,
-    /// How the endpoint ends.
+    /// Result of the dispatch.
     pub end: DispatchResult,
-    /// Time that the endpoint takes after its sub-calls.
+    /// Duration of the endpoint's own work after its sub-calls.
     pub takes: Duration,
     /// Whether the network loses the answer to the calling daemon.
     pub loses_answer: bool,
@@ -35,16 +35,16 @@
     takes: Duration,
 }
 
-/// What is counted about one run.
+/// Counts of one run.
 #[derive(Default)]
 pub struct Counts {
     /// Attempts sent by any daemon, by call.
     pub attempts: BTreeMap<CallId, u32>,
-    /// Sub-calls asked for by endpoints.
+    /// Sub-calls made by endpoints.
     pub sub_calls: u64,
-    /// Attempts passed to endpoints.
+    /// Attempts dispatched to endpoints.
     pub dispatched: u64,
-    /// Calls of which an endpoint ran any part.
+    /// Calls that an endpoint ran at least in part.
     pub ran: BTreeSet<CallId>,
     /// Answers of all calls.
     pub answers: BTreeMap<CallId, Outcome>,
@@ -132,17 +132,17 @@
         self.queue.insert(key, (node, event));
     }
 
-    /// Runs until nothing is left to do.
+    /// Runs until there are no events or timers left.
     pub fn run(&mut self) {
         for _ in 0..MAX_EVENTS {
-            if !self.run_one() {
+            if !self.run_next() {
                 return;
             }
         }
-        panic!("the run does not end");
+        panic!("the run did not end within {MAX_EVENTS} events");
     }
 
-    fn run_one(&mut self) -> bool {
+    fn run_next(&mut self) -> bool {
         let wakeup = (0..self.daemons.len())
             .filter_map(|node| Some((self.daemons[node].engine.next_wakeup()?, node)))
             .min();
@@ -158,16 +158,16 @@
                 self.now = self.now.max(at);
                 (node, Event::Tick)
             }
-            (Some(_), None) => unreachable!("the second arm takes all events without wakeups"),
+            (Some(_), None) => unreachable!("the second arm matches all events without wakeups"),
         };
         let actions = self.daemons[node].step(self.now, event);
         for action in actions {
-            self.carry_out(node, action);
+            self.execute(node, action);
         }
         true
     }
 
-    fn carry_out(&mut self, node: usize, action: Action) {
+    fn execute(&mut self, node: usize, action: Action) {
         match action {
             Action::SendAttempt {
                 address, context, ..
@@ -176,7 +176,7 @@
                 self.senders.insert(context.attempt, node);
                 self.contexts.insert(context.attempt, context.clone());
                 let to = self.by_address[&address];
-                self.send(HOP, to, Event::InboundCall { context });
+                self.send(HOP_DELAY, to, Event::InboundCall { context });
             }
             Action::Dispatch { attempt } => self.begin(node, attempt),
             Action::AnswerAttempt {
@@ -194,7 +194,7 @@
                     }
                 };
                 let to = self.senders[&attempt];
-                self.send(HOP, to, Event::AttemptEnded { attempt, result });
+                self.send(HOP_DELAY, to, Event::AttemptEnded { attempt, result });
             }
             Action::AnswerCall { call, answer } => self.answer(call, answer.outcome, answer.body),
             Action::CancelDispatch { attempt } => {
@@ -232,7 +232,7 @@
                 operation: None,
                 fingerprint,
             };
-            self.send(HOP, node, Event::OutboundCall { call, request });
+            self.send(HOP_DELAY, node, Event::OutboundCall { call, request });
         }
         self.end_if_done(attempt);
     }
--- a/crates/bramblewheel-core/tests/surge.rs
+++ b/crates/bramblewheel-core/tests/surge.rs
@@ -1,4 +1,4 @@
-//! Three times the capacity arrives: the most important calls are the last to go.
+//! Load of three times the capacity: the most important calls are shed last.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::network::{Network, Plan};
 use support::{admission, root_call, succeeded};
 
-/// Two endpoints with ten slots and 10 ms a call: 2,000 calls a second.
+/// Two endpoints with ten slots and 10 ms per call give a capacity of 2,000 calls per second.
 const SERVICE_TIME: Duration = Duration::from_millis(10);
 const SLOTS: u32 = 10;
 const ENDPOINTS: usize = 2;
@@ -31,7 +31,7 @@
     (Event::OutboundCall { call, request }, class)
 }
 
-/// Share of the calls completed, by class and second.
+/// Share of calls completed, by second and class.
 fn run(rates: &[u64]) -> Vec<BTreeMap<Criticality, f64>> {
     let behaviour = |_: &CallContext| Plan {
         sub_calls: Vec::new(),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_most_important_complete_and_the_surge_leaves_nothing_behind() {
+fn most_important_calls_complete_in_a_surge_and_all_classes_recover_after_it() {
     let shares = run(&[1_000, 1_000, 6_000, 6_000, 6_000, 1_000, 1_000, 1_000]);
     for (second, share) in shares.iter().enumerate() {
         eprintln!("{second}: {share:?}");
@@ -72,7 +72,7 @@
         let total: f64 = during.values().sum::<f64>() / 4.0;
         assert!(
             total > 0.9 / 3.0,
-            "less than nine tenths of the capacity is used: {total}"
+            "completed share of the load is {total}, less than nine tenths of the capacity"
         );
     }
     for after in &shares[6..] {
