--- a/crates/bramblewheel-daemon/src/admin.rs
+++ b/crates/bramblewheel-daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin listener: health, readiness, metrics, state of run-once operations.
+//! The admin listener: health, readiness, metrics and the state of run-once operations.
 
 mod exposition;
 
@@ -24,7 +24,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tower::ServiceExt;
 
-/// What the admin listener shows.
+/// State shown by the admin listener.
 pub(crate) struct AdminState {
     pub(crate) shared: Arc<Shared>,
     pub(crate) draining: watch::Receiver<bool>,
@@ -55,7 +55,7 @@
             Err(never) => match never {},
         };
         let (head, body) = response.into_parts();
-        // Everything here is built in memory, so the body can't fail.
+        // All bodies are built in memory, so reading one can't fail.
         let body = body.collect().await.map_or(Bytes::new(), |b| b.to_bytes());
         Response::from_parts(head, AnswerBody::whole(body))
     }
@@ -92,7 +92,7 @@
         );
     };
     let (answer, answered) = oneshot::channel();
-    // When the ledger task has ended, the answer's sender is dropped, which is seen below.
+    // If the ledger task has ended, the sender of the answer is dropped and `answered` fails below.
     let _ = state.ledger.send(LedgerJob::Status { key, answer });
     match answered.await {
         Ok(reply) => (StatusCode::OK, Json(describe(reply))),
--- a/crates/bramblewheel-daemon/src/admin/exposition.rs
+++ b/crates/bramblewheel-daemon/src/admin/exposition.rs
@@ -1,4 +1,4 @@
-//! Metrics as text, in the format of OpenMetrics.
+//! Metrics in the OpenMetrics text format.
 
 use crate::metrics::Metrics;
 use bramblewheel_core::metrics::{Metrics as EngineMetrics, OutcomeCounters};
@@ -12,16 +12,16 @@
 
 type Labels = Vec<(&'static str, &'static str)>;
 
-/// Writes the engine's counters, the shell's, and the bundle version.
-pub(super) fn write(engine: &EngineMetrics, shell: &Metrics, bundle_version: u64) -> String {
+/// Writes the metrics of the engine and the daemon, and the bundle version.
+pub(super) fn write(engine: &EngineMetrics, daemon: &Metrics, bundle_version: u64) -> String {
     let mut registry = Registry::default();
     register_outcomes(&mut registry, engine);
     register_shed(&mut registry, engine);
     register_counters(&mut registry, engine);
     register_gauges(&mut registry, engine, bundle_version);
-    shell.register(&mut registry);
+    daemon.register(&mut registry);
     let mut text = String::new();
-    encode(&mut text, &registry).expect("a string takes every write");
+    encode(&mut text, &registry).expect("writing to a string never fails");
     text
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// A counter's name without prefix, its help text and its value.
+/// Name without prefix, help text and value of a counter.
 type CounterFigure = (&'static str, &'static str, u64);
 
 fn register_counters(registry: &mut Registry, engine: &EngineMetrics) {
--- a/crates/bramblewheel-daemon/src/clock.rs
+++ b/crates/bramblewheel-daemon/src/clock.rs
@@ -1,3 +1,3 @@
-//! The process's monotonic clock, as the engine's timestamps.
+//! The monotonic clock of the process, which gives the engine's timestamps.
 
 pub use bramblewheel_process::clock::Clock;
--- a/crates/bramblewheel-daemon/src/control/choice.rs
+++ b/crates/bramblewheel-daemon/src/control/choice.rs
@@ -1,15 +1,15 @@
-//! Which replica a daemon asks next, and how long it pauses before. Pure.
+//! Selection of the control replica to query next and of the pause before it. Free of I/O.
 
 use bramblewheel_protocol::control::Unavailable;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// First pause after every replica has failed once.
+/// First pause, after every replica has failed once.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest pause.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Which replica a daemon asks next: the one that answers, the leader where one is needed.
+/// Selects the replica to query: the last one that answered, or the leader if one is needed.
 #[derive(Clone, Debug)]
 pub struct ReplicaChoice {
     replicas: Vec<SocketAddr>,
@@ -21,7 +21,7 @@
 }
 
 impl ReplicaChoice {
-    /// Begins with a replica chosen by `seed`, so that daemons spread over them.
+    /// Starts with a replica chosen by `seed`, so that daemons are spread over the replicas.
     ///
     /// `replicas` must not be empty.
     pub fn new(replicas: Vec<SocketAddr>, seed: u64) -> Self {
@@ -36,38 +36,38 @@
         }
     }
 
-    /// The replica to ask.
+    /// Address of the replica to query.
     pub fn address(&self) -> SocketAddr {
         self.hinted.unwrap_or(self.replicas[self.current])
     }
 
-    /// Goes to another replica, because the current one's answer can't be had or used.
+    /// Switches to another replica, because the current one did not give a usable answer.
     pub fn next_replica(&mut self) {
         if self.hinted.take().is_none() {
             self.current = (self.current + 1) % self.replicas.len();
         }
     }
 
-    /// The current replica says that it can't answer.
+    /// Records that the current replica reported itself unavailable.
     pub fn unavailable(&mut self, reason: &Unavailable) {
         match reason {
             Unavailable::NotLeader(Some(leader)) if self.hinted != Some(*leader) => {
                 self.hinted = Some(*leader);
             }
-            // The replica works, only this answer is open: ask it again.
+            // The replica works but has not decided on this request: query it again.
             Unavailable::Undecided => {}
             _ => self.next_replica(),
         }
     }
 
-    /// Notes that an answer was of use.
+    /// Records a usable answer.
     pub fn succeeded(&mut self) {
         self.failures = 0;
         self.backoff = MIN_BACKOFF;
     }
 
-    /// How long to pause before the next question: not at all until every replica was tried once,
-    /// then longer each time, with jitter so that daemons don't come back together.
+    /// Pause before the next query: none until every replica was tried once, then exponential
+    /// back-off, with jitter so that daemons do not return at the same time.
     pub fn pause(&mut self) -> Duration {
         self.failures += 1;
         if !self.failures.is_multiple_of(self.replicas.len().max(1)) {
@@ -78,7 +78,7 @@
         pause
     }
 
-    /// Between 0 and 1; good enough to spread pauses (a xorshift step).
+    /// Pseudo-random number between 0 and 1 (one xorshift step); sufficient for spreading pauses.
     fn random_fraction(&mut self) -> f64 {
         self.jitter ^= self.jitter << 13;
         self.jitter ^= self.jitter >> 7;
--- a/crates/bramblewheel-daemon/src/control/connection.rs
+++ b/crates/bramblewheel-daemon/src/control/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a control replica, one request at a time.
+//! A connection to a control replica with one request at a time.
 
 use crate::metrics::Metrics;
 use bramblewheel_protocol::codec::{self, CodecError, MAX_CONTROL_FRAME};
@@ -15,10 +15,10 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::time::timeout;
 
-/// Time for a connection to open.
+/// Time-out for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A replica can't be asked, or did not answer as agreed.
+/// A replica can't be reached or violated the protocol.
 #[derive(Debug, Error)]
 pub(super) enum ConnectionError {
     /// The connection failed or a frame was malformed.
@@ -27,10 +27,10 @@
     /// The replica closed the connection.
     #[error("the replica closed the connection")]
     Closed,
-    /// No answer in time.
+    /// The answer did not arrive in time.
     #[error("no answer in time")]
     TimedOut,
-    /// The answer names another request.
+    /// The answer has the id of another request.
     #[error("the answer is for another request")]
     WrongReply,
 }
@@ -41,8 +41,8 @@
     }
 }
 
-/// One connection to a control replica. After an error it is not used again, so that no late
-/// answer can be taken for the next one's.
+/// A connection to a control replica. It must not be used after an error, so that a late answer is
+/// not taken for the answer to the next request.
 #[derive(Debug)]
 pub(super) struct Connection {
     reader: CountedReader,
@@ -73,8 +73,8 @@
         })
     }
 
-    /// Asks one question and waits for its answer.
-    pub(super) async fn ask(
+    /// Sends one request and waits for its answer.
+    pub(super) async fn query(
         &mut self,
         body: RequestBody,
         wait: Duration,
--- a/crates/bramblewheel-daemon/src/control/intake.rs
+++ b/crates/bramblewheel-daemon/src/control/intake.rs
@@ -1,6 +1,6 @@
-//! What a daemon holds of the control plane, and the rule by which it takes over answers.
+//! A daemon's copy of the control group's state and the rules for accepting poll answers.
 //!
-//! Pure: the simulator's daemons follow the same rule.
+//! Free of I/O; the simulator's daemons use the same rules.
 
 use super::verify::{NewBundle, RefusedBundle, check_delta, check_whole, decode, follow};
 use bramblewheel_bundle::{Bundle, TrustedOperators};
@@ -12,48 +12,48 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a replica may hold a poll; also the period in which the lease is renewed.
+/// How long a replica may hold a poll; also the interval of lease renewals.
 pub const POLL_WAIT: Duration = Duration::from_secs(3);
-/// Time beyond that after which the replica counts as silent.
+/// Additional time after which an unanswered poll times out.
 pub const POLL_GRACE: Duration = Duration::from_secs(2);
 
-/// An answer can't be taken over; another replica must be asked.
+/// A poll answer is not accepted; another replica must be queried.
 #[derive(Debug, Error)]
 pub enum RefusedReply {
-    /// An answer seen before was newer.
+    /// The answer is older than one already seen.
     #[error("at entry {}, older than entry {} seen before", offered.index, seen.index)]
     Stale {
-        /// Position of the answer.
+        /// Log position of the answer.
         offered: LogPosition,
-        /// Highest position seen.
+        /// Highest log position seen.
         seen: LogPosition,
     },
-    /// Another bundle of the version in force.
+    /// The bundle differs from the one in force but has the same version.
     #[error("another bundle of version {0}, which is in force")]
     OtherBundle(BundleVersion),
-    /// The bundle is not acceptable.
+    /// The bundle was refused.
     #[error(transparent)]
     Bundle(#[from] RefusedBundle),
 }
 
-/// What a daemon holds of the control plane.
+/// A daemon's copy of the control group's state.
 ///
-/// For each answer: [`check`](Self::check) it; sync the bundle that comes with it, if any, and only
-/// then use it; at last [`take`](Self::take) the answer over.
+/// For each answer, call [`check`](Self::check), sync the returned bundle, if any, to disk before
+/// using it, and finally call [`take`](Self::take).
 #[derive(Clone, Debug, Default)]
 pub struct Intake {
     bundle: Option<Arc<Bundle>>,
-    /// Who may sign the next bundle: at first the operators of the bundle in force. Kept in memory
-    /// only; after a restart the changes are followed again.
+    /// Operators who may sign the next bundle, initially those of the bundle in force. Kept in
+    /// memory only; after a restart the operator changes are applied again.
     operators: Option<TrustedOperators>,
-    /// A delta did not lead to the bundle it stated.
+    /// Whether to request a whole bundle, because a delta did not yield the bundle it stated.
     needs_whole_bundle: bool,
     position: LogPosition,
     directory_revision: u64,
 }
 
 impl Intake {
-    /// Begins with the bundle that was synced last.
+    /// Starts with the bundle that was last synced to disk.
     pub fn new(bundle: Option<Arc<Bundle>>) -> Self {
         Self {
             operators: bundle.as_deref().map(TrustedOperators::of),
@@ -67,12 +67,12 @@
         self.bundle.as_ref()
     }
 
-    /// Highest position seen from any replica.
+    /// Highest log position seen from any replica.
     pub fn position(&self) -> LogPosition {
         self.position
     }
 
-    /// The next question.
+    /// The next poll request.
     pub fn request(&self, registration: Registration, services: Vec<ServiceName>) -> PollRequest {
         let operators = self.operators.as_ref();
         PollRequest {
@@ -87,11 +87,11 @@
         }
     }
 
-    /// Checks an answer and follows the changes of the operators in it; hands back the bundle that
-    /// must be synced and put in force first, if there is a new one.
+    /// Checks an answer and applies its operator changes. Returns the new bundle, if any, which must
+    /// be synced and put in force before the answer is accepted.
     ///
     /// # Errors
-    /// [`RefusedReply`]; nothing else of the answer may be used.
+    /// [`RefusedReply`]; no other part of the answer may then be used.
     pub fn check(&mut self, reply: &PollReply) -> Result<Option<NewBundle>, RefusedReply> {
         if reply.position.index < self.position.index {
             return Err(RefusedReply::Stale {
@@ -126,7 +126,7 @@
         Ok(Some(check_whole(offered, self.operators.as_ref())?))
     }
 
-    /// Takes over an answer that was checked, with its bundle, which is synced.
+    /// Accepts an answer that was checked, with its bundle, which must already be synced.
     pub fn take(&mut self, reply: &PollReply, bundle: Option<Arc<Bundle>>) {
         if let Some(bundle) = bundle {
             self.operators = Some(TrustedOperators::of(&bundle));
@@ -138,7 +138,7 @@
     }
 }
 
-/// A bundle that is in force may come once more; another one of its version must never be used.
+/// The bundle in force may be sent again; a different bundle of the same version is refused.
 fn confirm_same(offered: &SignedBundle, in_force: &Bundle) -> Result<(), RefusedReply> {
     if decode(offered)? == *in_force {
         return Ok(());
--- a/crates/bramblewheel-daemon/src/control/ledger.rs
+++ b/crates/bramblewheel-daemon/src/control/ledger.rs
@@ -1,4 +1,5 @@
-//! Run-once operations: asked in batches, repeated until they are answered or out of time.
+//! Client of the run-once ledger: sends requests in batches and repeats them until they are answered
+//! or time out.
 
 use crate::control::link::Link;
 use crate::driver::Driver;
@@ -16,41 +17,41 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// How long a claim is asked for, and how long the engine waits for it.
+/// Time-out of a claim, for the ledger client and for the engine.
 pub const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an answer or a release is tried to be recorded.
+/// Time-out for recording an answer or a release.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(120);
-/// How long the state of an operation is asked for.
+/// Time-out of a status request.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for one batch.
+/// Time-out of one batch.
 const BATCH_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause after a batch in which something was left open.
+/// Pause after a batch with unanswered requests.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// Operations in one batch.
+/// Maximum number of requests in one batch.
 const MAX_BATCH: usize = 256;
-/// Operations waiting; beyond it new claims are refused at once.
+/// Maximum number of waiting requests; further claims are refused at once.
 const MAX_WAITING: usize = 16_384;
 
-/// Something to ask the ledger.
+/// A job for the ledger client.
 #[derive(Debug)]
 pub enum LedgerJob {
-    /// On behalf of the engine.
+    /// A request of the engine.
     Engine {
-        /// The attempt for which is asked.
+        /// The attempt for which the request is made.
         attempt: AttemptId,
-        /// What is asked.
+        /// The request.
         request: LedgerRequest,
     },
-    /// On behalf of an operator: the state of an operation.
+    /// A request of an operator for the state of an operation.
     Status {
         /// The operation.
         key: OperationKey,
-        /// Takes the answer; dropped when there is none.
+        /// Receives the answer; dropped without a message if there is none.
         answer: oneshot::Sender<OperationReply>,
     },
 }
 
-/// The task that asks the ledger.
+/// The task that sends requests to the ledger.
 pub struct LedgerClient {
     jobs: mpsc::UnboundedReceiver<LedgerJob>,
     waiting: Vec<Pending>,
@@ -68,7 +69,8 @@
 }
 
 impl LedgerClient {
-    /// A client that asks as `incarnation` and gives answers to claims to the driver's engine.
+    /// Creates a client that identifies itself by `incarnation` and submits claim answers to
+    /// `driver`.
     pub fn new(
         jobs: mpsc::UnboundedReceiver<LedgerJob>,
         replicas: Vec<SocketAddr>,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Asks until nobody can send jobs any more.
+    /// Runs until all job senders are dropped.
     pub async fn run(mut self) {
         loop {
             if self.waiting.is_empty() {
@@ -141,7 +143,7 @@
                 (key, action, RECORD_TIMEOUT)
             }
             LedgerRequest::Release { key } => {
-                self.forget_claim(attempt);
+                self.drop_pending_claim(attempt);
                 (key, OperationAction::Release, RECORD_TIMEOUT)
             }
         };
@@ -171,8 +173,8 @@
         }
     }
 
-    /// A claim that is given back must not be asked for again after its release.
-    fn forget_claim(&mut self, attempt: AttemptId) {
+    /// Drops the pending claim of an attempt, which must not be sent again after its release.
+    fn drop_pending_claim(&mut self, attempt: AttemptId) {
         self.waiting
             .retain(|p| !(p.is_claim() && p.request.attempt == attempt.0));
     }
@@ -188,7 +190,7 @@
         }
     }
 
-    /// A claim out of time may be recorded all the same, so it is released as well.
+    /// Handles a timed-out request. A claim may have been recorded nevertheless, so it is released.
     fn expire(&mut self, pending: Pending) {
         let request = pending.request;
         match request.action {
@@ -214,8 +216,8 @@
         let count = self.waiting.len().min(MAX_BATCH);
         let batch: Vec<Pending> = self.waiting.drain(..count).collect();
         let requests = batch.iter().map(|p| p.request.clone()).collect();
-        let asked = RequestBody::Operations(requests);
-        let open = match self.link.ask(asked, BATCH_TIMEOUT).await {
+        let batch_request = RequestBody::Operations(requests);
+        let unanswered = match self.link.query(batch_request, BATCH_TIMEOUT).await {
             Ok(ReplyBody::Operations(replies)) if replies.len() == batch.len() => {
                 self.link.succeeded();
                 self.settle(batch, replies)
@@ -231,29 +233,29 @@
                 batch
             }
         };
-        if open.is_empty() {
+        if unanswered.is_empty() {
             return;
         }
-        // In front again, so that the order of the requests of one attempt is kept.
-        self.waiting.splice(0..0, open);
+        // Put back at the front, so that the requests of one attempt stay in order.
+        self.waiting.splice(0..0, unanswered);
         tokio::time::sleep(RETRY_PAUSE).await;
     }
 
-    /// Hands answers over; returns what is still open.
+    /// Delivers answers and returns the requests that are still unanswered.
     fn settle(&self, batch: Vec<Pending>, replies: Vec<OperationReply>) -> Vec<Pending> {
-        let mut open = Vec::new();
+        let mut unanswered = Vec::new();
         for (mut pending, reply) in batch.into_iter().zip(replies) {
             if reply == OperationReply::Undecided {
-                open.push(pending);
+                unanswered.push(pending);
             } else if let Some(status) = pending.status.take() {
-                // The operator may have gone away.
+                // The operator may have disconnected.
                 let _ = status.send(reply);
             } else if pending.is_claim() {
                 let attempt = AttemptId(pending.request.attempt);
                 self.answer_claim(attempt, claim_answer(reply));
             }
         }
-        open
+        unanswered
     }
 
     fn answer_claim(&self, attempt: AttemptId, answer: ClaimAnswer) {
--- a/crates/bramblewheel-daemon/src/control/link.rs
+++ b/crates/bramblewheel-daemon/src/control/link.rs
@@ -1,4 +1,4 @@
-//! Keeps a connection to some replica: the one that answers, the leader where one is needed.
+//! Maintains a connection to one control replica and switches to another one on failure.
 
 use crate::control::choice::ReplicaChoice;
 use crate::control::connection::{Connection, ConnectionError};
@@ -9,28 +9,28 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// No answer could be had now.
+/// No answer was received.
 #[derive(Debug, Error)]
 pub(super) enum LinkError {
-    /// The replica can't be reached or broke the protocol.
+    /// The replica can't be reached or violated the protocol.
     #[error("{address}: {error}")]
     Connection {
         /// The replica.
         address: SocketAddr,
-        /// What went wrong.
+        /// The connection error.
         error: ConnectionError,
     },
-    /// The replica says that it can't answer.
+    /// The replica reported that it can't answer.
     #[error("{address}: unavailable: {reason:?}")]
     Unavailable {
         /// The replica.
         address: SocketAddr,
-        /// Why.
+        /// The stated reason.
         reason: Unavailable,
     },
 }
 
-/// A connection to some replica of the group.
+/// A connection to one replica of the control group.
 pub(super) struct Link {
     choice: ReplicaChoice,
     connection: Option<Connection>,
@@ -38,7 +38,7 @@
 }
 
 impl Link {
-    /// A link that begins with a replica chosen by `seed`, so that daemons spread over them.
+    /// Starts with a replica chosen by `seed`, so that daemons are spread over the replicas.
     pub(super) fn new(replicas: Vec<SocketAddr>, seed: u64, metrics: Arc<Metrics>) -> Self {
         Self {
             choice: ReplicaChoice::new(replicas, seed),
@@ -47,14 +47,15 @@
         }
     }
 
-    /// Asks the current replica; on any failure the next question goes to another one.
-    pub(super) async fn ask(
+    /// Sends a request to the current replica. After a failed connection the next request goes to
+    /// another replica; after `Unavailable`, [`ReplicaChoice::unavailable`] decides.
+    pub(super) async fn query(
         &mut self,
         body: RequestBody,
         wait: Duration,
     ) -> Result<ReplyBody, LinkError> {
         let address = self.choice.address();
-        match self.ask_at(address, body, wait).await {
+        match self.query_at(address, body, wait).await {
             Ok(ReplyBody::Unavailable(reason)) => {
                 self.choice.unavailable(&reason);
                 if reason != Unavailable::Undecided {
@@ -70,23 +71,23 @@
         }
     }
 
-    /// Goes to another replica, because the current one's answer can't be used.
+    /// Switches to another replica, because the current one's answer can't be used.
     pub(super) fn next_replica(&mut self) {
         self.connection = None;
         self.choice.next_replica();
     }
 
-    /// Closes the connection but stays with its replica.
+    /// Closes the connection; the next request goes to the same replica.
     pub(super) fn reconnect(&mut self) {
         self.connection = None;
     }
 
-    /// Notes that an answer was of use.
+    /// Records a usable answer.
     pub(super) fn succeeded(&mut self) {
         self.choice.succeeded();
     }
 
-    /// Pauses before the next question, if too many failed; see [`ReplicaChoice::pause`].
+    /// Pauses before the next request if too many have failed; see [`ReplicaChoice::pause`].
     pub(super) async fn back_off(&mut self) {
         let pause = self.choice.pause();
         if !pause.is_zero() {
@@ -94,19 +95,19 @@
         }
     }
 
-    async fn ask_at(
+    async fn query_at(
         &mut self,
         address: SocketAddr,
         body: RequestBody,
         wait: Duration,
     ) -> Result<ReplyBody, ConnectionError> {
-        // Taken out and put back only after a whole exchange: a question that is dropped half-way
-        // leaves no connection behind on which its late answer could be read.
+        // The connection is put back only after a complete exchange. If the request is dropped before
+        // that, the connection is closed, so that its late answer can't be read as another one.
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => Connection::open(address, Arc::clone(&self.metrics)).await?,
         };
-        let reply = connection.ask(body, wait).await?;
+        let reply = connection.query(body, wait).await?;
         self.connection = Some(connection);
         Ok(reply)
     }
--- a/crates/bramblewheel-daemon/src/control/mod.rs
+++ b/crates/bramblewheel-daemon/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's side of the control plane: bundles, directory, run-once operations.
+//! Client side of the control protocol: bundles, endpoint directory, run-once operations.
 
 pub mod choice;
 mod connection;
--- a/crates/bramblewheel-daemon/src/control/poll.rs
+++ b/crates/bramblewheel-daemon/src/control/poll.rs
@@ -1,4 +1,4 @@
-//! The long poll: renews the daemon's lease, brings bundles and the directory.
+//! The long poll, which renews the daemon's lease and receives bundles and the endpoint directory.
 
 use crate::control::intake::{Intake, POLL_GRACE, POLL_WAIT, RefusedReply};
 use crate::control::link::Link;
@@ -17,24 +17,24 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// What the poll needs to know.
+/// Configuration of the poll.
 #[derive(Clone, Debug)]
 pub struct PollConfig {
     /// Service addresses of the replicas.
     pub replicas: Vec<SocketAddr>,
-    /// What the daemon says of itself, apart from draining.
+    /// The daemon's registration; its draining state is set with each poll.
     pub registration: Registration,
-    /// Services whose endpoints are asked for.
+    /// Services whose endpoints are requested.
     pub services: Vec<ServiceName>,
-    /// Where the bundle in force is kept.
+    /// Storage of the bundle in force.
     pub store: BundleStore,
-    /// Becomes true when the daemon begins to drain.
+    /// Becomes true when a drain begins.
     pub draining: watch::Receiver<bool>,
     /// Log.
     pub log: Logger,
 }
 
-/// The daemon's poll.
+/// The task that polls the control group.
 pub struct Poller {
     config: PollConfig,
     link: Link,
@@ -45,7 +45,7 @@
 }
 
 impl Poller {
-    /// A poll that puts new bundles into `bundle` and the driver's engine.
+    /// Creates a poller that installs new bundles in `bundle` and in the driver's engine.
     pub fn new(
         config: PollConfig,
         driver: Arc<Driver>,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Polls for ever.
+    /// Polls; never returns.
     pub async fn run(mut self) {
         let mut draining = self.config.draining.clone();
         loop {
@@ -74,12 +74,12 @@
             let wait = POLL_WAIT + POLL_GRACE;
             let reply = tokio::select! {
                 biased;
-                // The change must not wait for the end of the poll that is being held.
+                // The start of a drain is reported at once, without waiting for the end of the held poll.
                 Ok(()) = draining.changed() => {
                     self.link.reconnect();
                     continue;
                 }
-                reply = self.link.ask(request, wait) => reply,
+                reply = self.link.query(request, wait) => reply,
             };
             let refused = match reply {
                 Ok(ReplyBody::Poll(reply)) => self.take(*reply).await,
@@ -108,7 +108,7 @@
         RequestBody::Poll(Box::new(request))
     }
 
-    /// Takes over an answer, or says why it is refused.
+    /// Accepts an answer, or returns the reason why it is refused.
     async fn take(&mut self, reply: PollReply) -> Result<(), String> {
         let update = self.intake.check(&reply);
         if let Err(RefusedReply::Stale { .. }) = &update {
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    /// Writes a bundle and only then uses it.
+    /// Saves a bundle to disk and then puts it in force.
     async fn put_in_force(&self, bundle: Arc<Bundle>, signed: SignedBundle) -> Result<(), String> {
         let store = self.config.store.clone();
         let saved = tokio::task::spawn_blocking(move || store.save(&signed)).await;
--- a/crates/bramblewheel-daemon/src/control/store.rs
+++ b/crates/bramblewheel-daemon/src/control/store.rs
@@ -1,4 +1,4 @@
-//! The bundle in force, kept in the data folder across restarts.
+//! Storage of the bundle in force in the data folder, across restarts.
 
 use crate::control::verify::{self, RefusedBundle};
 use bramblewheel_bundle::Bundle;
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// File that holds the bundle in force, as one frame of the control protocol.
+/// File with the bundle in force, as one frame of the control protocol.
 const FILE: &str = "bundle.cbor";
 
 /// The data folder can't be used.
@@ -20,27 +20,27 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the file system says.
+        /// Error of the file system.
         error: io::Error,
     },
     /// The file can't be written or synced.
     #[error(transparent)]
     Write(#[from] StorageError),
-    /// The bundle is too large for a file.
+    /// The bundle can't be encoded, for example because it is too large.
     #[error(transparent)]
     Encode(#[from] CodecError),
-    /// The file is damaged. It isn't skipped, since without it the daemon could go back to an
-    /// older bundle; to start afresh, an operator removes it.
+    /// The file is damaged. It is not ignored, since the daemon could then go back to an older
+    /// bundle; an operator may remove it.
     #[error("{path} is damaged ({reason}); remove it to fetch the bundle in force anew")]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// How it shows.
+        /// Description of the damage.
         reason: String,
     },
 }
 
-/// The bundle in force in a data folder.
+/// Storage of the bundle in force in a data folder.
 #[derive(Clone, Debug)]
 pub struct BundleStore<F = DiskFileSystem> {
     files: F,
@@ -48,10 +48,10 @@
 }
 
 impl<F: FileSystem> BundleStore<F> {
-    /// Opens a data folder, and makes it if it is not there.
+    /// Opens a data folder and creates it if it does not exist.
     ///
     /// # Errors
-    /// [`StoreError::Read`] when it can't be made.
+    /// [`StoreError::Read`] when the folder can't be created.
     pub fn open(files: F, folder: &Path) -> Result<Self, StoreError> {
         let created = files.create_folder(folder);
         created.map_err(|error| read_error(folder, error))?;
@@ -61,10 +61,10 @@
         })
     }
 
-    /// Reads the bundle that was in force at the last stop; `None` if there never was one.
+    /// Reads the bundle that was in force at the last stop; `None` if none was ever saved.
     ///
     /// # Errors
-    /// [`StoreError`] when it can't be read or is damaged.
+    /// [`StoreError`] when the file can't be read or is damaged.
     pub fn load(&self) -> Result<Option<Bundle>, StoreError> {
         let path = self.folder.join(FILE);
         let bytes = match self.files.read(&path) {
@@ -83,11 +83,11 @@
             .map_err(|error: RefusedBundle| damaged(error.to_string()))
     }
 
-    /// Writes the bundle so that it outlives a crash or power cut at any moment; when this
-    /// returns, it is on disk.
+    /// Writes the bundle atomically and durably: it is on disk when this returns, and a crash or
+    /// power loss at any time leaves a complete file.
     ///
     /// # Errors
-    /// [`StoreError`] when any step fails; then one of both bundles is in place, whole.
+    /// [`StoreError`] when any step fails; either the old or the new bundle is then in place.
     pub fn save(&self, signed: &SignedBundle) -> Result<(), StoreError> {
         let frame = codec::encode(signed, MAX_CONTROL_FRAME)?;
         write_whole_file(&self.files, &self.folder, FILE, &frame)?;
--- a/crates/bramblewheel-daemon/src/control/verify.rs
+++ b/crates/bramblewheel-daemon/src/control/verify.rs
@@ -1,4 +1,4 @@
-//! Checks of a bundle that a replica sent, before it is written or used.
+//! Verification of bundles sent by a control replica, before they are saved or used.
 
 use bramblewheel_bundle::{Bundle, DecodeError, Delta, DeltaError, ForwardError, TrustedOperators};
 use bramblewheel_protocol::control::{
@@ -7,49 +7,50 @@
 use bramblewheel_types::BundleVersion;
 use thiserror::Error;
 
-/// A bundle is refused.
+/// Reason why a bundle was refused.
 #[derive(Debug, Error)]
 pub enum RefusedBundle {
-    /// The bytes are not the bundle that the version and digest name.
+    /// The bytes do not match the stated version and digest.
     #[error("version {version}: {error}")]
     Damaged {
-        /// Version stated.
+        /// Stated version.
         version: BundleVersion,
-        /// What is wrong.
+        /// The decoding error.
         error: DecodeError,
     },
-    /// The delta does not lead from the bundle in force to the one that the digest names.
+    /// The delta applied to the bundle in force does not yield the bundle with the stated digest.
     #[error("version {version}: {error}")]
     Delta {
-        /// Version stated.
+        /// Stated version.
         version: BundleVersion,
-        /// What is wrong.
+        /// The delta error.
         error: DeltaError,
     },
-    /// The delta starts from a bundle that is not in force.
+    /// The delta is based on a bundle that is not in force.
     #[error("delta from version {from}, which is not in force")]
     OtherStart {
-        /// Version the delta starts from.
+        /// Version that the delta is based on.
         from: BundleVersion,
     },
-    /// It is not newer, or the operators trusted did not sign it.
+    /// The bundle is not newer, or the trusted operators did not sign it.
     #[error(transparent)]
     Unauthorized(#[from] ForwardError),
 }
 
-/// A bundle that passed every check, in both its forms.
+/// A verified bundle, decoded and in its signed form.
 #[derive(Debug)]
 pub struct NewBundle {
-    /// The bundle.
+    /// The decoded bundle.
     pub bundle: Bundle,
-    /// Its bytes and signatures, to be stored.
+    /// Bytes and signatures, to be saved.
     pub signed: SignedBundle,
 }
 
-/// Follows changes of the operators, all or none.
+/// Applies all changes of the operators, or none.
 ///
 /// # Errors
-/// [`RefusedBundle::Unauthorized`] for the first that is not authorized by the ones before it.
+/// [`RefusedBundle::Unauthorized`] for the first change that the preceding operators did not
+/// authorize.
 pub fn follow(
     operators: &mut TrustedOperators,
     changes: &[OperatorChange],
@@ -65,8 +66,8 @@
 
 /// Checks a whole bundle.
 ///
-/// The very first bundle is taken as the replicas hold it: there are no operator keys yet to hold
-/// it against.
+/// The first bundle is trusted as sent by the replicas, since there are no operator keys yet to
+/// verify it.
 ///
 /// # Errors
 /// [`RefusedBundle`] for the first check that fails.
@@ -123,10 +124,10 @@
         .map(|s| (s.operator.as_str(), s.signature.as_slice()))
 }
 
-/// Decodes a bundle whose bytes must match its version and digest.
+/// Decodes a bundle.
 ///
 /// # Errors
-/// [`RefusedBundle::Damaged`] when they don't.
+/// [`RefusedBundle::Damaged`] when the bytes do not match the stated version and digest.
 pub fn decode(signed: &SignedBundle) -> Result<Bundle, RefusedBundle> {
     let version = signed.version;
     Bundle::from_signed_bytes(&signed.bytes, signed.digest, version)
--- a/crates/bramblewheel-daemon/src/daemon.rs
+++ b/crates/bramblewheel-daemon/src/daemon.rs
@@ -1,7 +1,7 @@
-//! The daemon of the way of signed bundles as a whole: its start and its planned stop.
+//! Start and planned stop of the daemon for signed bundles.
 //!
-//! Owns the daemon's tasks and the order of their start: files first, then listeners, then the tasks.
-//! Relies on settings that were checked when they were read.
+//! Files are opened first, then the listeners, then the tasks are started. The settings were already
+//! checked when they were read.
 
 mod drain;
 mod error;
@@ -39,10 +39,10 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// Time between two checks for pools that are no longer used; chosen, not measured.
+/// Interval of the check for unused pools.
 const POOL_CHECK_PERIOD: Duration = Duration::from_secs(30);
 
-/// A running daemon. Dropping it ends the daemon at once, as a crash would.
+/// A running daemon. Dropping the handle stops the daemon at once, like a crash.
 #[derive(Debug)]
 pub struct DaemonHandle {
     addresses: BoundAddresses,
@@ -58,7 +58,7 @@
         self.addresses
     }
 
-    /// Begins a planned stop: no new work is taken, what is in progress is finished.
+    /// Begins a planned stop: new work is refused and work in progress is finished.
     pub fn drain(&self) {
         self.draining.send_replace(true);
         self.driver.submit(Event::DrainRequested);
@@ -66,15 +66,15 @@
 
     /// Waits until a planned stop is complete.
     pub async fn stopped(&mut self) {
-        // The sender is dropped only after it has sent, or when the runtime goes down.
+        // The sender is dropped only after it has sent, or when the runtime shuts down.
         let _ = self.stopped.wait_for(|stopped| *stopped).await;
     }
 }
 
-/// Starts a daemon; returns once it listens.
+/// Starts a daemon; returns once it is listening.
 ///
 /// # Errors
-/// [`StartError`] when a listener, file or folder can't be opened.
+/// [`StartError`] when a listener, file or folder can't be opened, or no random seed is available.
 pub async fn run(settings: Settings, log: Logger) -> Result<DaemonHandle, StartError> {
     let store = BundleStore::open(DiskFileSystem, &settings.data_folder)?;
     let persisted = store.load()?.map(Arc::new);
@@ -126,7 +126,7 @@
     }
 }
 
-/// Tells the engine of the bundle that was in force when the daemon ended.
+/// Installs the bundle that was in force when the daemon last stopped.
 fn install_persisted(driver: &Driver, persisted: Option<&Arc<Bundle>>, log: &Logger) {
     if let Some(bundle) = persisted {
         driver.submit(Event::BundleInstalled(Arc::clone(bundle)));
@@ -147,7 +147,7 @@
     }
 }
 
-/// What the daemon's tasks are made from.
+/// Values needed to start the daemon's tasks.
 struct Parts {
     settings: Settings,
     shared: Arc<Shared>,
--- a/crates/bramblewheel-daemon/src/daemon/drain.rs
+++ b/crates/bramblewheel-daemon/src/daemon/drain.rs
@@ -1,23 +1,23 @@
-//! Waiting for a planned stop to be complete.
+//! Waits for the drain of a planned stop.
 
 use crate::driver::Driver;
 use slog::Logger;
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Time between a complete drain and the closing of connections. Meanwhile late requests are
-/// still refused with proof, instead of meeting a closed connection that proves nothing.
+/// Time between the end of the drain and the closing of connections. Late requests in this time
+/// are refused with a not-run proof; a closed connection would prove nothing.
 const DRAIN_LINGER: Duration = Duration::from_secs(1);
-/// Time after which a drain that is still going on is logged, again and again.
+/// Interval at which an unfinished drain is logged.
 const DRAIN_REMINDER: Duration = Duration::from_secs(60);
 
-/// Waits until a drain was asked for and is complete, and a little longer.
+/// Waits until a drain was requested and is complete, and then for `DRAIN_LINGER`.
 pub(super) async fn wait_for_drain(
     driver: &Driver,
     mut draining: watch::Receiver<bool>,
     log: &Logger,
 ) {
-    // The sender lives in the handle; when that is dropped, so is this task.
+    // The sender belongs to the handle; when the handle is dropped, this task is dropped too.
     let _ = draining.wait_for(|draining| *draining).await;
     let mut drained = driver.drained();
     loop {
--- a/crates/bramblewheel-daemon/src/daemon/error.rs
+++ b/crates/bramblewheel-daemon/src/daemon/error.rs
@@ -1,11 +1,11 @@
-//! Why a daemon can't start.
+//! Errors at the start of a daemon.
 
 use crate::control::store::StoreError;
 use crate::sessions::SessionKeyError;
 use bramblewheel_process::listener::BindError;
 use thiserror::Error;
 
-/// A daemon can't start; the text is one line.
+/// A daemon can't start; the message is one line.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// A listener can't be opened.
@@ -17,7 +17,7 @@
     /// The session keys can't be used.
     #[error(transparent)]
     SessionKeys(#[from] SessionKeyError),
-    /// The operating system gives no random numbers.
+    /// The operating system provides no random numbers.
     #[error("no random numbers: {0}")]
     Random(getrandom::Error),
 }
--- a/crates/bramblewheel-daemon/src/daemon/listeners.rs
+++ b/crates/bramblewheel-daemon/src/daemon/listeners.rs
@@ -1,6 +1,6 @@
-//! The daemon's listeners: bound together, served together, stopped together.
+//! The daemon's listeners, which are bound, served and stopped together.
 //!
-//! Owns the order to stop. Relies on [`crate::http::server`] to serve each.
+//! Holds the stop signal; [`crate::http::server`] serves each listener.
 
 use crate::http::server::{Handler, ServerConfig, serve};
 use crate::settings::Settings;
@@ -15,15 +15,15 @@
 /// Addresses that a daemon listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct BoundAddresses {
-    /// Calls from other daemons; none at a gateway.
+    /// Calls from other daemons; `None` at a gateway.
     pub inbound: Option<SocketAddr>,
-    /// Calls from applications or outside callers.
+    /// Calls from applications or external callers.
     pub outbound: SocketAddr,
     /// Health and metrics.
     pub admin: SocketAddr,
 }
 
-/// The daemon's listeners, bound but not served yet.
+/// The daemon's listeners, bound but not yet served.
 pub(super) struct Listeners {
     pub(super) inbound: Option<TcpListener>,
     pub(super) outbound: TcpListener,
@@ -35,7 +35,7 @@
     /// Binds the addresses of the settings.
     ///
     /// # Errors
-    /// [`BindError`] for the first one that can't be opened.
+    /// [`BindError`] for the first address that can't be bound.
     pub(super) async fn bind(settings: &Settings) -> Result<Self, BindError> {
         let inbound = match settings.listen.inbound {
             Some(address) => Some(bind("inbound", address).await?),
@@ -57,7 +57,7 @@
     }
 }
 
-/// The listeners of a daemon, which end together.
+/// The served listeners of a daemon, which are stopped together.
 pub(super) struct Servers {
     tasks: JoinSet<()>,
     config: ServerConfig,
@@ -65,7 +65,7 @@
 }
 
 impl Servers {
-    /// None yet.
+    /// Creates an empty set.
     pub(super) fn new(settings: &Settings, log: &Logger) -> Self {
         let stop = watch::Sender::new(false);
         Self {
@@ -94,7 +94,7 @@
         self.tasks.spawn(serve(listener, Arc::new(handler), config));
     }
 
-    /// Closes connections after the request in progress and waits for them.
+    /// Closes each connection after its request in progress and waits for all of them.
     pub(super) async fn stop(mut self) {
         self.stop.send_replace(true);
         while self.tasks.join_next().await.is_some() {}
--- a/crates/bramblewheel-daemon/src/driver.rs
+++ b/crates/bramblewheel-daemon/src/driver.rs
@@ -1,7 +1,7 @@
-//! Drives the engine: events in, actions out, in the order in which the engine gives them.
+//! Drives the engine: submits events and carries out the returned actions in order.
 //!
-//! Actions are handed over while the engine's lock is held, so that two threads can't swap the
-//! order of, say, a send and its cancellation. Handing over never waits: it is a channel send.
+//! Actions are passed on while the engine's lock is held, so that two threads can't reorder, for
+//! example, a send and its cancellation. Passing on an action never blocks: it is a channel send.
 
 mod command;
 mod registry;
@@ -23,43 +23,43 @@
 #[derive(Debug)]
 pub struct DuplicateAttempt;
 
-/// The engine, and what it needs to hand its actions over.
+/// The engine and the state needed to pass its actions on.
 #[derive(Debug)]
 struct State {
     engine: Engine,
     actions: Vec<Action>,
-    armed: Timestamp,
+    next_tick: Timestamp,
     tasks: Registry,
 }
 
-/// The engine with the tasks that carry out its actions.
+/// The engine and the tasks that carry out its actions.
 #[derive(Debug)]
 pub struct Driver {
     clock: Clock,
     state: Mutex<State>,
-    sooner: Notify,
+    tick_moved: Notify,
     drained: watch::Sender<bool>,
     ledger: mpsc::UnboundedSender<LedgerJob>,
 }
 
 impl Driver {
-    /// Takes over an engine; ledger requests go to `ledger`.
+    /// Creates a driver for an engine; ledger requests are sent to `ledger`.
     pub fn new(engine: Engine, clock: Clock, ledger: mpsc::UnboundedSender<LedgerJob>) -> Self {
         Self {
             clock,
             state: Mutex::new(State {
                 engine,
                 actions: Vec::new(),
-                armed: Timestamp::NEVER,
+                next_tick: Timestamp::NEVER,
                 tasks: Registry::default(),
             }),
-            sooner: Notify::new(),
+            tick_moved: Notify::new(),
             drained: watch::Sender::new(false),
             ledger,
         }
     }
 
-    /// The clock of the engine's timestamps.
+    /// The clock that gives the engine's timestamps.
     pub fn clock(&self) -> Clock {
         self.clock
     }
@@ -69,18 +69,18 @@
         self.drained.subscribe()
     }
 
-    /// Gives the engine an event and hands over its actions.
+    /// Submits an event to the engine and carries out the resulting actions.
     pub fn submit(&self, event: Event) {
         let mut state = self.lock();
         self.apply(&mut state, event);
     }
 
-    /// Reads from the engine.
+    /// Reads from the engine under its lock.
     pub fn inspect<T>(&self, read: impl FnOnce(&Engine) -> T) -> T {
         read(&self.lock().engine)
     }
 
-    /// Begins an application's call; commands for it arrive at the receiver.
+    /// Starts an application's call; the receiver gets the commands for it.
     pub fn begin_call(
         &self,
         call: CallId,
@@ -92,16 +92,16 @@
         commands
     }
 
-    /// Ends a call whose application went away.
+    /// Cancels a call whose application disconnected.
     pub fn cancel_call(&self, call: CallId) {
         let mut state = self.lock();
         if state.tasks.has_call(call) {
             self.apply(&mut state, Event::OutboundCancelled { call });
-            state.tasks.forget_call(call);
+            state.tasks.remove_call(call);
         }
     }
 
-    /// Tells the engine how an attempt ended, unless it was cancelled meanwhile.
+    /// Reports the result of an attempt to the engine, unless the attempt was cancelled.
     pub fn end_attempt(&self, attempt: AttemptId, result: AttemptResult) {
         let mut state = self.lock();
         if state.tasks.take_attempt(attempt).is_some() {
@@ -109,10 +109,10 @@
         }
     }
 
-    /// Begins another daemon's attempt; commands for it arrive at the receiver.
+    /// Starts another daemon's attempt; the receiver gets the commands for it.
     ///
     /// # Errors
-    /// [`DuplicateAttempt`] when an attempt of this id is in progress; the engine isn't told.
+    /// [`DuplicateAttempt`] when an attempt with this id is in progress; the engine gets no event.
     pub fn begin_inbound(
         &self,
         context: CallContext,
@@ -123,7 +123,7 @@
         Ok(commands)
     }
 
-    /// Tells the engine that the calling daemon went away before the answer.
+    /// Reports to the engine that the calling daemon disconnected before the answer.
     pub fn cancel_inbound(&self, attempt: AttemptId) {
         let mut state = self.lock();
         if state.tasks.has_inbound(attempt) {
@@ -131,20 +131,20 @@
         }
     }
 
-    /// Forgets an inbound attempt whose task has ended.
+    /// Removes an inbound attempt whose task has ended.
     pub fn end_inbound(&self, attempt: AttemptId) {
-        self.lock().tasks.forget_inbound(attempt);
+        self.lock().tasks.remove_inbound(attempt);
     }
 
-    /// Sends ticks when they are due; never returns.
+    /// Submits ticks when they are due; never returns.
     pub async fn run_timer(&self) {
         loop {
-            let armed = self.lock().armed;
+            let next_tick = self.lock().next_tick;
             tokio::select! {
-                () = self.sooner.notified() => {}
-                () = self.clock.sleep_until(armed) => {
+                () = self.tick_moved.notified() => {}
+                () = self.clock.sleep_until(next_tick) => {
                     let mut state = self.lock();
-                    state.armed = Timestamp::NEVER;
+                    state.next_tick = Timestamp::NEVER;
                     self.apply(&mut state, Event::Tick);
                 }
             }
@@ -161,22 +161,23 @@
         let mut actions = std::mem::take(&mut state.actions);
         state.engine.handle(self.clock.now(), event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(&mut state.tasks, action);
+            self.execute(&mut state.tasks, action);
         }
         state.actions = actions;
-        self.arm(state);
+        self.schedule_tick(state);
     }
 
-    /// Keeps the earliest due time; a later one is found out at the next tick.
-    fn arm(&self, state: &mut State) {
+    /// Moves the next tick forward if the engine needs it earlier. A due time that moved back is not
+    /// applied; the tick then comes early and the timer is set again.
+    fn schedule_tick(&self, state: &mut State) {
         let due = state.engine.next_wakeup().unwrap_or(Timestamp::NEVER);
-        if due < state.armed {
-            state.armed = due;
-            self.sooner.notify_one();
+        if due < state.next_tick {
+            state.next_tick = due;
+            self.tick_moved.notify_one();
         }
     }
 
-    fn carry_out(&self, tasks: &mut Registry, action: Action) {
+    fn execute(&self, tasks: &mut Registry, action: Action) {
         match action {
             Action::SendAttempt {
                 call,
@@ -186,22 +187,22 @@
             } => {
                 tasks.add_attempt(call, context.attempt);
                 let context = Box::new(context);
-                tasks.command_call(call, CallCommand::Send { address, context });
+                tasks.send_call_command(call, CallCommand::Send { address, context });
             }
             Action::CancelAttempt { attempt } => {
                 if let Some(call) = tasks.take_attempt(attempt) {
-                    tasks.command_call(call, CallCommand::Cancel(attempt));
+                    tasks.send_call_command(call, CallCommand::Cancel(attempt));
                 }
             }
             Action::AnswerCall { call, answer } => {
-                tasks.command_call(call, CallCommand::Answer(Box::new(answer)));
-                tasks.forget_call(call);
+                tasks.send_call_command(call, CallCommand::Answer(Box::new(answer)));
+                tasks.remove_call(call);
             }
             Action::Dispatch { attempt } => {
-                tasks.command_inbound(attempt, InboundCommand::Dispatch);
+                tasks.send_inbound_command(attempt, InboundCommand::Dispatch);
             }
             Action::CancelDispatch { attempt } => {
-                tasks.command_inbound(attempt, InboundCommand::Cancel);
+                tasks.send_inbound_command(attempt, InboundCommand::Cancel);
             }
             Action::AnswerAttempt {
                 attempt,
@@ -209,10 +210,10 @@
                 feedback,
             } => {
                 let command = InboundCommand::Answer(Box::new(answer), feedback);
-                tasks.command_inbound(attempt, command);
+                tasks.send_inbound_command(attempt, command);
             }
             Action::Ledger { attempt, request } => {
-                // The ledger task lives as long as the driver; at a stop nobody waits any more.
+                // Sending fails only at a stop, after the ledger task has ended.
                 let _ = self.ledger.send(LedgerJob::Engine { attempt, request });
             }
             Action::Drained => {
--- a/crates/bramblewheel-daemon/src/driver/command.rs
+++ b/crates/bramblewheel-daemon/src/driver/command.rs
@@ -1,4 +1,4 @@
-//! What the driver tells the tasks that serve calls and attempts.
+//! Commands from the driver to the tasks that serve calls and attempts.
 
 use bramblewheel_core::action::Answer;
 use bramblewheel_core::context::CallContext;
@@ -6,14 +6,14 @@
 use bramblewheel_types::AttemptId;
 use std::net::SocketAddr;
 
-/// What the task that serves an application's call is to do.
+/// Command for the task that serves an application's call.
 #[derive(Debug)]
 pub enum CallCommand {
     /// Send the request to another daemon.
     Send {
         /// Address of the daemon.
         address: SocketAddr,
-        /// Context to put into the headers.
+        /// Context for the headers.
         context: Box<CallContext>,
     },
     /// Close the attempt's connection.
@@ -22,10 +22,10 @@
     Answer(Box<Answer>),
 }
 
-/// What the task that serves another daemon's attempt is to do.
+/// Command for the task that serves another daemon's attempt.
 #[derive(Debug)]
 pub enum InboundCommand {
-    /// Pass the request to the local endpoint.
+    /// Send the request to the local endpoint.
     Dispatch,
     /// Close the connection to the local endpoint.
     Cancel,
--- a/crates/bramblewheel-daemon/src/driver/registry.rs
+++ b/crates/bramblewheel-daemon/src/driver/registry.rs
@@ -1,6 +1,6 @@
-//! Which task serves which call and attempt, and how to reach it.
+//! Registry of the tasks that serve calls and attempts, with their command channels.
 //!
-//! A call or attempt without a task has been cancelled: there is nobody left to command.
+//! A call or attempt without an entry was cancelled or has ended; commands for it are dropped.
 
 use crate::driver::{CallCommand, DuplicateAttempt, InboundCommand};
 use bramblewheel_types::{AttemptId, CallId};
@@ -23,7 +23,7 @@
 }
 
 impl Registry {
-    /// Enters a call; its task reads commands from the receiver.
+    /// Adds a call; its task reads commands from the receiver.
     pub(super) fn add_call(&mut self, call: CallId) -> mpsc::UnboundedReceiver<CallCommand> {
         let (commands, receiver) = mpsc::unbounded_channel();
         let entry = CallEntry {
@@ -39,8 +39,8 @@
         self.calls.contains_key(&call)
     }
 
-    /// Forgets a call and its attempts.
-    pub(super) fn forget_call(&mut self, call: CallId) {
+    /// Removes a call and its attempts.
+    pub(super) fn remove_call(&mut self, call: CallId) {
         let Some(entry) = self.calls.remove(&call) else {
             return;
         };
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Enters an attempt of a call.
+    /// Adds an attempt of a call.
     pub(super) fn add_attempt(&mut self, call: CallId, attempt: AttemptId) {
         if let Some(entry) = self.calls.get_mut(&call) {
             entry.attempts.push(attempt);
@@ -57,22 +57,22 @@
         }
     }
 
-    /// Forgets an attempt; the call it belongs to, if it is in progress.
+    /// Removes an attempt and returns its call, if the attempt is in progress.
     pub(super) fn take_attempt(&mut self, attempt: AttemptId) -> Option<CallId> {
         self.attempts.remove(&attempt)
     }
 
-    /// Tells the task of a call what to do.
-    pub(super) fn command_call(&self, call: CallId, command: CallCommand) {
+    /// Sends a command to the task of a call.
+    pub(super) fn send_call_command(&self, call: CallId, command: CallCommand) {
         if let Some(entry) = self.calls.get(&call) {
             let _ = entry.commands.send(command);
         }
     }
 
-    /// Enters another daemon's attempt; its task reads commands from the receiver.
+    /// Adds another daemon's attempt; its task reads commands from the receiver.
     ///
     /// # Errors
-    /// [`DuplicateAttempt`] when one of this id is in progress.
+    /// [`DuplicateAttempt`] when an attempt with this id is in progress.
     pub(super) fn add_inbound(
         &mut self,
         attempt: AttemptId,
@@ -92,13 +92,13 @@
         self.inbound.contains_key(&attempt)
     }
 
-    /// Forgets another daemon's attempt.
-    pub(super) fn forget_inbound(&mut self, attempt: AttemptId) {
+    /// Removes another daemon's attempt.
+    pub(super) fn remove_inbound(&mut self, attempt: AttemptId) {
         self.inbound.remove(&attempt);
     }
 
-    /// Tells the task of another daemon's attempt what to do.
-    pub(super) fn command_inbound(&self, attempt: AttemptId, command: InboundCommand) {
+    /// Sends a command to the task of another daemon's attempt.
+    pub(super) fn send_inbound_command(&self, attempt: AttemptId, command: InboundCommand) {
         if let Some(sender) = self.inbound.get(&attempt) {
             let _ = sender.send(command);
         }
--- a/crates/bramblewheel-daemon/src/http/answer.rs
+++ b/crates/bramblewheel-daemon/src/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers as callers and daemons see them.
+//! HTTP answers to callers and daemons.
 
 use crate::http::body::AnswerBody;
 use crate::http::exchange::WholeAnswer;
@@ -13,16 +13,16 @@
 /// Answer of a listener.
 pub type HttpAnswer = Response<AnswerBody>;
 
-/// When a caller with a malformed request may come back: at once, with a better one.
-const NOW: Millis = Millis(0);
+/// Retry-after time for malformed requests: a corrected request may be sent at once.
+const RETRY_AT_ONCE: Millis = Millis(0);
 
-/// The answer of an endpoint, passed on with its outcome.
-pub fn passed_on(answer: &WholeAnswer, outcome: Outcome) -> HttpAnswer {
+/// Forwards the answer of an endpoint with its outcome.
+pub fn forwarded(answer: &WholeAnswer, outcome: Outcome) -> HttpAnswer {
     let body = AnswerBody::whole(answer.body.clone());
     with_head(answer.status, end_to_end(&answer.headers), outcome, body)
 }
 
-/// A head and body with an outcome.
+/// Builds an answer from status, headers, outcome and body.
 pub fn with_head(
     status: StatusCode,
     mut headers: HeaderMap,
@@ -36,37 +36,37 @@
     response
 }
 
-/// The stored answer of a run-once operation.
+/// Builds an answer from the stored answer of a run-once operation.
 pub fn stored(answer: StoredAnswer, outcome: Outcome) -> HttpAnswer {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let body = AnswerBody::whole(answer.body.unwrap_or_default().into());
     with_head(status, HeaderMap::new(), outcome, body)
 }
 
-/// An answer that only states the outcome.
-pub fn explained(outcome: Outcome) -> HttpAnswer {
+/// An answer whose body only states the outcome.
+pub fn outcome_only(outcome: Outcome) -> HttpAnswer {
     let text = match outcome {
         Outcome::NotRun { reason, .. } => format!("not run: {reason}\n"),
         other => format!("{}\n", other.as_str()),
     };
-    explained_as(outcome, text)
+    with_text(outcome, text)
 }
 
-/// A request that can't be accepted, with the cause in words.
+/// Refusal of an invalid request; the body states the cause.
 pub fn invalid_request(cause: &str) -> HttpAnswer {
     let outcome = not_run(NotRunReason::InvalidRequest);
-    explained_as(outcome, format!("not run: {cause}\n"))
+    with_text(outcome, format!("not run: {cause}\n"))
 }
 
-/// A not-run outcome without a wait.
+/// A not-run outcome with a retry-after time of zero.
 pub fn not_run(reason: NotRunReason) -> Outcome {
     Outcome::NotRun {
         reason,
-        retry_after: NOW,
+        retry_after: RETRY_AT_ONCE,
     }
 }
 
-fn explained_as(outcome: Outcome, text: String) -> HttpAnswer {
+fn with_text(outcome: Outcome, text: String) -> HttpAnswer {
     let mut headers = HeaderMap::new();
     let plain = HeaderValue::from_static("text/plain; charset=utf-8");
     headers.insert(CONTENT_TYPE, plain);
@@ -80,7 +80,7 @@
 
 const RETRY_AFTER_NAME: &str = "retry-after";
 
-/// Status of an answer that comes from no endpoint.
+/// Status of an answer that does not come from an endpoint.
 pub fn status_of(outcome: Outcome) -> StatusCode {
     match outcome {
         Outcome::Completed => StatusCode::OK,
--- a/crates/bramblewheel-daemon/src/http/body.rs
+++ b/crates/bramblewheel-daemon/src/http/body.rs
@@ -1,7 +1,7 @@
-//! Bodies of answers: known in full, or passed on as they come.
+//! Answer bodies, either complete or streamed.
 //!
-//! A streamed body reports its end to its owner, so that the engine knows of each attempt how it
-//! ended; the routed data path has no engine, and its body holds connection and slot instead.
+//! A streamed body reports its end to its owner, which reports the result of the attempt to the
+//! engine. The routed data path has no engine; its body holds connection and slot instead.
 
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
@@ -11,34 +11,34 @@
 use std::task::{Context, Poll};
 use thiserror::Error;
 
-/// A streamed answer broke or was cut; the connection that carries it is aborted, so that the
-/// caller can't take what it got for the whole.
+/// A streamed answer failed or was cancelled. The connection that carries it is aborted, so that the
+/// caller can't mistake the part received for the complete answer.
 #[derive(Debug, Error)]
-#[error("the answer broke before its end")]
+#[error("the answer ended before it was complete")]
 pub struct BrokenAnswer;
 
-/// What happens to the owner of a streamed answer.
+/// Owner of a streamed answer, which is notified of its end.
 pub trait StreamOwner: Send {
-    /// Whether the answer is not wanted any more; registers for a wake-up otherwise.
+    /// Returns ready if the answer was cancelled; otherwise registers for a wake-up.
     fn poll_cancelled(&mut self, cx: &mut Context<'_>) -> Poll<()>;
-    /// The last byte was passed on.
+    /// Called after the last byte was forwarded.
     fn finished(&mut self);
-    /// The source broke before its end.
-    fn broken(&mut self);
-    /// The receiver went away before the end.
-    fn abandoned(&mut self);
+    /// Called when the source failed before its end.
+    fn source_failed(&mut self);
+    /// Called when the receiver disconnected before the end.
+    fn receiver_disconnected(&mut self);
 }
 
 /// Body of an answer to a caller or daemon.
 pub enum AnswerBody {
-    /// Known in full.
+    /// A complete body.
     Whole(Full<Bytes>),
-    /// Passed on as it comes.
+    /// A body that is forwarded as it arrives.
     Streamed(StreamedBody),
 }
 
 impl AnswerBody {
-    /// A body known in full.
+    /// Creates a complete body.
     pub fn whole(bytes: Bytes) -> Self {
         Self::Whole(Full::new(bytes))
     }
@@ -75,19 +75,19 @@
     }
 }
 
-/// An answer passed on as it comes.
+/// A body that is forwarded as it arrives.
 pub struct StreamedBody {
-    begun: Option<Bytes>,
+    received: Option<Bytes>,
     source: Incoming,
     owner: Box<dyn StreamOwner>,
     ended: bool,
 }
 
 impl StreamedBody {
-    /// Passes on `begun`, then what is left of `source`.
-    pub fn new(begun: Bytes, source: Incoming, owner: Box<dyn StreamOwner>) -> Self {
+    /// Creates a body that forwards `received` and then the rest of `source`.
+    pub fn new(received: Bytes, source: Incoming, owner: Box<dyn StreamOwner>) -> Self {
         Self {
-            begun: Some(begun).filter(|bytes| !bytes.is_empty()),
+            received: Some(received).filter(|bytes| !bytes.is_empty()),
             source,
             owner,
             ended: false,
@@ -105,14 +105,14 @@
             self.ended = true;
             return Poll::Ready(Some(Err(BrokenAnswer)));
         }
-        if let Some(bytes) = self.begun.take() {
+        if let Some(bytes) = self.received.take() {
             return Poll::Ready(Some(Ok(Frame::data(bytes))));
         }
         match std::task::ready!(Pin::new(&mut self.source).poll_frame(cx)) {
             Some(Ok(frame)) => Poll::Ready(Some(Ok(frame))),
             Some(Err(_)) => {
                 self.ended = true;
-                self.owner.broken();
+                self.owner.source_failed();
                 Poll::Ready(Some(Err(BrokenAnswer)))
             }
             None => {
@@ -127,7 +127,7 @@
 impl Drop for StreamedBody {
     fn drop(&mut self) {
         if !self.ended {
-            self.owner.abandoned();
+            self.owner.receiver_disconnected();
         }
     }
 }
--- a/crates/bramblewheel-daemon/src/http/exchange.rs
+++ b/crates/bramblewheel-daemon/src/http/exchange.rs
@@ -1,6 +1,6 @@
-//! One request and its answer over a pooled connection, with proof of what was sent.
+//! One request and its answer over a pooled connection, with proof of whether it was sent.
 //!
-//! Relies on the library's promise to hand a request back that it has not begun to write.
+//! Depends on the guarantee of the HTTP library that it returns a request it has not begun to write.
 
 use crate::http::pool::{Lease, Pool, RequestBody};
 use bramblewheel_http::body::{Collected, collect};
@@ -12,38 +12,38 @@
 use hyper::body::Incoming;
 use std::sync::Arc;
 
-/// How an exchange ended.
+/// Result of an exchange.
 pub enum Exchanged<A> {
     /// No byte of the request was written.
     NotSent,
-    /// The connection broke after the first byte, or the answer was broken.
+    /// The connection broke after the first byte, or the answer was invalid.
     Lost,
-    /// The whole answer arrived; the connection was kept. With what its head was read as.
+    /// The complete answer arrived and the connection was kept. Contains the parsed head.
     Whole(WholeAnswer, A),
-    /// The answer is longer than the limit. With what its head was read as.
+    /// The answer is longer than the limit or an event stream. Contains the parsed head.
     Long(LongAnswer, A),
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct WholeAnswer {
     /// HTTP status.
     pub status: StatusCode,
     /// Header fields as received.
     pub headers: HeaderMap,
-    /// Body, complete.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// An answer to pass on as it comes.
+/// An answer to be forwarded as it arrives.
 pub struct LongAnswer {
     /// HTTP status.
     pub status: StatusCode,
     /// Header fields as received.
     pub headers: HeaderMap,
-    /// What was read already.
-    pub begun: Bytes,
-    /// What is left.
+    /// The part of the body that was already read.
+    pub received: Bytes,
+    /// The rest of the body.
     pub source: Incoming,
     /// The connection; dropping it closes it.
     pub lease: Lease,
@@ -52,17 +52,18 @@
 /// Limits of one exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct ExchangeLimits {
-    /// Connections that may be open to the address.
+    /// Maximum number of open connections to the address.
     pub connections: usize,
-    /// Longest answer that is held until it is whole, in bytes.
+    /// Longest answer that is buffered until it is complete, in bytes.
     pub body_bytes: usize,
 }
 
 /// Sends a request and reads its answer.
 ///
-/// `head` builds the request's head just before it is written, since its remaining time must be
-/// that of the moment of sending; `None` when it must not be sent any more. `accept` reads the
-/// answer's head; an answer that it refuses is not read further and its connection is closed.
+/// `head` builds the request head just before it is written, since the remaining time in it must be
+/// that at the time of sending; it returns `None` if the request must no longer be sent. `accept`
+/// parses the head of the answer; if it returns `None`, the connection is closed without reading
+/// the body.
 pub async fn exchange<A>(
     pool: &Arc<Pool>,
     limits: ExchangeLimits,
@@ -75,15 +76,15 @@
             return Exchanged::NotSent;
         };
         let Some(head) = head() else {
-            lease.give_back();
+            lease.return_to_pool();
             return Exchanged::NotSent;
         };
         let request: Request<RequestBody> = head
             .body(Full::new(body.clone()))
-            .expect("the head is built from checked parts");
+            .expect("the head is built from valid parts");
         match lease.sender().try_send_request(request).await {
             Ok(response) => break Some((lease, response)),
-            // The request came back unsent: a reused connection was just being closed.
+            // The request was returned unsent, because a reused connection was just being closed.
             Err(error) if error.message().is_some() && lease.is_reused() => {}
             Err(error) if error.message().is_some() => return Exchanged::NotSent,
             Err(_) => break None,
@@ -105,10 +106,10 @@
     accepted: A,
 ) -> Exchanged<A> {
     let (head, mut source) = response.into_parts();
-    let long = |head: Parts, begun, source, lease| LongAnswer {
+    let long = |head: Parts, received, source, lease| LongAnswer {
         status: head.status,
         headers: head.headers,
-        begun,
+        received,
         source,
         lease,
     };
@@ -117,11 +118,11 @@
     }
     match collect(&mut source, limit).await {
         Err(_) => Exchanged::Lost,
-        Ok(Collected::OverLimit(begun)) => {
-            Exchanged::Long(long(head, begun, source, lease), accepted)
+        Ok(Collected::OverLimit(received)) => {
+            Exchanged::Long(long(head, received, source, lease), accepted)
         }
         Ok(Collected::Whole(body)) => {
-            lease.give_back();
+            lease.return_to_pool();
             let whole = WholeAnswer {
                 status: head.status,
                 headers: head.headers,
@@ -132,7 +133,7 @@
     }
 }
 
-/// Whether the answer should be passed on from its first byte.
+/// Whether the answer must be streamed from its first byte.
 fn is_streamed(headers: &HeaderMap, limit: usize) -> bool {
     const EVENT_STREAM: &str = "text/event-stream";
     let text = |name| {
--- a/crates/bramblewheel-daemon/src/http/fields.rs
+++ b/crates/bramblewheel-daemon/src/http/fields.rs
@@ -1,4 +1,4 @@
-//! Header maps on the wire and the project's fields in them.
+//! Reading and writing the project's headers in HTTP header maps.
 
 use bramblewheel_core::headers::fields::Fields;
 use bramblewheel_core::headers::{HeaderError, HeaderSink, has_prefix};
@@ -7,25 +7,25 @@
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use std::fmt::{Display, Write};
 
-/// Room that most values need, in bytes.
-const USUAL_LENGTH: usize = 40;
-/// Room that the values of one message mostly need, in bytes.
-const USUAL_TOTAL: usize = 240;
-/// Headers of the project that are mostly put on a message besides those it has.
-const USUAL_COUNT: usize = 10;
+/// Capacity that most values need, in bytes.
+const TYPICAL_VALUE_LENGTH: usize = 40;
+/// Capacity that the values of one message usually need, in bytes.
+const TYPICAL_TOTAL_LENGTH: usize = 240;
+/// Number of the project's headers usually added to a message.
+const TYPICAL_HEADER_COUNT: usize = 10;
 
-/// The project's fields of a message of a daemon, application or endpoint.
+/// The project's headers in a message of a daemon, application or endpoint.
 ///
 /// # Errors
-/// [`HeaderError`] when one of them is not acceptable.
+/// [`HeaderError`] when one of them is invalid.
 pub fn fields(map: &HeaderMap) -> Result<Fields<'_>, HeaderError> {
     Fields::collect(pairs(map))
 }
 
-/// The fields that an outside caller may set; others of the project's are dropped.
+/// The headers that an external caller may set; other headers of the project are dropped.
 ///
 /// # Errors
-/// [`HeaderError`] when one of them is not acceptable.
+/// [`HeaderError`] when one of them is invalid.
 pub fn fields_from_outside(map: &HeaderMap) -> Result<Fields<'_>, HeaderError> {
     Fields::collect_from_outside(pairs(map))
 }
@@ -35,14 +35,14 @@
         .map(|(name, value)| (name.as_str(), value.as_bytes()))
 }
 
-/// Puts the project's headers on a message. Their values share one piece of memory.
+/// Adds the project's headers to a message. Their values share one allocation.
 pub struct MapSink<'a> {
     map: &'a mut HeaderMap,
     values: BytesMut,
 }
 
 impl<'a> MapSink<'a> {
-    /// A sink into a map.
+    /// Creates a sink that writes to `map`.
     pub fn new(map: &'a mut HeaderMap) -> Self {
         Self {
             map,
@@ -57,10 +57,10 @@
 
 impl HeaderSink for MapSink<'_> {
     fn put(&mut self, name: &'static str, value: &dyn Display) {
-        if self.values.capacity() < USUAL_LENGTH {
-            self.values.reserve(USUAL_TOTAL);
+        if self.values.capacity() < TYPICAL_VALUE_LENGTH {
+            self.values.reserve(TYPICAL_TOTAL_LENGTH);
         }
-        write!(self.values, "{value}").expect("the buffer grows as needed");
+        write!(self.values, "{value}").expect("writing to a growing buffer never fails");
         let value = HeaderValue::from_maybe_shared(self.values.split().freeze())
             .expect("ids, numbers and names consist of visible ASCII");
         self.insert(name, value);
@@ -78,14 +78,14 @@
     map.insert(HeaderName::from_static(name), value);
 }
 
-/// Copies what an application or endpoint said to its peer: neither fields that concern one
-/// connection only, nor fields of the project, nor the length, which is written anew.
+/// Copies the end-to-end headers of a message: all except hop-by-hop headers, the project's own
+/// headers, and the content length, which is written again.
 pub fn end_to_end(map: &HeaderMap) -> HeaderMap {
     let named = named_by_connection(map);
     let is_kept = |name: &HeaderName| {
         !HOP_BY_HOP.contains(name) && !named.contains(name) && !has_prefix(name.as_str())
     };
-    let mut kept = HeaderMap::with_capacity(map.len() + USUAL_COUNT);
+    let mut kept = HeaderMap::with_capacity(map.len() + TYPICAL_HEADER_COUNT);
     for (name, value) in map {
         if is_kept(name) {
             kept.append(name.clone(), value.clone());
--- a/crates/bramblewheel-daemon/src/http/forward.rs
+++ b/crates/bramblewheel-daemon/src/http/forward.rs
@@ -1,4 +1,4 @@
-//! Passing on to the next hop: the head of a request, and a long answer that has begun.
+//! Forwarding to the next hop: request heads and streamed answers.
 
 use crate::http::fields::{MapSink, end_to_end};
 use crate::http::pool::Lease;
@@ -10,19 +10,19 @@
 use hyper::body::Incoming;
 use std::net::SocketAddr;
 
-/// A long answer that has begun, with the result `R` that the engine gets once the last byte is
-/// through.
+/// A long answer that has begun, with the result `R` that is reported to the engine after the last
+/// byte was forwarded.
 pub(crate) struct StreamedAnswer<R> {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) outcome: Outcome,
     pub(crate) result: R,
-    pub(crate) begun: Bytes,
+    pub(crate) received: Bytes,
     pub(crate) source: Incoming,
     pub(crate) lease: Lease,
 }
 
-/// The head of a request as it goes on to `address`; `write` puts the project's fields on it.
+/// The head of a request to be forwarded to `address`; `write` adds the project's headers.
 pub(crate) fn request_head(
     head: &Parts,
     address: SocketAddr,
--- a/crates/bramblewheel-daemon/src/http/mod.rs
+++ b/crates/bramblewheel-daemon/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP pieces shared by the listeners: bodies, headers, connections.
+//! HTTP components shared by the listeners: bodies, headers, connections.
 //!
-//! What is the same for the routed data path stands in `bramblewheel-http`. What stays here differs
-//! for a reason: requests are held whole, up to `limits.body_bytes`, so that every attempt can send
-//! them anew, and the header fields of this way are read and written here only.
+//! Code shared with the routed data path is in `bramblewheel-http`. This module differs from it in
+//! two ways: request bodies are buffered, up to `limits.body_bytes`, so that every attempt can send
+//! them again, and only this daemon reads and writes the headers of calls with signed bundles.
 
 pub mod answer;
 pub mod body;
--- a/crates/bramblewheel-daemon/src/http/pool.rs
+++ b/crates/bramblewheel-daemon/src/http/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to one address, kept for reuse, with a bound on how many are open.
+//! Connection pools with a limit on open connections per address.
 //!
-//! A connection goes back to the pool only after its answer was read to the end. One that is
-//! dropped before that is closed, which also tells the peer that its answer isn't wanted.
+//! A connection is returned to the pool only after its answer was read to the end. One that is
+//! dropped earlier is closed, which also cancels the request at the peer.
 
 use bramblewheel_http::connection::Connection;
 use bytes::Bytes;
@@ -16,10 +16,10 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time for a connection to open; chosen, not measured.
+/// Time-out for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections older than this are closed; below the peers' own limit, so that a request
-/// rarely meets a connection that the peer is just closing. Chosen, not measured.
+/// Idle time after which a connection is closed; below the peers' own limit, so that a request
+/// rarely uses a connection that the peer is just closing.
 const MAX_IDLE: Duration = Duration::from_secs(5);
 
 /// Body of a request to a daemon or endpoint.
@@ -36,7 +36,7 @@
 }
 
 impl Pools {
-    /// The pool of an address.
+    /// The pool for an address; created on first use.
     pub fn get(&self, address: SocketAddr) -> Arc<Pool> {
         let mut pools = self
             .by_address
@@ -48,7 +48,7 @@
         Arc::clone(pool)
     }
 
-    /// Forgets addresses to which no connection is open.
+    /// Removes the pools without open connections.
     pub fn retain_used(&self) {
         let mut pools = self
             .by_address
@@ -72,14 +72,14 @@
     connection: CountedConnection,
 }
 
-/// Connections open to one address, idle or in use.
+/// Number of open connections to one address, idle or in use.
 #[derive(Debug, Default)]
 struct OpenCount {
     count: AtomicUsize,
     freed: Notify,
 }
 
-/// One connection in the count; leaves it when dropped.
+/// One counted connection; decrements the count when dropped.
 #[derive(Debug)]
 struct OpenSlot(Arc<OpenCount>);
 
@@ -90,14 +90,14 @@
     }
 }
 
-/// An open connection that is counted; closed when dropped.
+/// An open, counted connection; closed when dropped.
 #[derive(Debug)]
 struct CountedConnection {
     connection: Connection<RequestBody>,
     _slot: OpenSlot,
 }
 
-/// A connection in use; closed when dropped, unless it is given back.
+/// A connection in use; closed when dropped, unless it is returned to the pool.
 #[derive(Debug)]
 pub struct Lease {
     pool: Arc<Pool>,
@@ -121,12 +121,12 @@
         }
     }
 
-    /// The address connected to.
+    /// Address of the peer.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes an idle connection or opens one; waits while `limit` connections are in use.
+    /// Takes an idle connection or opens a new one; waits while `limit` connections are in use.
     ///
     /// # Errors
     /// [`ConnectFailed`] when no connection could be opened.
@@ -150,7 +150,7 @@
         if let Some(connection) = take_ready(&mut idle) {
             return Reservation::Idle(connection);
         }
-        // Idle connections that aren't ready must not keep a new one out: the oldest is closed for it.
+        // Idle connections that are not ready must not block a new one, so the oldest is closed.
         let is_full = self.open.count.load(Ordering::Relaxed) >= limit.max(1);
         if is_full && idle.is_empty() {
             return Reservation::Full;
@@ -170,7 +170,7 @@
         }
     }
 
-    fn give_back(&self, connection: CountedConnection) {
+    fn return_to_pool(&self, connection: CountedConnection) {
         let since = Instant::now();
         self.lock().push_back(IdleConnection { since, connection });
         self.open.freed.notify_one();
@@ -190,7 +190,7 @@
     }
 }
 
-/// Closes connections that have been idle for too long; they stand in front.
+/// Closes connections that have been idle for too long; the oldest are at the front.
 fn close_stale(idle: &mut VecDeque<IdleConnection>) {
     let now = Instant::now();
     while idle.front().is_some_and(|i| now - i.since >= MAX_IDLE) {
@@ -198,7 +198,7 @@
     }
 }
 
-/// Takes the connection that was used last, unless it is closed or not ready; then an earlier one.
+/// Takes the most recently used connection that is ready and removes closed ones found on the way.
 fn take_ready(idle: &mut VecDeque<IdleConnection>) -> Option<CountedConnection> {
     let mut index = idle.len();
     while index > 0 {
@@ -215,7 +215,7 @@
 }
 
 impl Lease {
-    /// Whether the connection carried a request before, so that the peer may just have closed it.
+    /// Whether the connection was used before, so that the peer may just have closed it.
     pub fn is_reused(&self) -> bool {
         self.reused
     }
@@ -225,9 +225,9 @@
         &mut self.connection.connection.sender
     }
 
-    /// Keeps the connection for reuse; only allowed after the answer was read to its end.
-    pub fn give_back(self) {
-        self.pool.give_back(self.connection);
+    /// Returns the connection to the pool; only allowed after the answer was read to its end.
+    pub fn return_to_pool(self) {
+        self.pool.return_to_pool(self.connection);
     }
 }
 
--- a/crates/bramblewheel-daemon/src/http/root.rs
+++ b/crates/bramblewheel-daemon/src/http/root.rs
@@ -1,4 +1,4 @@
-//! A call as an application or outside caller states it in header fields.
+//! Parsing of calls from applications and external callers.
 
 use crate::http::fields::{fields, fields_from_outside};
 use bramblewheel_core::context::{CallOrigin, CallRequest};
@@ -11,37 +11,41 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::IpAddr;
 
-/// What a gateway knows of an outside call besides its header fields.
+/// Properties of an external call that are not taken from its headers.
 #[derive(Clone, Copy, Debug)]
-pub struct RootFacts {
-    /// Address the caller connects from.
+pub struct RootDetails {
+    /// Address of the caller.
     pub peer: IpAddr,
-    /// Request id to use when the caller states none.
-    pub drawn_request: RequestId,
-    /// Whether a valid session token came with the call.
+    /// Generated request id, used if the caller states none.
+    pub generated_request: RequestId,
+    /// Whether the call carries a valid session token.
     pub in_session: bool,
 }
 
-/// Reads an outside call at a gateway; any other field of the project is not looked at.
+/// Parses an external call at a gateway; headers that external callers may not set are ignored.
 ///
 /// # Errors
-/// [`HeaderError`] when a field that callers may set is malformed.
-pub fn read_root(parts: &Parts, body: &[u8], facts: RootFacts) -> Result<CallRequest, HeaderError> {
+/// [`HeaderError`] when a header that callers may set is malformed.
+pub fn read_root(
+    parts: &Parts,
+    body: &[u8],
+    details: RootDetails,
+) -> Result<CallRequest, HeaderError> {
     let stated = request::parse(&fields_from_outside(&parts.headers)?)?;
     let origin = CallOrigin::Root {
-        request: stated.request.unwrap_or(facts.drawn_request),
+        request: stated.request.unwrap_or(details.generated_request),
         resend: stated.resend,
-        caller: caller_name(stated.caller.as_deref(), facts.peer),
+        caller: caller_name(stated.caller.as_deref(), details.peer),
         criticality: stated.criticality,
-        in_session: facts.in_session,
+        in_session: details.in_session,
     };
     call(parts, body, origin, stated)
 }
 
-/// Reads a sub-call of the local endpoint; it must name the attempt it is made for.
+/// Parses a sub-call of the local endpoint, which must name the attempt for which it is made.
 ///
 /// # Errors
-/// [`HeaderError`] when a field is missing or malformed.
+/// [`HeaderError`] when a header is missing or malformed.
 pub fn read_sub_call(parts: &Parts, body: &[u8]) -> Result<CallRequest, HeaderError> {
     let stated = request::parse(&fields(&parts.headers)?)?;
     let parent = stated.parent.ok_or(HeaderError::Missing(headers::PARENT))?;
@@ -64,7 +68,7 @@
     })
 }
 
-/// The stated name, behind the address so that no caller can use up another's budget.
+/// The stated name, prefixed with the address so that no caller can use up another's budget.
 fn caller_name(stated: Option<&str>, peer: IpAddr) -> String {
     match stated {
         Some(name) => format!("{peer}/{name}"),
--- a/crates/bramblewheel-daemon/src/http/server.rs
+++ b/crates/bramblewheel-daemon/src/http/server.rs
@@ -1,7 +1,7 @@
-//! Listeners: accept connections up to a cap, serve HTTP/1.1 on them, stop without breaking any.
+//! HTTP/1.1 listeners with a connection limit and graceful stop.
 //!
-//! Owns the connections of a listener. Above the cap a connection gets an answer that says so in the
-//! project's own fields, which its callers understand; the routed data path lets it wait instead.
+//! A connection above the limit is answered with a refusal in the project's headers, which its
+//! callers understand; the routed data path lets such connections wait instead.
 
 use crate::http::answer::HttpAnswer;
 use crate::settings::LimitSettings;
@@ -21,7 +21,7 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::task::JoinSet;
 
-/// Answer on a connection above the cap.
+/// Answer on a connection above the limit.
 const TOO_MANY_CONNECTIONS: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\n\
     connection: close\r\n\
     retry-after: 1\r\n\
@@ -29,14 +29,14 @@
     bw-reason: overloaded\r\n\
     bw-retry-after-ms: 1000\r\n\
     content-length: 0\r\n\r\n";
-/// Time given to a refused connection to take its refusal; chosen, not measured.
+/// Time-out for writing the answer to a refused connection.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Wait after a failed accept, such as when no file descriptor is left; chosen, not measured.
+/// Pause after a failed accept, for example when no file descriptor is available.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A handler of requests.
+/// Request handler of a listener.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request from `peer`. Dropped when the peer goes away.
+    /// Answers one request from `peer`. The future is dropped when the peer disconnects.
     fn handle(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -44,12 +44,12 @@
     ) -> impl Future<Output = HttpAnswer> + Send;
 }
 
-/// What a listener needs besides its handler.
+/// Configuration of a listener.
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
-    /// Limits on what peers may send.
+    /// Limits on messages and connections of peers.
     pub limits: LimitSettings,
-    /// Becomes true when connections are to be closed after the request in progress.
+    /// Becomes true when connections must be closed after the request in progress.
     pub stop: watch::Receiver<bool>,
     /// Log.
     pub log: Logger,
@@ -103,7 +103,7 @@
     handler: Arc<H>,
     mut config: ServerConfig,
 ) {
-    // Without it a short answer may wait for the peer's delayed acknowledgement.
+    // Otherwise a short answer may be delayed until the peer's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let service = hyper::service::service_fn(move |request| {
         let handler = Arc::clone(&handler);
--- a/crates/bramblewheel-daemon/src/inbound.rs
+++ b/crates/bramblewheel-daemon/src/inbound.rs
@@ -1,4 +1,4 @@
-//! The inbound listener: attempts that other daemons hand to the local endpoint.
+//! The inbound listener, which receives attempts of other daemons for the local endpoint.
 
 mod attempt;
 mod dispatch;
@@ -26,7 +26,7 @@
     endpoint: SocketAddr,
 }
 
-/// An attempt as it arrived, whole.
+/// A received attempt with its complete body.
 pub(crate) struct InboundRequest {
     pub(crate) context: CallContext,
     pub(crate) head: Parts,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Reads the context; an error comes with the attempt to be refused, if that can be read.
+/// Parses the context; an error is returned with the id of the refused attempt, if that is readable.
 fn read_context(
     head: &Parts,
     now: Timestamp,
@@ -76,14 +76,14 @@
     context::parse(now, head.uri.path(), &fields).map_err(|error| (error, attempt(&fields)))
 }
 
-/// An answer between daemons names its attempt and carries feedback.
+/// Adds the attempt id and feedback of an answer between daemons.
 fn between_daemons(mut answer: HttpAnswer, attempt: AttemptId, feedback: &Feedback) -> HttpAnswer {
     let mut sink = MapSink::new(answer.headers_mut());
     answer_headers::write_feedback(attempt, feedback, &mut sink);
     answer
 }
 
-/// A refusal given before the engine was asked; without a readable attempt id it can't be echoed.
+/// A refusal without involving the engine. The attempt id is echoed if it was readable.
 fn refused(answer: HttpAnswer, attempt: Option<AttemptId>) -> HttpAnswer {
     match attempt {
         Some(attempt) => between_daemons(answer, attempt, &Feedback::default()),
@@ -91,8 +91,8 @@
     }
 }
 
-/// Another attempt of this id is in progress, so this one can't be told apart from it.
+/// Refusal of an attempt whose id is already in use by an attempt in progress.
 fn duplicate(attempt: AttemptId) -> HttpAnswer {
     let outcome = not_run(NotRunReason::InvalidRequest);
-    refused(answer::explained(outcome), Some(attempt))
+    refused(answer::outcome_only(outcome), Some(attempt))
 }
--- a/crates/bramblewheel-daemon/src/inbound/attempt.rs
+++ b/crates/bramblewheel-daemon/src/inbound/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at the local endpoint, from its arrival to its answer.
+//! Handles one attempt for the local endpoint, from its arrival to its answer.
 
 use crate::driver::{Driver, InboundCommand};
 use crate::http::answer::{self, HttpAnswer};
@@ -20,10 +20,10 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Runs an attempt until the engine has an answer for it.
+/// Runs an attempt until the engine answers it.
 ///
-/// An attempt of a run-once operation goes on in a task of its own, because its answer must be
-/// recorded even if the caller goes away. Others end with their caller.
+/// An attempt of a run-once operation runs in its own task, because its answer must be recorded
+/// even if the caller disconnects. Other attempts are cancelled with their caller.
 pub(super) async fn run(
     shared: Arc<Shared>,
     endpoint: SocketAddr,
@@ -63,9 +63,9 @@
     answer
 }
 
-/// Only reached when the runtime is going down.
+/// Answer when the runtime shuts down before the attempt was answered.
 fn unanswered(attempt: AttemptId) -> HttpAnswer {
-    let answer = answer::explained(Outcome::Unknown);
+    let answer = answer::outcome_only(Outcome::Unknown);
     between_daemons(answer, attempt, &Feedback::default())
 }
 
@@ -102,25 +102,25 @@
                     self.registration.ends_with_caller = false;
                     let rendered = self.render(&answer);
                     if self.dispatch.is_some() && self.request.context.operation.is_some() {
-                        tokio::spawn(self.outlast());
+                        tokio::spawn(self.finish_detached());
                     }
                     return between_daemons(rendered, attempt, &feedback);
                 }
-                // The driver forgets an attempt only when this task has ended.
+                // The driver removes an attempt only after this task has ended.
                 Step::Command(None) => return unanswered(attempt),
                 Step::Ended(Dispatched::Result(result, whole)) => {
                     self.dispatch = None;
                     self.answer = whole;
                     self.registration.end(result);
                 }
-                Step::Ended(Dispatched::Streamed(streamed)) => return self.pass_on(*streamed),
+                Step::Ended(Dispatched::Streamed(streamed)) => return self.stream(*streamed),
             }
         }
     }
 
-    /// Waits for the end of a run-once operation whose caller has been answered, so that the
-    /// end can be recorded.
-    async fn outlast(mut self) {
+    /// Waits for the result of a run-once operation whose caller has already been answered, so that
+    /// the result can be recorded.
+    async fn finish_detached(mut self) {
         let dispatched = tokio::select! {
             biased;
             _ = self.commands.recv() => return,
@@ -143,18 +143,19 @@
     fn render(&mut self, answer: &Answer) -> HttpAnswer {
         match &answer.body {
             Source::FromAttempt(_) => match self.answer.take() {
-                Some(whole) => answer::passed_on(&whole, answer.outcome),
-                None => answer::explained(answer.outcome),
+                Some(whole) => answer::forwarded(&whole, answer.outcome),
+                None => answer::outcome_only(answer.outcome),
             },
             Source::Stored(stored) => answer::stored(stored.clone(), answer.outcome),
-            Source::None => answer::explained(answer.outcome),
+            Source::None => answer::outcome_only(answer.outcome),
         }
     }
 
-    /// Passes a long answer on as it comes; the attempt holds its slot until the last byte.
-    fn pass_on(mut self, streamed: StreamedAnswer<DispatchResult>) -> HttpAnswer {
+    /// Streams a long answer; the attempt holds its slot until the last byte.
+    fn stream(mut self, streamed: StreamedAnswer<DispatchResult>) -> HttpAnswer {
         let attempt = self.registration.attempt;
-        // What the subtree spent is known only at the end, when the head is long gone.
+        // The tokens spent in the subtree are not known before the end, but the head is sent now;
+        // therefore all lent tokens are reported as spent.
         let feedback = Feedback {
             retry_tokens_spent: self.request.context.retry_tokens,
             ..Feedback::default()
@@ -168,14 +169,14 @@
             result: streamed.result,
             _lease: streamed.lease,
         };
-        let body = StreamedBody::new(streamed.begun, streamed.source, Box::new(owner));
+        let body = StreamedBody::new(streamed.received, streamed.source, Box::new(owner));
         let body = AnswerBody::Streamed(body);
         let answer = answer::with_head(streamed.status, headers, outcome, body);
         between_daemons(answer, attempt, &feedback)
     }
 }
 
-/// Waits for the dispatch to end; for ever if there is none.
+/// Waits for the dispatch to end; never returns if there is none.
 async fn ended(dispatch: &mut Option<Dispatching>) -> Dispatched {
     match dispatch {
         Some(dispatch) => dispatch.await,
@@ -183,11 +184,11 @@
     }
 }
 
-/// The driver's entry for an attempt; removed when the attempt's work has ended.
+/// Registration of an attempt with the driver; removed when dropped.
 struct Registration {
     driver: Arc<Driver>,
     attempt: AttemptId,
-    /// Whether being dropped means that the calling daemon went away before its answer.
+    /// Whether a drop means that the calling daemon disconnected before its answer.
     ends_with_caller: bool,
 }
 
@@ -207,8 +208,8 @@
     }
 }
 
-/// Tells the engine that the calling daemon went away while the attempt's work goes on in a task
-/// of its own, unless the answer is there.
+/// Reports a disconnect of the calling daemon to the engine when dropped before the answer; the
+/// attempt continues in its own task.
 struct CallerGuard {
     driver: Arc<Driver>,
     attempt: AttemptId,
@@ -223,7 +224,7 @@
     }
 }
 
-/// Owner of a long answer on its way to the calling daemon.
+/// Owner of a long answer that is streamed to the calling daemon.
 struct StreamedAttempt {
     commands: UnboundedReceiver<InboundCommand>,
     registration: Registration,
@@ -248,11 +249,11 @@
         self.end(result);
     }
 
-    fn broken(&mut self) {
+    fn source_failed(&mut self) {
         self.end(DispatchResult::Lost);
     }
 
-    fn abandoned(&mut self) {
+    fn receiver_disconnected(&mut self) {
         self.registration
             .driver
             .cancel_inbound(self.registration.attempt);
--- a/crates/bramblewheel-daemon/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-daemon/src/inbound/dispatch.rs
@@ -1,4 +1,4 @@
-//! Passing an admitted attempt to the local endpoint.
+//! Sends an admitted attempt to the local endpoint.
 
 use crate::http::exchange::{ExchangeLimits, Exchanged, LongAnswer, WholeAnswer, exchange};
 use crate::http::fields::{MapSink, fields};
@@ -14,24 +14,24 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Connections to the local endpoint; below the about 120 that endpoints take, since their load
-/// and health are asked over others. The engine's concurrency limit is what normally bounds them.
+/// Maximum number of connections to the local endpoint. Endpoints accept about 120, of which some
+/// are left for load and health requests. Normally the engine's concurrency limit is lower.
 const ENDPOINT_CONNECTIONS: usize = 100;
-/// Longest body kept in the ledger for resends of a run-once operation, in bytes.
+/// Longest body stored in the ledger for resends of a run-once operation, in bytes.
 const MAX_STORED_BODY: usize = 4096;
-/// When callers may come back after a refusal in which the endpoint names no time.
+/// Retry-after time for refusals in which the endpoint states none.
 const DEFAULT_RETRY_AFTER: Millis = Millis(100);
 
-/// How a dispatch ended.
+/// Result of a dispatch.
 pub(super) enum Dispatched {
-    /// With a result, and the answer if a whole one came.
+    /// The dispatch ended; contains the answer if a complete one arrived.
     Result(DispatchResult, Option<WholeAnswer>),
-    /// The answer is long and has begun.
+    /// A long answer has begun.
     Streamed(Box<StreamedAnswer<DispatchResult>>),
 }
 
 impl StreamedAnswer<DispatchResult> {
-    /// Reads the answer to its end for nobody, and says how it ended.
+    /// Reads and discards the rest of the answer and returns its result.
     pub(super) async fn drain(mut self) -> DispatchResult {
         while let Some(frame) = self.source.frame().await {
             if frame.is_err() {
@@ -44,8 +44,8 @@
 
 /// Sends an attempt to the endpoint and reads its answer.
 ///
-/// The deadline is looked at once more just before the request is written: a daemon that was
-/// frozen since the engine decided must not begin work for a caller that has long given up.
+/// The deadline is checked again just before the request is written: a daemon that was paused after
+/// the engine's decision must not start work for a caller that no longer waits.
 pub(super) async fn send(
     shared: Arc<Shared>,
     request: Arc<InboundRequest>,
@@ -105,7 +105,7 @@
             Outcome::Completed
         },
         result: DispatchResult::Answered { failed, stored },
-        begun: long.begun,
+        received: long.received,
         source: long.source,
         lease: long.lease,
     }))
@@ -115,8 +115,8 @@
     status.is_server_error()
 }
 
-/// The endpoint's own proof that it ran nothing: status 503 and the outcome `not-run`. A plain
-/// 503 proves nothing.
+/// The endpoint's proof that it did not run the request: status 503 and the outcome `not-run`. A
+/// plain 503 proves nothing.
 fn refusal(status: StatusCode, map: &HeaderMap) -> Option<DispatchResult> {
     if status != StatusCode::SERVICE_UNAVAILABLE {
         return None;
--- a/crates/bramblewheel-daemon/src/lib.rs
+++ b/crates/bramblewheel-daemon/src/lib.rs
@@ -1,9 +1,9 @@
-//! The daemon of the way of signed bundles: beside each endpoint, or alone as a gateway. The daemon of
+//! The daemon for signed bundles, running beside each endpoint or alone as a gateway. The daemon of
 //! the routed data path is `bramblewheel-proxy`.
 //!
-//! All decisions are made by [`bramblewheel_core::engine::Engine`]; this crate is its shell: it
-//! owns the sockets, the clock and the files, turns what happens into events, and carries out the
-//! actions in the order in which the engine gave them.
+//! All decisions are made by [`bramblewheel_core::engine::Engine`]. This crate drives the engine: it
+//! owns the sockets, the clock and the files, passes events to the engine, and carries out the
+//! returned actions in order.
 
 pub mod admin;
 pub mod clock;
--- a/crates/bramblewheel-daemon/src/load_report.rs
+++ b/crates/bramblewheel-daemon/src/load_report.rs
@@ -1,4 +1,4 @@
-//! Asks the local endpoint for its load, as it sees it. A hint: it may lag or mislead.
+//! Polls the local endpoint for its load report, which may be outdated or wrong.
 
 use crate::driver::Driver;
 use crate::http::exchange::{ExchangeLimits, Exchanged, WholeAnswer, exchange};
@@ -12,19 +12,19 @@
 use std::time::Duration;
 use tokio::time::MissedTickBehavior;
 
-/// Time between two questions.
+/// Interval of the requests.
 const PERIOD: Duration = Duration::from_secs(1);
-/// Time for one answer.
+/// Time-out of one request.
 const TIMEOUT: Duration = Duration::from_millis(900);
-/// Path asked.
+/// Path of the load report.
 const PATH: &str = "/load";
-/// Limits of the exchange.
+/// Limits of one exchange.
 const LIMITS: ExchangeLimits = ExchangeLimits {
     connections: 1,
     body_bytes: 4096,
 };
 
-/// The endpoint's answer.
+/// Load report of the endpoint.
 #[derive(Debug, Deserialize)]
 struct Load {
     slots: u32,
@@ -32,20 +32,20 @@
     draining: bool,
 }
 
-/// Asks for ever. `pool` is the endpoint's, but not the one that calls use: a full endpoint
-/// must not keep its own load report waiting.
+/// Polls the endpoint; never returns. `pool` must not be the one used for calls, so that a load
+/// report does not wait for a connection while the endpoint is fully used.
 pub async fn run(driver: Arc<Driver>, pool: Arc<Pool>) {
     let mut ticks = tokio::time::interval(PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if let Ok(Some(report)) = tokio::time::timeout(TIMEOUT, ask(&pool)).await {
+        if let Ok(Some(report)) = tokio::time::timeout(TIMEOUT, fetch_report(&pool)).await {
             driver.submit(Event::LocalReport(report));
         }
     }
 }
 
-async fn ask(pool: &Arc<Pool>) -> Option<EndpointReport> {
+async fn fetch_report(pool: &Arc<Pool>) -> Option<EndpointReport> {
     let host = pool.address().to_string();
     let head = || Some(Request::get(PATH).header(HOST, host.as_str()));
     match exchange(pool, LIMITS, Bytes::new(), head, |_| Some(())).await {
--- a/crates/bramblewheel-daemon/src/main.rs
+++ b/crates/bramblewheel-daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! Entry point: reads flags and settings, runs the daemon until it is told to stop.
+//! Entry point: reads flags and settings and runs the daemon until it is stopped.
 
 use bramblewheel_daemon::settings::Overrides;
 use bramblewheel_daemon::{Settings, process};
--- a/crates/bramblewheel-daemon/src/metrics.rs
+++ b/crates/bramblewheel-daemon/src/metrics.rs
@@ -1,9 +1,9 @@
-//! Counters of the shell itself; the engine's own are read from it when they are asked for.
+//! Counters of the daemon process; the engine's metrics are read from the engine on request.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
 
-/// Counters of the shell.
+/// Counters of the daemon process.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     /// Bytes sent to the control replicas.
@@ -12,12 +12,12 @@
     pub control_received_bytes: Counter,
     /// Polls answered by a control replica.
     pub control_polls: Counter,
-    /// Answers of control replicas that were refused as older than one seen before.
+    /// Answers of control replicas refused because a newer one was seen before.
     pub control_stale: Counter,
 }
 
 impl Metrics {
-    /// Lists the counters in a registry.
+    /// Registers the counters.
     pub fn register(&self, registry: &mut Registry) {
         let counters = [
             (
--- a/crates/bramblewheel-daemon/src/outbound.rs
+++ b/crates/bramblewheel-daemon/src/outbound.rs
@@ -1,13 +1,13 @@
-//! The outbound listener: calls of applications beside a sidecar, of outside callers at a gateway.
+//! The outbound listener: calls of the local application, or of external callers at a gateway.
 
 mod attempt;
 mod call;
 
 use crate::http::answer::{self, HttpAnswer};
 use crate::http::fields::set;
-use crate::http::root::{RootFacts, read_root, read_sub_call};
+use crate::http::root::{RootDetails, read_root, read_sub_call};
 use crate::http::server::Handler;
-use crate::sessions::SessionOffer;
+use crate::sessions::SessionHeader;
 use crate::shared::Shared;
 use bramblewheel_core::context::CallRequest;
 use bramblewheel_protocol::headers;
@@ -24,7 +24,7 @@
     shared: Arc<Shared>,
 }
 
-/// An application's request, whole.
+/// A request with its complete body.
 pub(crate) struct AppRequest {
     pub(crate) head: Parts,
     pub(crate) body: Bytes,
@@ -42,46 +42,51 @@
             Err(refusal) => return *refusal,
         };
         let session = self.session(&head);
-        let asked = if self.shared.endpoint.is_some() {
+        let call_request = if self.shared.endpoint.is_some() {
             read_sub_call(&head, &body)
         } else {
-            let facts = RootFacts {
+            let details = RootDetails {
                 peer: peer.ip(),
-                drawn_request: self.shared.ids.request(),
-                in_session: matches!(session, SessionOffer::Valid),
+                generated_request: self.shared.ids.request(),
+                in_session: matches!(session, SessionHeader::Valid),
             };
-            read_root(&head, &body, facts)
+            read_root(&head, &body, details)
         };
-        let asked = match asked {
-            Ok(asked) => asked,
+        let call_request = match call_request {
+            Ok(call_request) => call_request,
             Err(error) => return answer::invalid_request(&error.to_string()),
         };
-        let opened = self.opened(session, &asked);
+        let new_session_token = self.new_session_token(session, &call_request);
         let request = AppRequest { head, body };
-        let (mut answer, outcome) = call::run(&self.shared, asked, request).await;
-        if let (Some(token), Outcome::Completed) = (opened, outcome) {
+        let (mut answer, outcome) = call::run(&self.shared, call_request, request).await;
+        if let (Some(token), Outcome::Completed) = (new_session_token, outcome) {
             set(answer.headers_mut(), headers::SESSION, token);
         }
         answer
     }
 
-    /// Session tokens are looked at where a tree begins; below, the mark travels in the context.
-    fn session(&self, head: &Parts) -> SessionOffer {
+    /// Session tokens are verified only at gateways; below, the context states whether the request
+    /// belongs to a session.
+    fn session(&self, head: &Parts) -> SessionHeader {
         if self.shared.endpoint.is_some() {
-            return SessionOffer::None;
+            return SessionHeader::None;
         }
         let token = head.headers.get(headers::SESSION);
         let token = token.and_then(|token| token.to_str().ok());
-        self.shared.sessions.offer(token)
+        self.shared.sessions.evaluate(token)
     }
 
-    /// Token of the session that a request asks to open, with the class of the request's route.
-    fn opened(&self, session: SessionOffer, asked: &CallRequest) -> Option<String> {
-        if session != SessionOffer::Open {
+    /// Token of a new session with the class of the request's route, if the request asks for one.
+    fn new_session_token(
+        &self,
+        session: SessionHeader,
+        call_request: &CallRequest,
+    ) -> Option<String> {
+        if session != SessionHeader::Open {
             return None;
         }
         let bundle = self.shared.bundle.load_full()?;
-        let route = bundle.resolve(&asked.service, &asked.path)?;
+        let route = bundle.resolve(&call_request.service, &call_request.path)?;
         let home_zone = self.shared.zone.clone();
         self.shared.sessions.open(home_zone, route.criticality)
     }
--- a/crates/bramblewheel-daemon/src/outbound/attempt.rs
+++ b/crates/bramblewheel-daemon/src/outbound/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call at another endpoint's daemon.
+//! Sends one attempt of a call to another daemon.
 
 use crate::http::exchange::{ExchangeLimits, Exchanged, LongAnswer, WholeAnswer, exchange};
 use crate::http::fields::{end_to_end, fields};
@@ -14,11 +14,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How an attempt ended.
+/// Result of an attempt.
 pub(super) enum Ended {
-    /// With a result, and the answer if a whole one came.
+    /// The attempt ended; contains the answer if a complete one arrived.
     Result(AttemptResult, Option<WholeAnswer>),
-    /// Its answer is long and has begun.
+    /// A long answer has begun.
     Streamed(Box<StreamedAnswer<AttemptResult>>),
 }
 
@@ -49,8 +49,8 @@
     }
 }
 
-/// What an answer states; none when that can't be understood, or when the answer is not to this
-/// very attempt.
+/// Parsed headers of an answer; `None` if they are malformed or the answer belongs to another
+/// attempt.
 fn answer_to(attempt: AttemptId, map: &HeaderMap) -> Option<AnswerHeaders> {
     let stated = answer::parse(&fields(map).ok()?).ok()?;
     (stated.attempt == attempt).then_some(stated)
@@ -69,7 +69,7 @@
         headers: end_to_end(&long.headers),
         outcome: stated.outcome,
         result: result(stated),
-        begun: long.begun,
+        received: long.received,
         source: long.source,
         lease: long.lease,
     }))
--- a/crates/bramblewheel-daemon/src/outbound/call.rs
+++ b/crates/bramblewheel-daemon/src/outbound/call.rs
@@ -1,4 +1,4 @@
-//! One call of an application, from its request to its final answer.
+//! Handles one call of an application, from its request to its final answer.
 
 use crate::driver::{CallCommand, Driver};
 use crate::http::answer::{self, HttpAnswer};
@@ -21,14 +21,14 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Runs a call until the engine has an answer for it.
+/// Runs a call until the engine answers it.
 pub(super) async fn run(
     shared: &Arc<Shared>,
-    asked: CallRequest,
+    call_request: CallRequest,
     request: AppRequest,
 ) -> (HttpAnswer, Outcome) {
     let call = shared.ids.call();
-    let commands = shared.driver.begin_call(call, asked);
+    let commands = shared.driver.begin_call(call, call_request);
     let guard = CallGuard {
         driver: Arc::clone(&shared.driver),
         call,
@@ -71,9 +71,9 @@
                     self.guard.is_over = true;
                     return (self.render(&answer), answer.outcome);
                 }
-                // The driver forgets a call only after it has answered it.
+                // The driver removes a call only after answering it.
                 Step::Command(None) => {
-                    return (answer::explained(Outcome::Unknown), Outcome::Unknown);
+                    return (answer::outcome_only(Outcome::Unknown), Outcome::Unknown);
                 }
                 Step::Ended((attempt, Ended::Result(result, whole))) => {
                     self.answers.extend(whole.map(|whole| (attempt, whole)));
@@ -81,7 +81,7 @@
                 }
                 Step::Ended((attempt, Ended::Streamed(streamed))) => {
                     let outcome = streamed.outcome;
-                    return (self.pass_on(attempt, *streamed), outcome);
+                    return (self.stream(attempt, *streamed), outcome);
                 }
             }
         }
@@ -98,16 +98,16 @@
     fn render(&mut self, answer: &Answer) -> HttpAnswer {
         match &answer.body {
             Source::FromAttempt(attempt) => match self.answers.remove(attempt) {
-                Some(whole) => answer::passed_on(&whole, answer.outcome),
-                None => answer::explained(answer.outcome),
+                Some(whole) => answer::forwarded(&whole, answer.outcome),
+                None => answer::outcome_only(answer.outcome),
             },
             Source::Stored(stored) => answer::stored(stored.clone(), answer.outcome),
-            Source::None => answer::explained(answer.outcome),
+            Source::None => answer::outcome_only(answer.outcome),
         }
     }
 
-    /// Passes a long answer on as it comes; the call goes on until its last byte.
-    fn pass_on(self, attempt: AttemptId, streamed: StreamedAnswer<AttemptResult>) -> HttpAnswer {
+    /// Streams a long answer; the call lasts until its last byte.
+    fn stream(self, attempt: AttemptId, streamed: StreamedAnswer<AttemptResult>) -> HttpAnswer {
         let owner = StreamedCall {
             commands: self.commands,
             guard: self.guard,
@@ -115,7 +115,7 @@
             result: Some(streamed.result),
             _lease: streamed.lease,
         };
-        let body = StreamedBody::new(streamed.begun, streamed.source, Box::new(owner));
+        let body = StreamedBody::new(streamed.received, streamed.source, Box::new(owner));
         let body = AnswerBody::Streamed(body);
         answer::with_head(streamed.status, streamed.headers, streamed.outcome, body)
     }
@@ -126,7 +126,7 @@
     Ended((AttemptId, Ended)),
 }
 
-/// Tells the engine that the application went away, unless the call is over.
+/// Cancels the call when dropped before its end, because the application disconnected.
 struct CallGuard {
     driver: Arc<Driver>,
     call: CallId,
@@ -145,7 +145,7 @@
 
 /// Attempts in progress; dropping one closes its connection.
 ///
-/// They are polled by the call's own task, which saves a task switch for each attempt.
+/// They are polled by the task of the call, which saves a task switch per attempt.
 #[derive(Default)]
 struct Attempts {
     running: Vec<(AttemptId, Sending)>,
@@ -160,7 +160,7 @@
         self.running.retain(|(running, _)| *running != attempt);
     }
 
-    /// Waits for the next attempt that ends; for ever if none is running.
+    /// Waits for the next attempt to end; never returns if none is running.
     async fn next(&mut self) -> (AttemptId, Ended) {
         poll_fn(|cx| self.poll_next(cx)).await
     }
@@ -178,7 +178,7 @@
     }
 }
 
-/// Owner of a long answer on its way to the application.
+/// Owner of a long answer that is streamed to the application.
 struct StreamedCall {
     commands: UnboundedReceiver<CallCommand>,
     guard: CallGuard,
@@ -188,7 +188,7 @@
 }
 
 impl StreamOwner for StreamedCall {
-    /// Once bytes went out, the only answer that the engine can still give is to break off.
+    /// After bytes were sent, any command of the engine means that the answer is to be cut off.
     fn poll_cancelled(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         self.commands.poll_recv(cx).map(|_| ())
     }
@@ -200,8 +200,8 @@
         self.guard.is_over = true;
     }
 
-    /// The caller sees the break; a retry could not reach it any more, so the call ends here.
-    fn broken(&mut self) {}
+    /// The caller sees the broken connection and no retry can reach it, so the call ends here.
+    fn source_failed(&mut self) {}
 
-    fn abandoned(&mut self) {}
+    fn receiver_disconnected(&mut self) {}
 }
--- a/crates/bramblewheel-daemon/src/process.rs
+++ b/crates/bramblewheel-daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! A daemon as a whole process: its runtime, its signals, its end.
+//! The daemon process: runtime, signals and exit.
 
 use crate::settings::Settings;
 use crate::{StartError, daemon, logging};
@@ -7,10 +7,10 @@
 use thiserror::Error;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Threads that carry the calls. `docs/design/11-latency.md` says why four.
+/// Worker threads of the runtime; `docs/design/11-latency.md` explains the number.
 const WORKER_THREADS: usize = 4;
 
-/// A daemon's process can't go on; the text is one line.
+/// The daemon process failed; the message is one line.
 #[derive(Debug, Error)]
 pub enum ProcessError {
     /// The daemon can't start.
@@ -21,10 +21,10 @@
     Runtime(#[from] io::Error),
 }
 
-/// Runs a daemon until a signal has stopped it and its drain is complete.
+/// Runs a daemon until a signal stops it and its drain is complete.
 ///
 /// # Errors
-/// [`ProcessError`] when it can't start.
+/// [`ProcessError`] when the daemon can't start.
 pub fn run(settings: Settings) -> Result<(), ProcessError> {
     abort_on_panic();
     let runtime = tokio::runtime::Builder::new_multi_thread()
--- a/crates/bramblewheel-daemon/src/sessions.rs
+++ b/crates/bramblewheel-daemon/src/sessions.rs
@@ -1,7 +1,7 @@
-//! Session tokens at a gateway: the key file, and what a caller's session header amounts to.
+//! Session tokens at a gateway: key file and evaluation of the session header.
 //!
-//! Nothing is stored, so no restart or loss of a zone ends a session; the tokens themselves are
-//! those of [`bramblewheel_core::session`].
+//! No session state is stored, so no restart or loss of a zone ends a session. The token format is
+//! defined in [`bramblewheel_core::session`].
 
 use bramblewheel_core::session::{self, Session, SessionKey};
 use bramblewheel_protocol::headers::SESSION_OPEN;
@@ -11,7 +11,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use thiserror::Error;
 
-/// The key file can't be used; the text is one line.
+/// The key file can't be used; the message is one line.
 #[derive(Debug, Error)]
 pub enum SessionKeyError {
     /// The file can't be read.
@@ -19,10 +19,10 @@
     Unreadable {
         /// The file.
         file: String,
-        /// What the operating system says.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// A line is not `key-id hex-secret`. The line itself is not shown: it may hold a secret.
+    /// A line is not `key-id hex-secret`. It is not shown, because it may contain a secret.
     #[error(
         "{file}:{line}: expected `key-id hex-secret`, a number and at least {} bytes",
         session::MIN_KEY_LENGTH
@@ -30,26 +30,26 @@
     Malformed {
         /// The file.
         file: String,
-        /// Line, counted from 1.
+        /// Line number, starting at 1.
         line: usize,
     },
 }
 
-/// Keys that mint and verify session tokens.
+/// Keys for minting and verifying session tokens.
 #[derive(Debug, Default)]
 pub struct SessionKeys {
-    /// The first mints, all verify.
+    /// Tokens are minted with the first key and verified with all.
     keys: Vec<SessionKey>,
 }
 
-/// What a caller's session header amounts to.
+/// Meaning of a caller's session header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SessionOffer {
-    /// No session, or a token that no key verifies.
+pub enum SessionHeader {
+    /// No session, or an invalid token.
     None,
     /// A valid token.
     Valid,
-    /// The caller asks for a session; it gets its token once its request is completed.
+    /// The caller requests a session; it gets the token when its request completes.
     Open,
 }
 
@@ -77,16 +77,16 @@
         })
     }
 
-    /// Judges the value of a caller's session header.
-    pub fn offer(&self, value: Option<&str>) -> SessionOffer {
+    /// Evaluates the value of a caller's session header.
+    pub fn evaluate(&self, value: Option<&str>) -> SessionHeader {
         match value {
-            Some(SESSION_OPEN) => SessionOffer::Open,
-            Some(token) if session::verify(&self.keys, token).is_ok() => SessionOffer::Valid,
-            _ => SessionOffer::None,
+            Some(SESSION_OPEN) => SessionHeader::Open,
+            Some(token) if session::verify(&self.keys, token).is_ok() => SessionHeader::Valid,
+            _ => SessionHeader::None,
         }
     }
 
-    /// Token of a session opened now; none without a key.
+    /// Opens a session and returns its token; `None` if there is no key.
     pub fn open(&self, home_zone: ZoneName, criticality: Criticality) -> Option<String> {
         let key = self.keys.first()?;
         let opened_at = SystemTime::now().duration_since(UNIX_EPOCH).ok()?;
--- a/crates/bramblewheel-daemon/src/settings.rs
+++ b/crates/bramblewheel-daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: TOML, checked as a whole before anything is opened.
+//! The settings file (TOML), checked completely before any file or listener is opened.
 
 mod check;
 mod load;
@@ -18,52 +18,52 @@
 pub struct Settings {
     /// Stable name of the daemon.
     pub name: DaemonId,
-    /// Zone it runs in.
+    /// Zone of the daemon.
     pub zone: ZoneName,
-    /// Region it runs in.
+    /// Region of the daemon.
     pub region: RegionName,
     /// Folder for the bundle in force.
     pub data_folder: PathBuf,
     /// Service addresses of the control replicas.
     pub control: Vec<SocketAddr>,
-    /// Services called from here.
+    /// Services called through this daemon.
     #[serde(default)]
     pub calls: Vec<ServiceName>,
     /// Addresses to listen on.
     pub listen: ListenSettings,
-    /// The endpoint the daemon stands beside; none for a gateway.
+    /// The endpoint served by the daemon; absent for a gateway.
     pub endpoint: Option<EndpointSettings>,
     /// Session tokens.
     pub sessions: Option<SessionSettings>,
-    /// Log.
+    /// Log settings.
     #[serde(default)]
     pub log: LogSettings,
-    /// Limits on what peers may send.
+    /// Limits on messages and connections of peers.
     #[serde(default)]
     pub limits: LimitSettings,
 }
 
-/// Addresses to listen on; port 0 lets the system choose.
+/// Addresses to listen on; with port 0 the system chooses a free port.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
     /// Calls from other daemons; absent on a gateway.
     pub inbound: Option<SocketAddr>,
-    /// Calls from applications, or from outside callers at a gateway.
+    /// Calls from applications, or from external callers at a gateway.
     pub outbound: SocketAddr,
     /// Health and metrics.
     pub admin: SocketAddr,
 }
 
-/// The endpoint that a daemon stands beside.
+/// The endpoint served by a daemon.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSettings {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: EndpointId,
-    /// Its service.
+    /// Service of the endpoint.
     pub service: ServiceName,
-    /// Its address.
+    /// Address of the endpoint.
     pub address: SocketAddr,
 }
 
@@ -71,25 +71,27 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SessionSettings {
-    /// File of lines `key-id hex-secret`; the first mints, all verify.
+    /// File with lines `key-id hex-secret`; tokens are minted with the first key and verified with
+    /// all.
     pub key_file: PathBuf,
 }
 
-/// Limits on what peers may send and hold open.
+/// Limits on messages and connections of peers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Headers of one message.
+    /// Maximum number of headers of one message.
     pub header_count: usize,
-    /// Bytes of one message's head.
+    /// Maximum size of the head of one message, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request body, and of an answer that is held until it is whole.
+    /// Maximum size of a request body, and of an answer that is buffered until it is complete, in
+    /// bytes.
     pub body_bytes: usize,
-    /// Connections open at one listener.
+    /// Maximum number of open connections at one listener.
     pub connections: usize,
-    /// Time for a message head to arrive, in milliseconds; also ends idle connections.
+    /// Time-out for receiving a message head, in milliseconds; also closes idle connections.
     pub header_timeout_ms: u64,
-    /// Time for a request body to arrive, in milliseconds.
+    /// Time-out for receiving a request body, in milliseconds.
     pub body_timeout_ms: u64,
 }
 
@@ -107,12 +109,12 @@
 }
 
 impl LimitSettings {
-    /// Time for a message head to arrive.
+    /// Time-out for receiving a message head.
     pub fn header_timeout(&self) -> Duration {
         Duration::from_millis(self.header_timeout_ms)
     }
 
-    /// Time for a request body to arrive.
+    /// Time-out for receiving a request body.
     pub fn body_timeout(&self) -> Duration {
         Duration::from_millis(self.body_timeout_ms)
     }
--- a/crates/bramblewheel-daemon/src/settings/check.rs
+++ b/crates/bramblewheel-daemon/src/settings/check.rs
@@ -1,10 +1,10 @@
-//! Faults that the types of the settings can't express.
+//! Checks of the settings beyond their types.
 
 use crate::settings::Settings;
 use bramblewheel_process::settings::address_clash;
 
 impl Settings {
-    /// The first fault that the types can't express: key and reason.
+    /// Key and reason of the first fault that the types do not rule out.
     pub(super) fn first_fault(&self) -> Option<(&'static str, String)> {
         self.missing_fault()
             .or_else(|| self.address_fault())
--- a/crates/bramblewheel-daemon/src/settings/load.rs
+++ b/crates/bramblewheel-daemon/src/settings/load.rs
@@ -1,11 +1,11 @@
-//! What the command line puts over the settings file.
+//! Command-line overrides of the settings file.
 
 use crate::settings::Settings;
 use bramblewheel_process::settings::SettingsFile;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Values from the command line that win over the file.
+/// Values from the command line that override the file.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
     /// Replaces `data_folder`.
--- a/crates/bramblewheel-daemon/src/shared.rs
+++ b/crates/bramblewheel-daemon/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the listeners share.
+//! State shared by the listeners.
 
 use crate::driver::Driver;
 use crate::http::answer::{self, HttpAnswer};
@@ -16,10 +16,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Connections to one daemon where the bundle doesn't know its service.
+/// Maximum number of connections to one daemon if its service is not in the bundle.
 const DEFAULT_CONNECTIONS: usize = 16;
 
-/// What the listeners share.
+/// State shared by the listeners.
 pub(crate) struct Shared {
     pub(crate) driver: Arc<Driver>,
     pub(crate) pools: Pools,
@@ -33,7 +33,7 @@
 }
 
 impl Shared {
-    /// Connections that may be open to one daemon of a service.
+    /// Maximum number of connections to one daemon of a service.
     pub(crate) fn connections_to(&self, service: &ServiceName) -> usize {
         let bundle = self.bundle.load();
         let policy = bundle.as_ref().and_then(|bundle| bundle.service(service));
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Reads a request's body whole, or says how to refuse it.
+    /// Reads a complete request body, or returns the refusal to send.
     pub(crate) async fn read_body(&self, body: &mut Incoming) -> Result<Bytes, Box<HttpAnswer>> {
         if body.is_end_stream() {
             return Ok(Bytes::new());
@@ -63,7 +63,7 @@
     }
 }
 
-/// Draws ids that are unique in this process and unlikely to meet those of another.
+/// Generates ids that are unique in this process and unlikely to collide with those of others.
 #[derive(Debug)]
 pub(crate) struct IdSource {
     start: u64,
@@ -82,9 +82,9 @@
         CallId(self.start.wrapping_add(self.next()))
     }
 
-    /// A request id: half random per process, half counted and mixed.
+    /// A request id: one half random per process, one half a mixed counter.
     pub(crate) fn request(&self) -> RequestId {
-        /// Odd, so that the product of a counter with it never repeats.
+        /// Odd multiplier, so that different counter values never give the same product.
         const MIX: u64 = 0x9E37_79B9_7F4A_7C15;
         let low = self.next().wrapping_mul(MIX);
         RequestId((u128::from(self.start) << 64) | u128::from(low))
--- a/crates/bramblewheel-daemon/tests/bundles.rs
+++ b/crates/bramblewheel-daemon/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! A bundle in force never goes back, whatever the replicas say and however often we restart.
+//! The version of the bundle in force never decreases, whatever replicas send and across restarts.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::{bundle, signed, start};
 use tempfile::TempDir;
 
-/// Metrics of a daemon without calls and their kinds, by name: dashboards and alerts of the users hold them.
+/// Metrics of a daemon without calls, with their types; dashboards and alerts of users depend on them.
 const METRICS: [&str; 21] = [
     "bramblewheel_application_repeats counter",
     "bramblewheel_attempts_sent counter",
@@ -35,19 +35,19 @@
     "bramblewheel_running gauge",
 ];
 
-async fn shown_version(daemon: &bramblewheel_daemon::DaemonHandle) -> String {
+async fn exposed_version(daemon: &bramblewheel_daemon::DaemonHandle) -> String {
     let metrics = admin(daemon.addresses().admin, "/metrics").await.text();
     let line = metrics
         .lines()
         .find(|line| line.starts_with("bramblewheel_bundle_version "));
-    line.expect("the metric is there").to_owned()
+    line.expect("the metric is present").to_owned()
 }
 
 #[tokio::test]
-async fn without_a_bundle_a_daemon_is_not_ready() {
+async fn daemon_without_a_bundle_is_not_ready() {
     let folder = TempDir::new().expect("a temporary folder");
-    let nobody = "127.0.0.1:1".parse().expect("an address");
-    let daemon = start(nobody, None, folder.path()).await;
+    let unreachable = "127.0.0.1:1".parse().expect("an address");
+    let daemon = start(unreachable, None, folder.path()).await;
     let address = daemon.addresses().admin;
     assert_eq!(admin(address, "/readyz").await.status(), 503);
     assert_eq!(admin(address, "/healthz").await.status(), 200);
@@ -59,13 +59,13 @@
 }
 
 #[tokio::test]
-async fn a_restarted_daemon_holds_its_bundle_against_an_older_one() {
+async fn restarted_daemon_refuses_a_bundle_older_than_its_own() {
     let folder = TempDir::new().expect("a temporary folder");
     let mut control = FakeControl::start(signed(1)).await;
     let daemon = start(control.address(), None, folder.path()).await;
-    control.until_known("gateway-1").await;
+    control.until_applied("gateway-1").await;
     control.set_bundle(signed(5));
-    control.until_known("gateway-1").await;
+    control.until_applied("gateway-1").await;
     drop(daemon);
     let mut stale = FakeControl::start(signed(2)).await;
     let daemon = start(stale.address(), None, folder.path()).await;
@@ -73,13 +73,13 @@
     stale
         .until_poll("gateway-1", |poll| has_five(poll.bundle_version))
         .await;
-    // The second poll shows what became of the first one's answer.
+    // The second poll shows the state after the answer to the first one.
     stale.forget_polls();
     stale
         .until_poll("gateway-1", |poll| has_five(poll.bundle_version))
         .await;
     assert_eq!(
-        shown_version(&daemon).await,
+        exposed_version(&daemon).await,
         "bramblewheel_bundle_version 5"
     );
     assert_eq!(
@@ -93,7 +93,7 @@
     let folder = TempDir::new().expect("a temporary folder");
     let mut control = FakeControl::start(signed(1)).await;
     let daemon = start(control.address(), None, folder.path()).await;
-    control.until_known("gateway-1").await;
+    control.until_applied("gateway-1").await;
     let mut unsigned = signed(2);
     unsigned.signatures.clear();
     let mut forged = signed(3);
@@ -108,24 +108,24 @@
             control.forget_polls();
         }
         assert_eq!(
-            shown_version(&daemon).await,
+            exposed_version(&daemon).await,
             "bramblewheel_bundle_version 1"
         );
     }
     control.set_bundle(signed(9));
-    control.until_known("gateway-1").await;
+    control.until_applied("gateway-1").await;
     assert_eq!(
-        shown_version(&daemon).await,
+        exposed_version(&daemon).await,
         "bramblewheel_bundle_version 9"
     );
 }
 
 #[tokio::test]
-async fn a_damaged_bundle_file_stops_the_start() {
+async fn daemon_does_not_start_with_a_damaged_bundle_file() {
     let folder = TempDir::new().expect("a temporary folder");
     let mut control = FakeControl::start(signed(1)).await;
     let daemon = start(control.address(), None, folder.path()).await;
-    control.until_known("gateway-1").await;
+    control.until_applied("gateway-1").await;
     drop(daemon);
     let file = folder.path().join("bundle.cbor");
     let mut bytes = std::fs::read(&file).expect("the bundle was written");
@@ -133,7 +133,7 @@
     bytes[middle] ^= 1;
     std::fs::write(&file, &bytes).expect("a writable folder");
     let error = support::try_start(control.address(), folder.path()).await;
-    let error = error.expect_err("a damaged file must not be passed over");
+    let error = error.expect_err("a damaged file must not be ignored");
     assert!(error.to_string().contains("is damaged"), "{error}");
 }
 
@@ -149,38 +149,38 @@
 }
 
 #[tokio::test]
-async fn a_bundle_reached_by_a_delta_is_in_force_after_a_restart_too() {
+async fn bundle_from_a_delta_is_in_force_after_a_restart() {
     let folder = TempDir::new().expect("a temporary folder");
     let mut control = FakeControl::start(signed(1)).await;
     let daemon = start(control.address(), None, folder.path()).await;
-    control.until_known("gateway-1").await;
+    control.until_applied("gateway-1").await;
     control.set_delta(delta(1, 2), signed(2));
-    control.until_known("gateway-1").await;
+    control.until_applied("gateway-1").await;
     assert!(!control.has_seen(|poll| poll.whole_bundle));
     drop(daemon);
-    let nobody = "127.0.0.1:1".parse().expect("an address");
-    let daemon = start(nobody, None, folder.path()).await;
+    let unreachable = "127.0.0.1:1".parse().expect("an address");
+    let daemon = start(unreachable, None, folder.path()).await;
     assert_eq!(
-        shown_version(&daemon).await,
+        exposed_version(&daemon).await,
         "bramblewheel_bundle_version 2"
     );
 }
 
 #[tokio::test]
-async fn after_a_damaged_delta_the_bundle_is_asked_for_whole() {
+async fn whole_bundle_is_requested_after_a_damaged_delta() {
     let folder = TempDir::new().expect("a temporary folder");
     let mut control = FakeControl::start(signed(1)).await;
     let daemon = start(control.address(), None, folder.path()).await;
-    control.until_known("gateway-1").await;
+    control.until_applied("gateway-1").await;
     let mut damaged = delta(1, 2);
     damaged.delta.truncate(5);
     control.set_delta(damaged, signed(2));
     control
         .until_poll("gateway-1", |poll| poll.whole_bundle)
         .await;
-    control.until_known("gateway-1").await;
+    control.until_applied("gateway-1").await;
     assert_eq!(
-        shown_version(&daemon).await,
+        exposed_version(&daemon).await,
         "bramblewheel_bundle_version 2"
     );
 }
--- a/crates/bramblewheel-daemon/tests/calls.rs
+++ b/crates/bramblewheel-daemon/tests/calls.rs
@@ -1,14 +1,14 @@
-//! Calls through a gateway and a sidecar to an endpoint.
+//! Calls through a gateway and an endpoint's daemon to the endpoint.
 
 mod support;
 
 use support::client::{admin, call, read_all, send};
 use support::peer::FakePeer;
-use support::{Pair, gateway_before, soon};
+use support::{Pair, expect_in_time, gateway_to};
 use tempfile::TempDir;
 
 #[tokio::test]
-async fn a_call_gets_the_endpoints_own_answer() {
+async fn call_returns_the_answer_of_the_endpoint() {
     let mut pair = Pair::start().await;
     let entry = pair.entry();
     let caller = tokio::spawn(async move { call(entry, "/list?of=fish", &[], "a question").await });
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn context_from_outside_is_not_believed() {
+async fn context_headers_from_external_callers_are_ignored() {
     let mut pair = Pair::start().await;
     let entry = pair.entry();
     let spoofed = "1111111111111111";
@@ -53,7 +53,7 @@
         "bw-retry-tokens",
         "bw-unheard-of",
     ] {
-        assert_eq!(request.header(name), None, "{name} passed");
+        assert_eq!(request.header(name), None, "{name} was forwarded");
     }
     request.answer("").await;
     assert_eq!(caller.await.expect("the caller ends").status(), 200);
@@ -64,10 +64,10 @@
     const FOREIGN: &str = "somebody else's answer";
     let folder = TempDir::new().expect("a temporary folder");
     let mut peer = FakePeer::start().await;
-    let (_control, gateway) = gateway_before(&peer, &folder).await;
+    let (_control, gateway) = gateway_to(&peer, &folder).await;
     let entry = gateway.addresses().outbound;
     let caller = tokio::spawn(async move { call(entry, "/", &[], "").await });
-    // Each retry meets the same peer, and is not deceived either.
+    // Each retry reaches the same peer, whose answer must be refused as well.
     let mut caller = std::pin::pin!(caller);
     let reply = loop {
         tokio::select! {
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn a_short_body_is_no_answer() {
+async fn answer_with_an_incomplete_body_is_unknown() {
     let mut pair = Pair::start().await;
     let entry = pair.entry();
     let extra = ["bw-operation-key: once", "bw-operation-minted-ms: 1"];
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test]
-async fn a_long_answer_that_breaks_is_seen_as_broken() {
+async fn long_answer_that_breaks_is_incomplete_for_the_caller() {
     let mut pair = Pair::start().await;
     let entry = pair.entry();
     let caller = tokio::spawn(async move { call(entry, "/", &[], "").await });
@@ -109,11 +109,11 @@
     let bytes = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{part}");
     request.answer_raw(bytes.as_bytes()).await;
     let reply = caller.await.expect("the caller ends");
-    assert!(!reply.is_whole(), "a broken answer looks whole");
+    assert!(!reply.is_whole(), "the broken answer looks complete");
 }
 
 #[tokio::test]
-async fn a_long_answer_passes_whole() {
+async fn long_answer_is_forwarded_completely() {
     let mut pair = Pair::start().await;
     let entry = pair.entry();
     let caller = tokio::spawn(async move { call(entry, "/", &[], "").await });
@@ -128,7 +128,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_cancels_at_the_endpoint() {
+async fn disconnect_of_the_caller_cancels_the_request_at_the_endpoint() {
     let mut pair = Pair::start().await;
     let caller = send(pair.entry(), "/", &[], "").await;
     let request = pair.endpoint.next().await;
@@ -149,14 +149,14 @@
     let again = call(entry, "/pay", &extra, "7 kroner").await;
     assert_eq!(again.header("bw-outcome"), Some("completed"));
     assert_eq!(again.text(), "charged");
-    assert!(!pair.endpoint.has_more(), "the operation ran twice");
+    assert!(!pair.endpoint.has_request(), "the operation ran twice");
     let admin_address = pair.sidecar.addresses().admin;
     let state = admin(admin_address, "/operations/charge-1").await;
     assert!(state.text().contains("\"state\":\"completed\""));
 }
 
 #[tokio::test]
-async fn the_end_of_an_operation_is_recorded_without_its_caller() {
+async fn result_of_an_operation_is_recorded_after_its_caller_disconnects() {
     let mut pair = Pair::start().await;
     let extra = ["bw-operation-key: charge-2", "bw-operation-minted-ms: 1"];
     let caller = send(pair.entry(), "/pay", &extra, "").await;
@@ -170,7 +170,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_interrupts_nothing() {
+async fn planned_stop_interrupts_no_request_in_progress() {
     let mut pair = Pair::start().await;
     let mut caller = send(pair.entry(), "/", &[], "").await;
     let request = pair.endpoint.next().await;
@@ -188,6 +188,6 @@
     let reply = read_all(&mut caller).await;
     assert_eq!(reply.status(), 200);
     assert_eq!(reply.text(), "finished");
-    soon("the sidecar's end", pair.sidecar.stopped()).await;
-    soon("the gateway's end", pair.gateway.stopped()).await;
+    expect_in_time("the stop of the endpoint's daemon", pair.sidecar.stopped()).await;
+    expect_in_time("the stop of the gateway", pair.gateway.stopped()).await;
 }
--- a/crates/bramblewheel-daemon/tests/hostile.rs
+++ b/crates/bramblewheel-daemon/tests/hostile.rs
@@ -1,16 +1,16 @@
-//! Peers that send too much, too slowly, or what can't be told apart.
+//! Peers that send too much, too slowly, or ambiguous requests.
 
 mod support;
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use support::client::{Reply, call, read_all, send_raw};
-use support::{Pair, soon};
+use support::{Pair, expect_in_time};
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
-/// The daemon still serves after whatever was done to it.
-async fn still_serves(pair: &mut Pair) {
+/// Checks that the daemon still serves calls.
+async fn assert_still_serves(pair: &mut Pair) {
     let entry = pair.entry();
     let caller = tokio::spawn(async move { call(entry, "/", &[], "").await });
     pair.endpoint.next().await.answer("alive").await;
@@ -31,18 +31,18 @@
         let request = format!("GET / HTTP/1.1\r\nhost: test\r\n{fields}\r\n");
         assert_eq!(raw(&pair, request.as_bytes()).await.status(), 431);
     }
-    still_serves(&mut pair).await;
+    assert_still_serves(&mut pair).await;
 }
 
 #[tokio::test]
-async fn a_head_that_never_ends_is_cut_off() {
+async fn incomplete_head_times_out() {
     let mut pair = Pair::start().await;
     let reply = raw(&pair, b"GET / HTTP/1.1\r\nhost: te").await;
     assert_ne!(reply.status(), 200);
-    still_serves(&mut pair).await;
+    assert_still_serves(&mut pair).await;
 }
 
-/// Writes pieces for ever, until the other side has closed.
+/// Writes `piece` repeatedly until the peer closes the connection.
 async fn trickle(mut to: OwnedWriteHalf, piece: &[u8]) {
     const PAUSE: Duration = Duration::from_millis(20);
     while to.write_all(piece).await.is_ok() {
@@ -51,30 +51,34 @@
 }
 
 #[tokio::test]
-async fn a_head_that_trickles_in_is_cut_off() {
+async fn head_that_arrives_slowly_times_out() {
     let mut pair = Pair::start().await;
-    let (_reading, mut writing) = send_raw(pair.entry(), b"").await.into_split();
+    let (_reader, mut writer) = send_raw(pair.entry(), b"").await.into_split();
     let start = b"GET / HTTP/1.1\r\nbw-service: stock\r\nx-slow: ";
-    writing.write_all(start).await.expect("an open connection");
-    soon("the end of a slow head", trickle(writing, b"a")).await;
-    assert!(!pair.endpoint.has_more());
-    still_serves(&mut pair).await;
+    writer.write_all(start).await.expect("an open connection");
+    expect_in_time(
+        "the connection with a slow head to close",
+        trickle(writer, b"a"),
+    )
+    .await;
+    assert!(!pair.endpoint.has_request());
+    assert_still_serves(&mut pair).await;
 }
 
 #[tokio::test]
-async fn a_body_that_stalls_is_refused_and_never_passed_on() {
+async fn stalled_body_is_refused_and_not_forwarded() {
     let mut pair = Pair::start().await;
     let head = "POST / HTTP/1.1\r\nhost: test\r\nconnection: close\r\nbw-service: stock\r\n";
     let stalled = format!("{head}content-length: 100\r\n\r\nonly a part");
     let reply = raw(&pair, stalled.as_bytes()).await;
     assert_eq!(reply.status(), 400);
     assert_eq!(reply.header("bw-outcome"), Some("not-run"));
-    assert!(!pair.endpoint.has_more());
-    still_serves(&mut pair).await;
+    assert!(!pair.endpoint.has_request());
+    assert_still_serves(&mut pair).await;
 }
 
 #[tokio::test]
-async fn a_truncated_body_is_never_passed_on() {
+async fn truncated_body_is_not_forwarded() {
     let mut pair = Pair::start().await;
     let head = "POST / HTTP/1.1\r\nhost: test\r\nbw-service: stock\r\n";
     for rest in [
@@ -87,12 +91,12 @@
         let reply = read_all(&mut stream).await;
         assert_ne!(reply.status(), 200, "{rest}");
     }
-    assert!(!pair.endpoint.has_more());
-    still_serves(&mut pair).await;
+    assert!(!pair.endpoint.has_request());
+    assert_still_serves(&mut pair).await;
 }
 
 #[tokio::test]
-async fn a_body_without_a_stated_length_is_refused_when_it_grows_too_long() {
+async fn chunked_body_over_the_limit_is_refused() {
     let mut pair = Pair::start().await;
     let chunk = format!("{:x}\r\n{}\r\n", 1024, "z".repeat(1024));
     let chunks = chunk.repeat(support::BODY_LIMIT / 1024 + 1);
@@ -101,23 +105,23 @@
          transfer-encoding: chunked\r\n\r\n{chunks}0\r\n\r\n"
     );
     assert_eq!(raw(&pair, request.as_bytes()).await.status(), 413);
-    assert!(!pair.endpoint.has_more());
-    still_serves(&mut pair).await;
+    assert!(!pair.endpoint.has_request());
+    assert_still_serves(&mut pair).await;
 }
 
 #[tokio::test]
-async fn two_lengths_for_one_body_are_refused() {
+async fn conflicting_content_lengths_are_refused() {
     let mut pair = Pair::start().await;
     let head = "POST / HTTP/1.1\r\nhost: test\r\nconnection: close\r\nbw-service: stock\r\n";
     let smuggled = "GET /smuggled HTTP/1.1\r\nbw-service: stock\r\n\r\n";
     let lengths = "content-length: 4\r\ncontent-length: 60\r\n";
     let request = format!("{head}{lengths}\r\nbody{smuggled}");
     assert_eq!(raw(&pair, request.as_bytes()).await.status(), 400);
-    assert!(!pair.endpoint.has_more());
-    still_serves(&mut pair).await;
+    assert!(!pair.endpoint.has_request());
+    assert_still_serves(&mut pair).await;
 }
 
-/// Header lines of an attempt as a daemon sends it, without one of them.
+/// Header lines of an attempt as sent by a daemon, without the header `name`.
 fn attempt_without(name: &str) -> Vec<&'static str> {
     let lines = [
         "bw-request-id: 000000000000000000000000000000aa",
@@ -140,9 +144,13 @@
 }
 
 #[tokio::test]
-async fn a_context_that_can_not_be_trusted_never_reaches_the_endpoint() {
+async fn attempt_with_invalid_context_is_refused_and_not_dispatched() {
     let mut pair = Pair::start().await;
-    let inbound = pair.sidecar.addresses().inbound.expect("a sidecar has one");
+    let inbound = pair
+        .sidecar
+        .addresses()
+        .inbound
+        .expect("an inbound listener");
     let long = format!("bw-session: {}", "x".repeat(1000));
     let many: Vec<String> = (0..40).map(|n| format!("bw-other-{n}: 1")).collect();
     let many: Vec<&str> = many.iter().map(String::as_str).collect();
@@ -162,11 +170,11 @@
         assert_eq!(reply.status(), 400, "{without} {extra:?}");
         assert_eq!(reply.header("bw-outcome"), Some("not-run"));
     }
-    assert!(!pair.endpoint.has_more());
+    assert!(!pair.endpoint.has_request());
     let served = tokio::spawn(async move { attempt(inbound, "", &[]).await });
     pair.endpoint.next().await.answer("trusted").await;
     assert_eq!(served.await.expect("the caller ends").text(), "trusted");
-    still_serves(&mut pair).await;
+    assert_still_serves(&mut pair).await;
 }
 
 #[tokio::test]
@@ -176,12 +184,12 @@
     let reply = call(pair.entry(), "/", &[], &body).await;
     assert_eq!(reply.status(), 413);
     assert_eq!(reply.header("bw-reason"), Some("invalid-request"));
-    assert!(!pair.endpoint.has_more());
-    still_serves(&mut pair).await;
+    assert!(!pair.endpoint.has_request());
+    assert_still_serves(&mut pair).await;
 }
 
 #[tokio::test]
-async fn connections_over_the_cap_are_told_so() {
+async fn connections_over_the_limit_get_a_refusal() {
     let mut pair = Pair::start().await;
     let mut held = Vec::new();
     for _ in 0..8 {
@@ -193,11 +201,11 @@
     for mut stream in held {
         read_all(&mut stream).await;
     }
-    still_serves(&mut pair).await;
+    assert_still_serves(&mut pair).await;
 }
 
 #[tokio::test]
-async fn paths_and_fields_with_two_meanings_are_refused() {
+async fn ambiguous_paths_and_invalid_headers_are_refused() {
     let mut pair = Pair::start().await;
     let refused = [
         ("//pay", ""),
@@ -215,6 +223,6 @@
         assert_eq!(reply.status(), 400, "{path} {field}");
         assert_eq!(reply.header("bw-outcome"), Some("not-run"));
     }
-    assert!(!pair.endpoint.has_more());
-    still_serves(&mut pair).await;
+    assert!(!pair.endpoint.has_request());
+    assert_still_serves(&mut pair).await;
 }
--- a/crates/bramblewheel-daemon/tests/settings.rs
+++ b/crates/bramblewheel-daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Errors of the settings file name the file, line and key.
+//! Parsing of the settings file; errors state file, line and key.
 
 use bramblewheel_daemon::Settings;
 use bramblewheel_daemon::settings::Overrides;
@@ -21,7 +21,7 @@
 address = "127.0.0.1:7004"
 "#;
 
-/// What the file may hold besides; no key may get another name.
+/// Optional keys of the file; their names must not change.
 const MORE_KEYS: &str = r#"[sessions]
 key_file = "sessions.keys"
 [log]
@@ -36,13 +36,13 @@
 "#;
 
 #[test]
-fn every_key_keeps_its_name_and_meaning() {
+fn every_settings_key_keeps_its_name_and_meaning() {
     let text = VALID.replacen("calls = []", "calls = [\"stock\"]", 1);
     let text = format!("{text}{MORE_KEYS}");
     let parsed = Settings::parse(Path::new("s.toml"), &text, Overrides::default());
-    let settings = parsed.expect("valid");
+    let settings = parsed.expect("the settings are valid");
     assert_eq!(settings.calls.len(), 1);
-    let sessions = settings.sessions.expect("given");
+    let sessions = settings.sessions.expect("the section is present");
     assert_eq!(sessions.key_file, Path::new("sessions.keys"));
     assert_eq!(slog::Level::from(settings.log.level), slog::Level::Debug);
     assert_eq!(settings.limits.header_count, 65);
@@ -55,22 +55,23 @@
 
 fn error(text: &str) -> String {
     let parsed = Settings::parse(Path::new("s.toml"), text, Overrides::default());
-    parsed.expect_err("the settings are wrong").to_string()
+    parsed.expect_err("the settings are invalid").to_string()
 }
 
 #[test]
-fn valid_settings_are_taken_and_flags_win() {
+fn valid_settings_are_accepted_and_flags_override_them() {
     let overrides = Overrides {
         listen_admin: "127.0.0.1:0".parse().ok(),
         ..Overrides::default()
     };
-    let settings = Settings::parse(Path::new("s.toml"), VALID, overrides).expect("valid");
+    let settings =
+        Settings::parse(Path::new("s.toml"), VALID, overrides).expect("the settings are valid");
     assert_eq!(settings.listen.admin.port(), 0);
     assert_eq!(settings.listen.outbound.port(), 7002);
 }
 
 #[test]
-fn each_fault_is_named_with_its_line_and_key() {
+fn each_fault_is_reported_with_its_line_and_key() {
     let cases = [
         ("zone = \"hall-a\"", "zone = \"Hall A\"", "s.toml:2: zone: "),
         ("calls = []", "colls = []", "s.toml:6: colls: unknown field"),
--- a/crates/bramblewheel-daemon/tests/support/client.rs
+++ b/crates/bramblewheel-daemon/tests/support/client.rs
@@ -1,11 +1,11 @@
-//! A client that shows every byte, so that a broken answer can't pass for a whole one.
+//! A raw HTTP client that returns all bytes received, so that incomplete answers are detected.
 
-use super::soon;
+use super::expect_in_time;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// All that came back on a connection until it was closed.
+/// All bytes received on a connection until it was closed.
 #[derive(Debug)]
 pub struct Reply {
     pub head: String,
@@ -28,7 +28,7 @@
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Whether the framing says that the whole body is there.
+    /// Whether the body is complete according to its framing.
     pub fn is_whole(&self) -> bool {
         match self.header("content-length") {
             Some(length) => length == self.body.len().to_string(),
@@ -43,7 +43,7 @@
     read_all(&mut stream).await
 }
 
-/// Sends a request to `stock` and leaves the answer unread.
+/// Sends a request to `stock` without reading the answer.
 pub async fn send(address: SocketAddr, path: &str, extra: &[&str], body: &str) -> TcpStream {
     let extra: String = extra.iter().map(|line| format!("{line}\r\n")).collect();
     let length = body.len();
@@ -54,18 +54,18 @@
     send_raw(address, request.as_bytes()).await
 }
 
-/// Sends bytes as they are.
+/// Sends raw bytes.
 pub async fn send_raw(address: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(address).await.expect("a listener");
-    // A refusal may come before the last byte is written.
+    // The daemon may refuse the request before the last byte is written.
     let _ = stream.write_all(bytes).await;
     stream
 }
 
 pub async fn read_all(stream: &mut TcpStream) -> Reply {
     let mut bytes = Vec::new();
-    // A connection that is reset has ended as well; what came before counts.
-    let _ = soon("the end of the answer", stream.read_to_end(&mut bytes)).await;
+    // A reset also ends the connection; the bytes received before it are kept.
+    let _ = expect_in_time("the end of the answer", stream.read_to_end(&mut bytes)).await;
     let end = bytes.windows(4).position(|window| window == b"\r\n\r\n");
     let split = end.map_or(bytes.len(), |end| end + 4);
     let body = bytes.split_off(split);
@@ -73,7 +73,7 @@
     Reply { head, body }
 }
 
-/// Reads a path of the admin listener.
+/// Requests a path from the admin listener.
 pub async fn admin(address: SocketAddr, path: &str) -> Reply {
     let request = format!("GET {path} HTTP/1.1\r\nhost: test\r\nconnection: close\r\n\r\n");
     let mut stream = send_raw(address, request.as_bytes()).await;
--- a/crates/bramblewheel-daemon/tests/support/control.rs
+++ b/crates/bramblewheel-daemon/tests/support/control.rs
@@ -1,6 +1,6 @@
-//! A control replica in memory: one bundle, one directory, one ledger.
+//! A simulated control replica in memory with a bundle, a directory and a ledger.
 
-use super::soon;
+use super::expect_in_time;
 use bramblewheel_protocol::codec::{MAX_CONTROL_FRAME, read_frame, write_frame};
 use bramblewheel_protocol::control::{
     BundleUpdate, ControlReply, ControlRequest, DirectoryEntry, LogPosition, OperationAction,
@@ -30,7 +30,7 @@
     operations: mpsc::UnboundedSender<OperationRequest>,
 }
 
-/// A control replica on a free port.
+/// A simulated control replica on a free port.
 pub struct FakeControl {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -78,7 +78,7 @@
         self.shared.revision.send_modify(|revision| *revision += 1);
     }
 
-    /// From now on a delta to the bundle is sent to daemons that hold its start.
+    /// Sets the bundle, and a delta to be sent to daemons that have the delta's base version.
     pub fn set_delta(&self, delta: SignedBundleDelta, bundle: SignedBundle) {
         *lock(&self.shared.delta) = Some(delta);
         self.set_bundle(bundle);
@@ -89,8 +89,8 @@
         self.shared.revision.send_modify(|revision| *revision += 1);
     }
 
-    /// Waits until a daemon has taken over bundle and directory as they are.
-    pub async fn until_known(&mut self, daemon: &str) {
+    /// Waits until a daemon has applied the current bundle and directory.
+    pub async fn until_applied(&mut self, daemon: &str) {
         let version = lock(&self.shared.bundle).version;
         let revision = *self.shared.revision.borrow();
         self.until_poll(daemon, |poll| {
@@ -99,32 +99,33 @@
         .await;
     }
 
-    /// Waits for a poll of a daemon that fulfils a condition, or takes one seen before.
-    pub async fn until_poll(&mut self, daemon: &str, is_it: impl Fn(&PollRequest) -> bool) {
-        let fits = |poll: &PollRequest| poll.registration.daemon.as_str() == daemon && is_it(poll);
-        if self.seen.iter().any(fits) {
+    /// Waits for a poll of a daemon that meets a condition; a poll already received counts as well.
+    pub async fn until_poll(&mut self, daemon: &str, condition: impl Fn(&PollRequest) -> bool) {
+        let matches =
+            |poll: &PollRequest| poll.registration.daemon.as_str() == daemon && condition(poll);
+        if self.seen.iter().any(matches) {
             return;
         }
         // Polls that don't fit keep coming, so that the bound is on all of them together.
-        let fitting = async {
+        let matching_poll = async {
             loop {
-                let poll = self.polls.recv().await.expect("the replica goes on");
-                let is_fitting = fits(&poll);
+                let poll = self.polls.recv().await.expect("the replica is running");
+                let is_match = matches(&poll);
                 self.seen.push(poll);
-                if is_fitting {
+                if is_match {
                     return;
                 }
             }
         };
-        soon("a poll that fits", fitting).await;
+        expect_in_time("a matching poll", matching_poll).await;
     }
 
-    /// Whether a poll that arrived fulfils a condition.
-    pub fn has_seen(&self, is_it: impl Fn(&PollRequest) -> bool) -> bool {
-        self.seen.iter().any(is_it)
+    /// Whether a received poll meets a condition.
+    pub fn has_seen(&self, condition: impl Fn(&PollRequest) -> bool) -> bool {
+        self.seen.iter().any(condition)
     }
 
-    /// Forgets the polls that have arrived, so that only later ones count.
+    /// Discards the polls received so far.
     pub fn forget_polls(&mut self) {
         self.seen.clear();
         while self.polls.try_recv().is_ok() {}
@@ -132,8 +133,8 @@
 
     /// Waits for the next ledger request.
     pub async fn next_operation(&mut self) -> OperationRequest {
-        let next = soon("a ledger request", self.operations.recv()).await;
-        next.expect("the replica goes on")
+        let next = expect_in_time("a ledger request", self.operations.recv()).await;
+        next.expect("the replica is running")
     }
 }
 
@@ -161,7 +162,7 @@
     async fn poll(&self, request: PollRequest) -> ReplyBody {
         let held = request.directory_revision;
         let version = request.bundle_version;
-        let wants_whole = request.whole_bundle;
+        let wants_whole_bundle = request.whole_bundle;
         let wait = Duration::from_millis(request.wait.0);
         let _ = self.polls.send(request);
         let mut revision = self.revision.subscribe();
@@ -169,15 +170,15 @@
         let revision = *revision.borrow();
         let bundle = lock(&self.bundle).clone();
         let delta = lock(&self.delta).clone();
-        let delta = delta.filter(|delta| delta.from == version && !wants_whole);
-        let news = delta.map_or(BundleUpdate::Whole(bundle.clone()), BundleUpdate::Delta);
+        let delta = delta.filter(|delta| delta.from == version && !wants_whole_bundle);
+        let update = delta.map_or(BundleUpdate::Whole(bundle.clone()), BundleUpdate::Delta);
         ReplyBody::Poll(Box::new(PollReply {
             position: LogPosition {
                 index: revision,
                 term: 1,
             },
             operator_changes: Vec::new(),
-            bundle: (bundle.version != version).then_some(news),
+            bundle: (bundle.version != version).then_some(update),
             directory_revision: revision,
             directory_is_complete: true,
             live: lock(&self.directory).clone(),
@@ -221,5 +222,5 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no test panics under the lock")
+    mutex.lock().expect("no test panics while holding the lock")
 }
--- a/crates/bramblewheel-daemon/tests/support/mod.rs
+++ b/crates/bramblewheel-daemon/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! In-process daemons, a stand-in endpoint, a stand-in control replica and a raw HTTP client.
+//! Test support: in-process daemons, a simulated endpoint and control replica, a raw HTTP client.
 
 #![allow(dead_code, reason = "each test program uses its own part")]
 
@@ -21,16 +21,16 @@
 use tempfile::TempDir;
 use tokio::time::timeout;
 
-/// Bound on every wait; reached only when a test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Longest body that the daemons under test hold.
+/// Time-out of every wait; reached only when a test fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longest body that the daemons under test buffer, in bytes.
 pub const BODY_LIMIT: usize = 8192;
 
-/// Waits for an event that must come.
-pub async fn soon<T>(what: &str, event: impl Future<Output = T>) -> T {
-    timeout(PATIENCE, event)
+/// Waits for an event; panics if it does not occur in time.
+pub async fn expect_in_time<T>(what: &str, event: impl Future<Output = T>) -> T {
+    timeout(WAIT_TIMEOUT, event)
         .await
-        .unwrap_or_else(|_| panic!("waited in vain: {what}"))
+        .unwrap_or_else(|_| panic!("timed out waiting for {what}"))
 }
 
 pub fn operator() -> OperatorKey {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Starts a daemon on free ports; a gateway when there is no endpoint.
+/// Starts a daemon on free ports; without an endpoint it is a gateway.
 pub async fn start(control: SocketAddr, endpoint: Option<SocketAddr>, data: &Path) -> DaemonHandle {
     bramblewheel_daemon::run(settings(control, endpoint, data), logging::silent())
         .await
@@ -105,7 +105,7 @@
         .expect("the text is valid settings")
 }
 
-/// A gateway and a sidecar beside a stand-in endpoint, both with bundle 1 in force.
+/// A gateway and the daemon of a simulated endpoint, both with bundle 1 in force.
 pub struct Pair {
     pub control: FakeControl,
     pub gateway: DaemonHandle,
@@ -122,11 +122,11 @@
         let address = control.address();
         let sidecar_folder = folder.path().join("sidecar");
         let sidecar = start(address, Some(endpoint.address()), &sidecar_folder).await;
-        let inbound = sidecar.addresses().inbound.expect("a sidecar has one");
+        let inbound = sidecar.addresses().inbound.expect("an inbound listener");
         control.set_directory(vec![entry(inbound)]);
         let gateway = start(address, None, &folder.path().join("gateway")).await;
-        control.until_known("stock-1").await;
-        control.until_known("gateway-1").await;
+        control.until_applied("stock-1").await;
+        control.until_applied("gateway-1").await;
         Self {
             control,
             gateway,
@@ -136,17 +136,17 @@
         }
     }
 
-    /// Address for outside callers.
+    /// Address for external callers.
     pub fn entry(&self) -> SocketAddr {
         self.gateway.addresses().outbound
     }
 }
 
-/// A gateway that believes a raw peer to be the daemon of `stock`.
-pub async fn gateway_before(peer: &FakePeer, folder: &TempDir) -> (FakeControl, DaemonHandle) {
+/// A gateway whose directory lists a raw peer as the daemon of `stock`.
+pub async fn gateway_to(peer: &FakePeer, folder: &TempDir) -> (FakeControl, DaemonHandle) {
     let mut control = FakeControl::start(signed(1)).await;
     control.set_directory(vec![entry(peer.address())]);
     let gateway = start(control.address(), None, folder.path()).await;
-    control.until_known("gateway-1").await;
+    control.until_applied("gateway-1").await;
     (control, gateway)
 }
--- a/crates/bramblewheel-daemon/tests/support/peer.rs
+++ b/crates/bramblewheel-daemon/tests/support/peer.rs
@@ -1,23 +1,23 @@
-//! A raw HTTP peer: stands in for an endpoint, or for another daemon that misbehaves.
+//! A raw HTTP peer that simulates an endpoint or a faulty daemon.
 
-use super::soon;
+use super::expect_in_time;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// A request that arrived; the test answers it.
+/// A received request, to be answered by the test.
 #[derive(Debug)]
-pub struct Arrived {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: String,
     stream: TcpStream,
 }
 
-/// A peer on a free port. It answers load questions itself and hands everything else over.
+/// A peer on a free port. It answers load requests itself and passes all others to the test.
 pub struct FakePeer {
     address: SocketAddr,
-    arrived: mpsc::UnboundedReceiver<Arrived>,
+    arrived: mpsc::UnboundedReceiver<ReceivedRequest>,
 }
 
 impl FakePeer {
@@ -38,22 +38,22 @@
     }
 
     /// Waits for the next request.
-    pub async fn next(&mut self) -> Arrived {
-        let next = soon("a request at the peer", self.arrived.recv()).await;
-        next.expect("the peer goes on")
+    pub async fn next(&mut self) -> ReceivedRequest {
+        let next = expect_in_time("a request at the peer", self.arrived.recv()).await;
+        next.expect("the peer is running")
     }
 
-    /// Whether a request arrived that nobody has taken.
-    pub fn has_more(&mut self) -> bool {
+    /// Whether another request was received; removes it.
+    pub fn has_request(&mut self) -> bool {
         self.arrived.try_recv().is_ok()
     }
 }
 
-async fn receive(mut stream: TcpStream, sender: mpsc::UnboundedSender<Arrived>) {
+async fn receive(mut stream: TcpStream, sender: mpsc::UnboundedSender<ReceivedRequest>) {
     const LOAD: &str = "{\"slots\":8,\"busy\":0,\"draining\":false}";
     while let Some((head, body)) = read_request(&mut stream).await {
         if !head.starts_with("GET /load ") {
-            let _ = sender.send(Arrived { head, body, stream });
+            let _ = sender.send(ReceivedRequest { head, body, stream });
             return;
         }
         let answer = whole("200 OK", &[], LOAD);
@@ -92,25 +92,25 @@
     found.map(|(_, value)| value)
 }
 
-/// A whole answer as bytes.
+/// A complete answer as bytes.
 pub fn whole(status: &str, extra: &[&str], body: &str) -> Vec<u8> {
     let extra: String = extra.iter().map(|line| format!("{line}\r\n")).collect();
     let length = body.len();
     format!("HTTP/1.1 {status}\r\n{extra}content-length: {length}\r\n\r\n{body}").into_bytes()
 }
 
-impl Arrived {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         value_of(&self.head, name)
     }
 
-    /// Answers 200 in full, then closes the connection.
+    /// Sends a complete answer with status 200, then closes the connection.
     pub async fn answer(self, body: &str) {
         let bytes = whole("200 OK", &["connection: close"], body);
         self.answer_raw(&bytes).await;
     }
 
-    /// Answers as a daemon would, for an attempt of the test's choice.
+    /// Answers like a daemon, with the given attempt id.
     pub async fn answer_as_daemon(mut self, attempt: &str, body: &str) -> Self {
         let attempt = format!("bw-attempt: {attempt}");
         let fields = [
@@ -128,16 +128,20 @@
         self
     }
 
-    /// Writes bytes as they are, then closes the connection.
+    /// Writes raw bytes, then closes the connection.
     pub async fn answer_raw(mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes).await;
         let _ = self.stream.shutdown().await;
     }
 
-    /// Waits until the other side closes the connection.
+    /// Waits until the daemon closes the connection.
     pub async fn until_closed(mut self) {
         let mut rest = Vec::new();
-        let _ = soon("the connection's end", self.stream.read_to_end(&mut rest)).await;
-        assert!(rest.is_empty(), "the connection was used again");
+        let _ = expect_in_time(
+            "the connection to close",
+            self.stream.read_to_end(&mut rest),
+        )
+        .await;
+        assert!(rest.is_empty(), "the connection was reused");
     }
 }
