--- a/crates/bramblewheel-control/tests/bundles.rs
+++ b/crates/bramblewheel-control/tests/bundles.rs
@@ -6,7 +6,7 @@
 use bramblewheel_bundle::{OperatorKey, canonical};
 use bramblewheel_control::state::BundleHistory;
 use bramblewheel_control::state::bundle_history::{MAX_CHANGES_PER_REPLY, MAX_DELTAS};
-use bramblewheel_daemon::control::intake::Intake;
+use bramblewheel_daemon::control::poll_state::PollState;
 use bramblewheel_protocol::control::{
     BundleUpdate, PollReply, PublishReply, ReplyBody, RequestBody, SignedBundle,
 };
@@ -30,12 +30,12 @@
 }
 
 /// A daemon with bundle 1 in force.
-fn daemon() -> Intake {
+fn daemon() -> PollState {
     let first = canonical::decode(&signed(1, 1).bytes).expect("a bundle");
-    Intake::new(Some(Arc::new(first)))
+    PollState::new(Some(Arc::new(first)))
 }
 
-fn asked(cluster: &mut Cluster, daemon: &Intake) -> PollReply {
+fn asked(cluster: &mut Cluster, daemon: &PollState) -> PollReply {
     let request = daemon.request(registration("k-1", "kassa", 1), Vec::new());
     let leader = cluster.settle();
     match cluster.ask(leader, RequestBody::Poll(Box::new(request))) {
@@ -44,15 +44,15 @@
     }
 }
 
-fn version(daemon: &Intake) -> u64 {
+fn version(daemon: &PollState) -> u64 {
     daemon.bundle().map_or(0, |bundle| bundle.version.0)
 }
 
 /// One poll, taken over.
-fn poll(cluster: &mut Cluster, daemon: &mut Intake) -> PollReply {
+fn poll(cluster: &mut Cluster, daemon: &mut PollState) -> PollReply {
     let reply = asked(cluster, daemon);
     let new = daemon.check(&reply).expect("acceptable");
-    daemon.take(&reply, new.map(|new| Arc::new(new.bundle)));
+    daemon.accept(&reply, new.map(|new| Arc::new(new.bundle)));
     reply
 }
 
@@ -178,7 +178,7 @@
     let mut cluster = Cluster::bootstrapped(34, MANY);
     publish(&mut cluster, signed(9, 5));
     let unknown = canonical::decode(&signed(5, 3).bytes).expect("a bundle");
-    let mut daemon = Intake::new(Some(Arc::new(unknown)));
+    let mut daemon = PollState::new(Some(Arc::new(unknown)));
     let reply = poll(&mut cluster, &mut daemon);
     assert_eq!(reply.bundle, Some(BundleUpdate::Whole(signed(9, 5))));
     assert_eq!(version(&daemon), 9);
@@ -190,7 +190,7 @@
     publish(&mut cluster, signed(2, 5));
     let mut other = bundle(1, &keys(0), 1);
     other.services.pop_last();
-    let mut daemon = Intake::new(Some(Arc::new(other)));
+    let mut daemon = PollState::new(Some(Arc::new(other)));
     let reply = asked(&mut cluster, &daemon);
     assert!(daemon.check(&reply).is_err());
     let reply = poll(&mut cluster, &mut daemon);
--- a/crates/bramblewheel-daemon/src/control/choice.rs
+++ b/crates/bramblewheel-daemon/src/control/choice.rs
@@ -49,7 +49,7 @@
     }
 
     /// Records that the current replica reported itself unavailable.
-    pub fn unavailable(&mut self, reason: &Unavailable) {
+    pub fn record_unavailable(&mut self, reason: &Unavailable) {
         match reason {
             Unavailable::NotLeader(Some(leader)) if self.hinted != Some(*leader) => {
                 self.hinted = Some(*leader);
@@ -61,7 +61,7 @@
     }
 
     /// Records a usable answer.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.backoff = MIN_BACKOFF;
     }
--- a/crates/bramblewheel-daemon/src/control/ledger.rs
+++ b/crates/bramblewheel-daemon/src/control/ledger.rs
@@ -219,7 +219,7 @@
         let batch_request = RequestBody::Operations(requests);
         let unanswered = match self.link.query(batch_request, BATCH_TIMEOUT).await {
             Ok(ReplyBody::Operations(replies)) if replies.len() == batch.len() => {
-                self.link.succeeded();
+                self.link.record_success();
                 self.settle(batch, replies)
             }
             Ok(other) => {
--- a/crates/bramblewheel-daemon/src/control/link.rs
+++ b/crates/bramblewheel-daemon/src/control/link.rs
@@ -48,7 +48,7 @@
     }
 
     /// Sends a request to the current replica. After a failed connection the next request goes to
-    /// another replica; after `Unavailable`, [`ReplicaChoice::unavailable`] decides.
+    /// another replica; after `Unavailable`, [`ReplicaChoice::record_unavailable`] decides.
     pub(super) async fn query(
         &mut self,
         body: RequestBody,
@@ -57,7 +57,7 @@
         let address = self.choice.address();
         match self.query_at(address, body, wait).await {
             Ok(ReplyBody::Unavailable(reason)) => {
-                self.choice.unavailable(&reason);
+                self.choice.record_unavailable(&reason);
                 if reason != Unavailable::Undecided {
                     self.connection = None;
                 }
@@ -83,8 +83,8 @@
     }
 
     /// Records a usable answer.
-    pub(super) fn succeeded(&mut self) {
-        self.choice.succeeded();
+    pub(super) fn record_success(&mut self) {
+        self.choice.record_success();
     }
 
     /// Pauses before the next request if too many have failed; see [`ReplicaChoice::pause`].
--- a/crates/bramblewheel-daemon/src/control/mod.rs
+++ b/crates/bramblewheel-daemon/src/control/mod.rs
@@ -2,10 +2,10 @@
 
 pub mod choice;
 mod connection;
-pub mod intake;
 pub mod ledger;
 mod link;
 mod poll;
+pub mod poll_state;
 pub mod store;
 pub mod verify;
 
--- a/crates/bramblewheel-daemon/src/control/poll.rs
+++ b/crates/bramblewheel-daemon/src/control/poll.rs
@@ -1,7 +1,7 @@
 //! The long poll, which renews the daemon's lease and receives bundles and the endpoint directory.
 
-use crate::control::intake::{Intake, POLL_GRACE, POLL_WAIT, RefusedReply};
 use crate::control::link::Link;
+use crate::control::poll_state::{POLL_GRACE, POLL_WAIT, PollState, RefusedReply};
 use crate::control::store::BundleStore;
 use crate::driver::Driver;
 use crate::metrics::Metrics;
@@ -41,7 +41,7 @@
     driver: Arc<Driver>,
     bundle: Arc<ArcSwapOption<Bundle>>,
     metrics: Arc<Metrics>,
-    intake: Intake,
+    state: PollState,
 }
 
 impl Poller {
@@ -54,14 +54,14 @@
     ) -> Self {
         let seed = config.registration.incarnation;
         let link = Link::new(config.replicas.clone(), seed, Arc::clone(&metrics));
-        let intake = Intake::new(bundle.load_full());
+        let state = PollState::new(bundle.load_full());
         Self {
             config,
             link,
             driver,
             bundle,
             metrics,
-            intake,
+            state,
         }
     }
 
@@ -82,7 +82,7 @@
                 reply = self.link.query(request, wait) => reply,
             };
             let refused = match reply {
-                Ok(ReplyBody::Poll(reply)) => self.take(*reply).await,
+                Ok(ReplyBody::Poll(reply)) => self.accept(*reply).await,
                 Ok(other) => Err(format!("unexpected answer: {other:?}")),
                 Err(error) => {
                     slog::debug!(self.config.log, "poll failed"; "error" => %error);
@@ -104,13 +104,13 @@
             endpoint.draining = *self.config.draining.borrow();
         }
         let services = self.config.services.clone();
-        let request = self.intake.request(registration, services);
+        let request = self.state.request(registration, services);
         RequestBody::Poll(Box::new(request))
     }
 
     /// Accepts an answer, or returns the reason why it is refused.
-    async fn take(&mut self, reply: PollReply) -> Result<(), String> {
-        let update = self.intake.check(&reply);
+    async fn accept(&mut self, reply: PollReply) -> Result<(), String> {
+        let update = self.state.check(&reply);
         if let Err(RefusedReply::Stale { .. }) = &update {
             self.metrics.control_stale.inc();
         }
@@ -120,7 +120,7 @@
             bundle = Some(Arc::clone(&new_bundle));
             self.put_in_force(new_bundle, new.signed).await?;
         }
-        self.intake.take(&reply, bundle);
+        self.state.accept(&reply, bundle);
         let directory = DirectoryUpdate {
             is_complete: reply.directory_is_complete,
             live: reply.live.into_iter().map(directory_endpoint).collect(),
@@ -130,7 +130,7 @@
             self.driver.submit(Event::DirectoryUpdated(directory));
         }
         self.metrics.control_polls.inc();
-        self.link.succeeded();
+        self.link.record_success();
         Ok(())
     }
 
--- a/crates/bramblewheel-daemon/src/control/intake.rs
+++ b/crates/bramblewheel-daemon/src/control/poll_state.rs
@@ -2,7 +2,9 @@
 //!
 //! Free of I/O; the simulator's daemons use the same rules.
 
-use super::verify::{NewBundle, RefusedBundle, check_delta, check_whole, decode, follow};
+use super::verify::{
+    NewBundle, RefusedBundle, apply_operator_changes, check_delta, check_whole, decode,
+};
 use bramblewheel_bundle::{Bundle, TrustedOperators};
 use bramblewheel_protocol::control::{
     BundleUpdate, LogPosition, PollReply, PollRequest, Registration, SignedBundle,
@@ -39,9 +41,9 @@
 /// A daemon's copy of the control group's state.
 ///
 /// For each answer, call [`check`](Self::check), sync the returned bundle, if any, to disk before
-/// using it, and finally call [`take`](Self::take).
+/// using it, and finally call [`accept`](Self::accept).
 #[derive(Clone, Debug, Default)]
-pub struct Intake {
+pub struct PollState {
     bundle: Option<Arc<Bundle>>,
     /// Operators who may sign the next bundle, initially those of the bundle in force. Kept in
     /// memory only; after a restart the operator changes are applied again.
@@ -52,7 +54,7 @@
     directory_revision: u64,
 }
 
-impl Intake {
+impl PollState {
     /// Starts with the bundle that was last synced to disk.
     pub fn new(bundle: Option<Arc<Bundle>>) -> Self {
         Self {
@@ -100,7 +102,7 @@
             });
         }
         if let Some(operators) = &mut self.operators {
-            follow(operators, &reply.operator_changes)?;
+            apply_operator_changes(operators, &reply.operator_changes)?;
         }
         match &reply.bundle {
             None => Ok(None),
@@ -127,7 +129,7 @@
     }
 
     /// Accepts an answer that was checked, with its bundle, which must already be synced.
-    pub fn take(&mut self, reply: &PollReply, bundle: Option<Arc<Bundle>>) {
+    pub fn accept(&mut self, reply: &PollReply, bundle: Option<Arc<Bundle>>) {
         if let Some(bundle) = bundle {
             self.operators = Some(TrustedOperators::of(&bundle));
             self.bundle = Some(bundle);
--- a/crates/bramblewheel-daemon/src/control/verify.rs
+++ b/crates/bramblewheel-daemon/src/control/verify.rs
@@ -51,7 +51,7 @@
 /// # Errors
 /// [`RefusedBundle::Unauthorized`] for the first change that the preceding operators did not
 /// authorize.
-pub fn follow(
+pub fn apply_operator_changes(
     operators: &mut TrustedOperators,
     changes: &[OperatorChange],
 ) -> Result<(), RefusedBundle> {
--- a/crates/bramblewheel-sim/src/control/daemon.rs
+++ b/crates/bramblewheel-sim/src/control/daemon.rs
@@ -11,7 +11,7 @@
 use crate::kernel::{Context, StopCause};
 use bramblewheel_bundle::{Bundle, canonical, digest};
 use bramblewheel_daemon::control::choice::ReplicaChoice;
-use bramblewheel_daemon::control::intake::{Intake, POLL_GRACE, POLL_WAIT, RefusedReply};
+use bramblewheel_daemon::control::poll_state::{POLL_GRACE, POLL_WAIT, PollState, RefusedReply};
 use bramblewheel_daemon::control::store::{BundleStore, StoreError};
 use bramblewheel_daemon::control::verify::{NewBundle, decode};
 use bramblewheel_protocol::control::{
@@ -54,7 +54,7 @@
 /// What one start of the process has in memory.
 struct Incarnation {
     store: BundleStore<SimulatedDisk>,
-    intake: Intake,
+    intake: PollState,
     choice: ReplicaChoice,
     registration: Registration,
     /// The last question; an answer to another one is too late.
@@ -99,7 +99,7 @@
         registration.incarnation = incarnation;
         Ok(Incarnation {
             store,
-            intake: Intake::new(bundle),
+            intake: PollState::new(bundle),
             choice: ReplicaChoice::new(self.settings.replicas.clone(), incarnation),
             registration,
             // Answers to an earlier start must not be taken for answers to this one.
@@ -167,7 +167,7 @@
         match reply.body {
             ReplyBody::Poll(reply) => self.take(context, *reply),
             ReplyBody::Unavailable(reason) => {
-                incarnation.choice.unavailable(&reason);
+                incarnation.choice.record_unavailable(&reason);
                 incarnation.ask_later(context);
             }
             other => unreachable!("a replica answers a poll with {other:?}"),
@@ -203,8 +203,8 @@
             let index = reply.position.index;
             context.record(ControlRecord::DaemonSeen { index });
         }
-        incarnation.intake.take(&reply, in_force);
-        incarnation.choice.succeeded();
+        incarnation.intake.accept(&reply, in_force);
+        incarnation.choice.record_success();
         if double == Some(UnsafeDouble::DaemonTakesOlder) {
             // It always gets an answer at once, and asks all replicas in turn.
             incarnation.choice.next_replica();
--- a/crates/bramblewheel-sim/src/control/operator.rs
+++ b/crates/bramblewheel-sim/src/control/operator.rs
@@ -200,7 +200,7 @@
         };
         match reply.body {
             ReplyBody::Unavailable(reason) => {
-                self.tasks[task].choice.unavailable(&reason);
+                self.tasks[task].choice.record_unavailable(&reason);
                 self.ask_again(context, task);
             }
             ReplyBody::Publish(reply) => self.answered(context, task, from, reply.into()),
