--- a/crates/bramblewheel-core/src/inbound/level.rs
+++ b/crates/bramblewheel-core/src/inbound/level.rs
@@ -85,13 +85,13 @@
 
     /// Counts a request that arrived.
     pub fn record_offered(&mut self, now: Timestamp, place: AdmissionLevel) {
-        self.roll(now);
+        self.advance(now);
         self.offered[position_of(place)] += 1;
     }
 
     /// Records the time a request waited in the queue.
     pub fn record_delay(&mut self, now: Timestamp, delay: Duration) {
-        self.roll(now);
+        self.advance(now);
         self.delay_sum += delay;
         self.delays += 1;
     }
@@ -114,7 +114,7 @@
 
     /// Ends the window if it is over. The level is adjusted only when this is called, so an idle
     /// controller lags; callers' copies of the level expire by age instead.
-    pub fn roll(&mut self, now: Timestamp) {
+    pub fn advance(&mut self, now: Timestamp) {
         if now < self.window_end {
             return;
         }
--- a/crates/bramblewheel-core/src/outbound/accept.rs
+++ b/crates/bramblewheel-core/src/outbound/accept.rs
@@ -90,7 +90,7 @@
         }
         let ratio_percent = self.limits().retry_ratio_percent;
         self.ratios
-            .record_first_try(&call.caller, &call.service, ratio_percent);
+            .record_first_attempt(&call.caller, &call.service, ratio_percent);
         self.send_attempt(now, id, call, actions);
     }
 
--- a/crates/bramblewheel-core/src/retry/ratio.rs
+++ b/crates/bramblewheel-core/src/retry/ratio.rs
@@ -49,7 +49,7 @@
     }
 
     /// Records a first attempt.
-    pub(crate) fn record_first_try(
+    pub(crate) fn record_first_attempt(
         &mut self,
         caller: &String,
         service: &ServiceName,
