--- a/crates/bramblewheel-daemon/src/control/poll.rs
+++ b/crates/bramblewheel-daemon/src/control/poll.rs
@@ -1,7 +1,7 @@
-//! The long poll: renews the daemon's lease, brings bundles and the directory.
+//! The long poll, which renews the daemon's lease and receives bundles and the endpoint directory.
 
-use crate::control::intake::{Intake, POLL_GRACE, POLL_WAIT, RefusedReply};
 use crate::control::link::Link;
+use crate::control::poll_state::{POLL_GRACE, POLL_WAIT, PollState, RefusedReply};
 use crate::control::store::BundleStore;
 use crate::driver::Driver;
 use crate::metrics::Metrics;
@@ -17,35 +17,35 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// What the poll needs to know.
+/// Configuration of the poll.
 #[derive(Clone, Debug)]
 pub struct PollConfig {
     /// Service addresses of the replicas.
     pub replicas: Vec<SocketAddr>,
-    /// What the daemon says of itself, apart from draining.
+    /// The daemon's registration; its draining state is set with each poll.
     pub registration: Registration,
-    /// Services whose endpoints are asked for.
+    /// Services whose endpoints are requested.
     pub services: Vec<ServiceName>,
-    /// Where the bundle in force is kept.
+    /// Storage of the bundle in force.
     pub store: BundleStore,
-    /// Becomes true when the daemon begins to drain.
+    /// Becomes true when a drain begins.
     pub draining: watch::Receiver<bool>,
     /// Log.
     pub log: Logger,
 }
 
-/// The daemon's poll.
+/// The task that polls the control group.
 pub struct Poller {
     config: PollConfig,
     link: Link,
     driver: Arc<Driver>,
     bundle: Arc<ArcSwapOption<Bundle>>,
     metrics: Arc<Metrics>,
-    intake: Intake,
+    state: PollState,
 }
 
 impl Poller {
-    /// A poll that puts new bundles into `bundle` and the driver's engine.
+    /// Creates a poller that installs new bundles in `bundle` and in the driver's engine.
     pub fn new(
         config: PollConfig,
         driver: Arc<Driver>,
@@ -54,18 +54,18 @@
     ) -> Self {
         let seed = config.registration.incarnation;
         let link = Link::new(config.replicas.clone(), seed, Arc::clone(&metrics));
-        let intake = Intake::new(bundle.load_full());
+        let state = PollState::new(bundle.load_full());
         Self {
             config,
             link,
             driver,
             bundle,
             metrics,
-            intake,
+            state,
         }
     }
 
-    /// Polls for ever.
+    /// Polls; never returns.
     pub async fn run(mut self) {
         let mut draining = self.config.draining.clone();
         loop {
@@ -74,15 +74,15 @@
             let wait = POLL_WAIT + POLL_GRACE;
             let reply = tokio::select! {
                 biased;
-                // The change must not wait for the end of the poll that is being held.
+                // The start of a drain is reported at once, without waiting for the end of the held poll.
                 Ok(()) = draining.changed() => {
                     self.link.reconnect();
                     continue;
                 }
-                reply = self.link.ask(request, wait) => reply,
+                reply = self.link.query(request, wait) => reply,
             };
             let refused = match reply {
-                Ok(ReplyBody::Poll(reply)) => self.take(*reply).await,
+                Ok(ReplyBody::Poll(reply)) => self.accept(*reply).await,
                 Ok(other) => Err(format!("unexpected answer: {other:?}")),
                 Err(error) => {
                     slog::debug!(self.config.log, "poll failed"; "error" => %error);
@@ -104,13 +104,13 @@
             endpoint.draining = *self.config.draining.borrow();
         }
         let services = self.config.services.clone();
-        let request = self.intake.request(registration, services);
+        let request = self.state.request(registration, services);
         RequestBody::Poll(Box::new(request))
     }
 
-    /// Takes over an answer, or says why it is refused.
-    async fn take(&mut self, reply: PollReply) -> Result<(), String> {
-        let update = self.intake.check(&reply);
+    /// Accepts an answer, or returns the reason why it is refused.
+    async fn accept(&mut self, reply: PollReply) -> Result<(), String> {
+        let update = self.state.check(&reply);
         if let Err(RefusedReply::Stale { .. }) = &update {
             self.metrics.control_stale.inc();
         }
@@ -120,7 +120,7 @@
             bundle = Some(Arc::clone(&new_bundle));
             self.put_in_force(new_bundle, new.signed).await?;
         }
-        self.intake.take(&reply, bundle);
+        self.state.accept(&reply, bundle);
         let directory = DirectoryUpdate {
             is_complete: reply.directory_is_complete,
             live: reply.live.into_iter().map(directory_endpoint).collect(),
@@ -130,11 +130,11 @@
             self.driver.submit(Event::DirectoryUpdated(directory));
         }
         self.metrics.control_polls.inc();
-        self.link.succeeded();
+        self.link.record_success();
         Ok(())
     }
 
-    /// Writes a bundle and only then uses it.
+    /// Saves a bundle to disk and then puts it in force.
     async fn put_in_force(&self, bundle: Arc<Bundle>, signed: SignedBundle) -> Result<(), String> {
         let store = self.config.store.clone();
         let saved = tokio::task::spawn_blocking(move || store.save(&signed)).await;
--- a/crates/bramblewheel-proxy/src/control/watch.rs
+++ b/crates/bramblewheel-proxy/src/control/watch.rs
@@ -129,7 +129,10 @@
         }
         self.position = self.position.max(reply.position);
         self.shared.control.set_members(reply.replicas);
-        self.shared.routing().retry_bound.share_among(reply.daemons);
+        self.shared
+            .routing()
+            .retry_bound
+            .set_daemon_count(reply.daemons);
         // The quarantine comes before the table, since the daemon starts to send requests once it has a table.
         if let Some(list) = &reply.quarantine {
             self.install_quarantine(list);
--- a/crates/bramblewheel-proxy/src/http/server.rs
+++ b/crates/bramblewheel-proxy/src/http/server.rs
@@ -7,7 +7,7 @@
 use crate::http::body::AnswerBody;
 use crate::http::open_connections::OpenConnections;
 use bramblewheel_http::fields::KEEP_ALIVE;
-use bramblewheel_http::stop::told_to_stop;
+use bramblewheel_http::stop::stop_requested;
 use bramblewheel_process::invariants::lock;
 use http::header::CONNECTION;
 use http::{HeaderValue, Request, Response};
@@ -147,7 +147,7 @@
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = told_to_stop(&mut stop) => break,
+            () = stop_requested(&mut stop) => break,
         };
         match accepted {
             Ok((stream, _)) => connections.add(stream, permit),
@@ -202,7 +202,7 @@
 
 /// Returns once the listener stops and the first request on the connection has had time to arrive.
 async fn until_closable(stop: &mut watch::Receiver<bool>, activity: &Activity) {
-    told_to_stop(stop).await;
+    stop_requested(stop).await;
     if !activity.has_received_request() {
         tokio::time::sleep(FIRST_REQUEST_TIMEOUT).await;
     }
--- a/crates/bramblewheel-proxy/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-proxy/src/inbound/dispatch.rs
@@ -10,7 +10,7 @@
 use crate::local::{Permit, Refusal};
 use crate::shared::Shared;
 use crate::wire::{AnswerReport, AttemptResult, Handover};
-use bramblewheel_decisions::fading_share::whole_percent;
+use bramblewheel_decisions::decaying_share::whole_percent;
 use bramblewheel_protocol::content::ContentDigest;
 use bramblewheel_types::{ServiceName, Timestamp};
 use http::{HeaderMap, HeaderValue};
@@ -164,7 +164,7 @@
     if is_quarantined(shared, &id, handover.content) {
         return DispatchOutcome::Unanswered(AttemptResult::Quarantined).into();
     }
-    if shared.clock.left_until(deadline) < MIN_REMAINING {
+    if shared.clock.remaining_until(deadline) < MIN_REMAINING {
         return DispatchOutcome::Unanswered(AttemptResult::Full).into();
     }
     let run = AdmittedRun {
@@ -225,7 +225,7 @@
     /// Sets the headers that the endpoint expects, with the remaining time as of now.
     fn set_headers(&self, headers: &mut HeaderMap) {
         let handover = self.handover;
-        let left = self.shared.clock.left_until(self.deadline);
+        let left = self.shared.clock.remaining_until(self.deadline);
         let caller = handover.caller.as_ref();
         let dialect = &self.shared.settings.dialect;
         let tenant = handover.tenant.as_ref();
@@ -298,7 +298,7 @@
             return;
         };
         let now = self.shared.clock.now();
-        let must_report = self.shared.quarantine().ended_well(now, content);
+        let must_report = self.shared.quarantine().record_completion(now, content);
         if must_report {
             self.shared.reporter.succeeded(vec![content]);
         }
--- a/crates/bramblewheel-proxy/src/outbound/arrival.rs
+++ b/crates/bramblewheel-proxy/src/outbound/arrival.rs
@@ -53,7 +53,7 @@
     // On public routes, calls made by endpoints carry no key; other requests do.
     let is_nested_by_table = has_tenants && route.route.is_public && tenant_request.is_none();
     let remaining = dialect.remaining(&head.headers);
-    let body = read_body(shared, &id, incoming, router.longest_body()).await?;
+    let body = read_body(shared, &id, incoming, router.max_body_bytes()).await?;
     let content = content_of(&head, &host, tenant_request.as_ref(), &body);
     let request = NewCallerRequest {
         id,
--- a/crates/bramblewheel-proxy/src/outbound/attempts.rs
+++ b/crates/bramblewheel-proxy/src/outbound/attempts.rs
@@ -53,7 +53,7 @@
             return refused;
         }
         let service = self.route.next_target().clone();
-        if !self.may_begin(&service) {
+        if !self.admit_first_send(&service) {
             return self.not_run();
         }
         let mut attempts = Attempts::default();
@@ -87,7 +87,7 @@
                 result.as_str()
             };
             self.log_failure(&service, &choice, result_label, &attempts, decision);
-            if !decision.is_again() {
+            if !decision.is_attempted_again() {
                 return self.without_success(EndReason::GaveUp(attempts.error));
             }
         }
@@ -132,15 +132,15 @@
     ) {
         slog::info!(self.shared.log, "attempt failed"; "id" => id_text(&self.id),
             "service" => %service, "endpoint" => %choice.endpoint, "result" => result,
-            "attempt" => attempts.tried.len(), "again" => decision.is_again(),
+            "attempt" => attempts.tried.len(), "again" => decision.is_attempted_again(),
             "reason" => decision.as_str(), "content" => %self.content,
             "caller" => self.caller_service().as_ref().map_or("", id_text),
-            "left_ms" => Millis::of(self.shared.clock.left_until(self.deadline)).0);
+            "left_ms" => Millis::of(self.shared.clock.remaining_until(self.deadline)).0);
     }
 
     /// Whether the bound on retries allows the first send. It may forbid it for a call made by a run that was itself
     /// retried.
-    fn may_begin(&self, service: &ServiceName) -> bool {
+    fn admit_first_send(&self, service: &ServiceName) -> bool {
         let now = self.shared.clock.now();
         let send = FirstSend {
             is_likely_nested: self.is_likely_nested,
@@ -150,7 +150,7 @@
         let random_value = routing.random.random_range(0.0..1.0);
         if routing
             .retry_bound
-            .may_begin(now, service, send, random_value)
+            .admit_first_send(now, service, send, random_value)
         {
             return true;
         }
@@ -189,6 +189,6 @@
         let index = routing.random.random_range(0..rejected_by.len());
         let route = &self.route.route.name;
         let directory = &mut routing.directory;
-        directory.choose_this(now, &rejected_by[index], route)
+        directory.choose_endpoint(now, &rejected_by[index], route)
     }
 }
--- a/crates/bramblewheel-proxy/src/outbound/hand_over.rs
+++ b/crates/bramblewheel-proxy/src/outbound/hand_over.rs
@@ -73,7 +73,7 @@
     // The remaining time is computed when the request is sent.
     let set_headers = |headers: &mut HeaderMap| {
         let handover = Handover {
-            remaining: clock.left_until(deadline),
+            remaining: clock.remaining_until(deadline),
             ..handover.clone()
         };
         handover.write(headers);
--- a/crates/bramblewheel-proxy/src/outbound/mod.rs
+++ b/crates/bramblewheel-proxy/src/outbound/mod.rs
@@ -44,7 +44,9 @@
 /// Idle time-out of callers' connections: that of the route table in force, up to `MAX_CALLER_IDLE_TIMEOUT`.
 pub fn caller_idle_timeout(shared: &Shared) -> Duration {
     let router = shared.router.load();
-    let stated = router.as_ref().and_then(|router| router.caller_rest());
+    let stated = router
+        .as_ref()
+        .and_then(|router| router.caller_idle_timeout());
     stated.map_or(MAX_CALLER_IDLE_TIMEOUT, |stated| {
         stated.min(MAX_CALLER_IDLE_TIMEOUT)
     })
--- a/crates/bramblewheel-proxy/src/outbound/retry.rs
+++ b/crates/bramblewheel-proxy/src/outbound/retry.rs
@@ -30,7 +30,7 @@
             counts,
             is_past_latest_send: self.is_past_latest_send(),
             is_body_kept: outgoing.body.is_whole(),
-            time_left: self.shared.clock.left_until(self.deadline),
+            time_left: self.shared.clock.remaining_until(self.deadline),
             is_suspect,
             service: self.service_state(service),
         };
@@ -74,7 +74,7 @@
         let decision = bound.decide_retry(now, service, self.class, reason);
         drop(routing);
         self.record_bound_decision(service, previous_result, &decision);
-        match GiveUp::of_bound(&decision) {
+        match GiveUp::from_bound(&decision) {
             Some(refused) => AfterFailure::GiveUp(refused),
             None => AfterFailure::Retry(reason),
         }
--- a/crates/bramblewheel-proxy/tests/sockets/foreign_heartbeats.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/foreign_heartbeats.rs
@@ -220,7 +220,7 @@
     send(&cluster, next).await;
     wait_until(|| shared.local.is_open()).await;
     let kassa = ServiceName::new("kassa").expect("a name");
-    wait_until(|| shared.routing().directory.endpoints_of(&kassa) == 1).await;
+    wait_until(|| shared.routing().directory.endpoint_count(&kassa) == 1).await;
     assert_served(&cluster, &cluster.endpoints[0], "restarted").await;
 }
 
@@ -240,7 +240,7 @@
     let endpoints_of = |service: &ServiceName| {
         let daemons = cluster.daemons.iter();
         let counts =
-            daemons.map(|daemon| daemon.shared().routing().directory.endpoints_of(service));
+            daemons.map(|daemon| daemon.shared().routing().directory.endpoint_count(service));
         counts.collect::<Vec<_>>()
     };
     wait_until(|| endpoints_of(&kassa) == [1, 1]).await;
@@ -302,5 +302,5 @@
     assert_eq!(ended, Ok(()));
     let other = cluster.daemons[0].shared();
     let kassa = ServiceName::new("kassa").expect("a name");
-    wait_until(|| other.routing().directory.endpoints_of(&kassa) == 1).await;
+    wait_until(|| other.routing().directory.endpoint_count(&kassa) == 1).await;
 }
--- a/crates/bramblewheel-proxy/tests/sockets/requests.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/requests.rs
@@ -367,7 +367,7 @@
     assert_eq!(reply.expect("decided"), ready);
     let shared = cluster.daemons[0].shared();
     let kassa = ServiceName::new("kassa").expect("a name");
-    wait_until(|| shared.routing().directory.endpoints_of(&kassa) == 2).await;
+    wait_until(|| shared.routing().directory.endpoint_count(&kassa) == 2).await;
     for number in 0..12 {
         let path = if number % 2 == 0 {
             "/once/pay"
--- a/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
+++ b/crates/bramblewheel-proxy/tests/sockets/support/mod.rs
@@ -250,7 +250,7 @@
         let shared = self.daemons[number].shared();
         let kassa = ServiceName::new("kassa").expect("a name");
         wait_until(|| {
-            let known_endpoints = shared.routing().directory.endpoints_of(&kassa);
+            let known_endpoints = shared.routing().directory.endpoint_count(&kassa);
             shared.is_ready() && known_endpoints == endpoints && shared.local.is_open()
         })
         .await;
@@ -358,8 +358,8 @@
             route("public", true),
         ],
         services: [(kassa.clone(), service_settings)].into(),
-        caller_rest: Some(CALLER_IDLE_TIMEOUT),
-        longest_body: Some(MAX_BODY_BYTES),
+        caller_idle_timeout: Some(CALLER_IDLE_TIMEOUT),
+        max_body_bytes: Some(MAX_BODY_BYTES),
         tenants: tenants(stated),
     }
 }
