--- a/crates/bramblewheel-core/src/inbound/dispatch.rs
+++ b/crates/bramblewheel-core/src/inbound/dispatch.rs
@@ -12,7 +12,7 @@
 
 /// How long to wait for the result of a run-once operation after its caller was answered.
 const DETACHED_GRACE: Duration = Duration::from_secs(30);
-/// Status stored for an operation that its endpoint refused after it had begun sub-calls.
+/// Status stored for an operation that its endpoint refused after it had made sub-calls.
 const REFUSED_AFTER_START: u16 = 500;
 
 impl Engine {
--- a/crates/bramblewheel-core/src/outbound/send.rs
+++ b/crates/bramblewheel-core/src/outbound/send.rs
@@ -35,7 +35,7 @@
             Ok(target) => target,
             Err(reason) => {
                 self.record_sub_call_level(now, &call);
-                return self.end_without_attempt(id, call, reason, actions);
+                return self.end_without_endpoint(id, call, reason, actions);
             }
         };
         let attempt = AttemptId(self.random.next_u64());
@@ -135,7 +135,7 @@
         }
     }
 
-    fn end_without_attempt(
+    fn end_without_endpoint(
         &mut self,
         id: CallId,
         call: Call,
--- a/crates/bramblewheel-core/src/route/choice.rs
+++ b/crates/bramblewheel-core/src/route/choice.rs
@@ -2,8 +2,7 @@
 //!
 //! A few random choices give nearly the full benefit of comparing all endpoints, without a herd of
 //! calls to the one endpoint that just looked idle. Two are enough while capacity is free. Near
-//! saturation, where a parent's slot waits for each sub-call, four give clearly shorter waits
-//! (`docs/design/05-admission.md`).
+//! saturation, where a parent's slot waits for each sub-call, four give clearly shorter waits.
 
 use crate::event::AdmissionLevel;
 use crate::route::directory::{Directory, ServiceEndpoints};
