--- a/crates/bramblewheel-control/tests/endpoints.rs
+++ b/crates/bramblewheel-control/tests/endpoints.rs
@@ -188,9 +188,9 @@
     }
 }
 
-/// Guards against an endpoint that is out of service from its start: it was deregistered at another daemon before it had
-/// registered, the group recorded it as gone and ignored its heartbeats. Seen in the fault soak with seed 7114: after such
-/// a deregistration was acknowledged, the endpoint's daemon got no request until the end of the run.
+/// Guards against an endpoint that is out of service from its start: it was deregistered at another daemon before
+/// it had registered, and the group recorded it as gone and ignored its heartbeats. Seen in the fault soak with seed
+/// 7114: after such a deregistration was acknowledged, no request ran at the endpoint until the end of the run.
 #[test]
 fn deregistration_of_an_unregistered_endpoint_by_another_daemon_is_rejected() {
     let without_slots = |record: EndpointRecord| EndpointRecord { slots: 0, ..record };
