--- a/crates/bramblewheel-daemon/src/control/mod.rs
+++ b/crates/bramblewheel-daemon/src/control/mod.rs
@@ -1,11 +1,11 @@
-//! The daemon's side of the control plane: bundles, directory, run-once operations.
+//! Client side of the control protocol: bundles, endpoint directory, run-once operations.
 
 pub mod choice;
 mod connection;
-pub mod intake;
 pub mod ledger;
 mod link;
 mod poll;
+pub mod poll_state;
 pub mod store;
 pub mod verify;
 
