--- a/crates/bramblewheel-soak/src/check/planned_stops.rs
+++ b/crates/bramblewheel-soak/src/check/planned_stops.rs
@@ -1,44 +1,44 @@
-//! A planned stop interrupts no request that is in progress.
+//! Checks that a planned stop interrupts no request in progress.
 //!
-//! A request that a stopping daemon took, or that runs at the endpoint beside one, and that ends without a
-//! whole answer is excused only
-//! - if its endpoint broke it off, or ended itself;
-//! - if its own time or that of its route was over;
-//! - if it was sent within the first half of the grace time, and its endpoint was still at work in the last sixth of it:
+//! A request that a stopping daemon accepted, or that runs at the endpoint beside one, may end without a whole answer
+//! only
+//! - if its endpoint broke it off, crashed or stopped;
+//! - if the time limit of its caller or its route had passed;
+//! - if it was sent within the first half of the grace time, and its endpoint was still running it in the last sixth:
 //!   then no daemon can wait for it.
 
-use super::{Breach, breach};
-use crate::fleet::GRACE;
-use crate::history::{At, End, Events, PlannedStop, Request, Run, RunEnd};
+use super::{Breach, report_breach};
+use crate::fleet::GRACE_TIME;
+use crate::history::{End, Events, PlannedStop, Request, Run, RunEnd, Timestamp};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Part of the grace time after which requests that are sent must be refused or answered.
-const TAKEN: Duration = GRACE.checked_div(2).expect("not zero");
-/// Part of the grace time after which an endpoint that is still at work excuses a cut.
-const LONG_WORK: Duration = GRACE
+/// Time after the stop request from which new requests must be refused or answered.
+const ACCEPT_TIME: Duration = GRACE_TIME.checked_div(2).expect("the divisor is not zero");
+/// Time after the stop request from which a run that has not ended excuses an interruption.
+const LONG_RUN_TIME: Duration = GRACE_TIME
     .checked_mul(5)
-    .expect("short")
+    .expect("the grace time is a few seconds")
     .checked_div(6)
-    .expect("not zero");
-/// Time after its last byte was sent in which a request that no endpoint got may be left without an answer: it may
-/// not have been read.
-const UNREAD: Duration = Duration::from_millis(200);
-/// What the clocks of one process may differ by when two ends are compared.
+    .expect("the divisor is not zero");
+/// Time after its last byte was sent in which a request that reached no endpoint may stay without an answer: the
+/// daemon may not have read it yet.
+const UNREAD_TIME: Duration = Duration::from_millis(200);
+/// Tolerance for comparing an end with a time limit, since both sides run their own timers.
 const CLOCK_MARGIN: Duration = Duration::from_millis(50);
-/// Time after the end of a daemon's process in which what it broke off shows.
-const AFTER_END: Duration = Duration::from_millis(300);
+/// Time after the exit of a daemon's process within which callers notice the connections that it broke.
+const DETECTION_MARGIN: Duration = Duration::from_millis(300);
 
 /// Runs by the id of their request.
 type RunsById<'a> = HashMap<&'a str, Vec<&'a Run>>;
 
-/// Why a request that got no whole answer breaks the promise.
+/// How a request without a whole answer breaks a promise.
 enum Interruption {
-    /// Its connection was closed although an endpoint had it.
+    /// Its connection was closed although an endpoint had received it.
     CutOff,
     /// Its connection was closed although the daemon had read it.
     LeftUnanswered,
-    /// The daemon answered in place of the endpoint, which was at work.
+    /// The daemon answered with an error while the endpoint was still running the request.
     BrokenOff,
 }
 
@@ -56,8 +56,8 @@
 pub(super) fn check(events: &Events, runs: &RunsById<'_>, found: &mut Vec<Breach>) {
     for stop in &events.planned_stops {
         if !stop.is_in_time {
-            let said = format!("daemon {} at {:?}", stop.daemon, stop.told);
-            breach(found, "a planned stop ends", said);
+            let evidence = format!("daemon {} at {:?}", stop.daemon, stop.requested);
+            report_breach(found, "a planned stop ends", evidence);
         }
     }
     for request in &events.requests {
@@ -66,46 +66,50 @@
 }
 
 fn check_request(request: &Request, events: &Events, runs: &RunsById<'_>, found: &mut Vec<Breach>) {
-    let own = runs.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
+    let own_runs = runs.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
     let stops = || events.planned_stops.iter();
-    let Some(stop) = stops().find(|stop| has_met(request, own, stop)) else {
+    let Some(stop) = stops().find(|stop| was_open_during(request, own_runs, stop)) else {
         return;
     };
-    let Some(interruption) = interruption_of(request, own) else {
+    let Some(interruption) = find_interruption(request, own_runs) else {
         return;
     };
-    let parents = request.called_by.as_deref().and_then(|id| runs.get(id));
-    let at_work = own.iter().chain(parents.into_iter().flatten());
+    let parent_runs = request.parent_id.as_deref().and_then(|id| runs.get(id));
+    let at_work = own_runs.iter().chain(parent_runs.into_iter().flatten());
     let at_work: Vec<&Run> = at_work.copied().collect();
-    let all_met = stops().filter(|stop| has_met(request, own, stop));
-    if is_excused(request, &at_work, all_met) {
+    let overlapping_stops = stops().filter(|stop| was_open_during(request, own_runs, stop));
+    if is_excused(request, &at_work, overlapping_stops) {
         return;
     }
-    breach(found, interruption.promise(), story(request, own, stop));
+    report_breach(
+        found,
+        interruption.promise(),
+        describe(request, own_runs, stop),
+    );
 }
 
-/// Whether a request was open at a daemon while it stopped: at the one that took it, or at the one beside an endpoint
-/// that ran it.
-fn has_met(request: &Request, runs: &[&Run], stop: &PlannedStop) -> bool {
+/// Whether a request was open at the stopping daemon during its stop: the daemon had accepted it, or is beside an
+/// endpoint that ran it.
+fn was_open_during(request: &Request, runs: &[&Run], stop: &PlannedStop) -> bool {
     let Some((ended, _)) = &request.ended else {
         return false;
     };
-    let is_open = request.sent <= stop.ended && *ended >= stop.told;
-    let is_within = *ended <= stop.ended + AFTER_END;
+    let is_open = request.sent <= stop.ended && *ended >= stop.requested;
+    let is_within = *ended <= stop.ended + DETECTION_MARGIN;
     let ran_here = |run: &&Run| -> bool {
-        let was_open = run.ended.is_none_or(|(at, _)| at >= stop.told);
+        let was_open = run.ended.is_none_or(|(at, _)| at >= stop.requested);
         run.daemon == stop.daemon && run.at <= stop.ended && was_open
     };
     is_open && is_within && (request.daemon == stop.daemon || runs.iter().any(ran_here))
 }
 
-fn interruption_of(request: &Request, runs: &[&Run]) -> Option<Interruption> {
+fn find_interruption(request: &Request, runs: &[&Run]) -> Option<Interruption> {
     let (ended, end) = request.ended.as_ref()?;
     match end {
         End::Broken if !runs.is_empty() => Some(Interruption::CutOff),
         End::Broken => {
-            let whole = request.whole_at?;
-            (*ended > whole + UNREAD).then_some(Interruption::LeftUnanswered)
+            let body_sent_at = request.body_sent_at?;
+            (*ended > body_sent_at + UNREAD_TIME).then_some(Interruption::LeftUnanswered)
         }
         End::Answer {
             status: 502 | 504,
@@ -129,25 +133,28 @@
     let Some((ended, _)) = &request.ended else {
         return true;
     };
-    let broke_off = |run: &&Run| matches!(run.ended, Some((_, RunEnd::BrokenOff)));
-    let is_over = *ended + CLOCK_MARGIN >= request.sent + request.allowed;
-    if at_work.iter().any(broke_off) || is_over {
+    let was_broken_off = |run: &&Run| matches!(run.ended, Some((_, RunEnd::BrokenOff)));
+    let is_over = *ended + CLOCK_MARGIN >= request.sent + request.time_limit;
+    if at_work.iter().any(was_broken_off) || is_over {
         return true;
     }
     let mut stops = stops;
     stops.any(|stop| {
-        let late = stop.told + LONG_WORK;
-        let works_long = |run: &&Run| run.ended.is_none_or(|(at, _)| at >= late);
-        let is_early = request.sent <= stop.told + TAKEN;
-        (is_early || request.called_by.is_some()) && at_work.iter().any(works_long)
+        let long_run_from = stop.requested + LONG_RUN_TIME;
+        let is_long_run = |run: &&Run| run.ended.is_none_or(|(at, _)| at >= long_run_from);
+        let is_early = request.sent <= stop.requested + ACCEPT_TIME;
+        (is_early || request.parent_id.is_some()) && at_work.iter().any(is_long_run)
     })
 }
 
-/// The path of a request, for whoever looks for the cause.
-fn story(request: &Request, runs: &[&Run], stop: &PlannedStop) -> String {
-    let seconds = |at: At| format!("{:.3}", at.as_secs_f64());
-    let since = |at: At| {
-        let (late, early) = (at.saturating_sub(stop.told), stop.told.saturating_sub(at));
+/// Describes the path of a request, as evidence.
+fn describe(request: &Request, runs: &[&Run], stop: &PlannedStop) -> String {
+    let seconds = |at: Timestamp| format!("{:.3}", at.as_secs_f64());
+    let since = |at: Timestamp| {
+        let (late, early) = (
+            at.saturating_sub(stop.requested),
+            stop.requested.saturating_sub(at),
+        );
         let sign = if early > Duration::ZERO { "-" } else { "+" };
         format!("{sign}{}", seconds(late.max(early)))
     };
@@ -157,8 +164,8 @@
         request.daemon,
         since(request.sent),
         stop.daemon,
-        seconds(stop.told),
-        request.allowed,
+        seconds(stop.requested),
+        request.time_limit,
     );
     for run in runs {
         let end = run.ended.map_or("goes on".to_owned(), |(at, end)| {
--- a/crates/bramblewheel-soak/src/endpoint/broken_body.rs
+++ b/crates/bramblewheel-soak/src/endpoint/broken_body.rs
@@ -1,4 +1,4 @@
-//! An answer whose body breaks on the way.
+//! An answer body that ends with an error.
 
 use axum::body::Body;
 use bytes::Bytes;
@@ -6,15 +6,15 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A body that breaks after its first half.
-pub(super) fn cut_short(body: &str) -> Body {
-    let half = Bytes::copy_from_slice(&body.as_bytes()[..body.len() / 2]);
-    Body::new(Broken(Some(half)))
+/// A body that fails after its first half.
+pub(super) fn truncated_body(body: &str) -> Body {
+    let first_half = Bytes::copy_from_slice(&body.as_bytes()[..body.len() / 2]);
+    Body::new(TruncatedBody(Some(first_half)))
 }
 
-struct Broken(Option<Bytes>);
+struct TruncatedBody(Option<Bytes>);
 
-impl http_body::Body for Broken {
+impl http_body::Body for TruncatedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -23,7 +23,7 @@
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<http_body::Frame<Bytes>, io::Error>>> {
         Poll::Ready(Some(match self.0.take() {
-            Some(half) => Ok(http_body::Frame::data(half)),
+            Some(first_half) => Ok(http_body::Frame::data(first_half)),
             None => Err(io::Error::other("cut short")),
         }))
     }
--- a/crates/bramblewheel-soak/src/endpoint/mod.rs
+++ b/crates/bramblewheel-soak/src/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! An endpoint beside a daemon: runs requests, sends heartbeats, leaves or dies.
+//! An endpoint beside a daemon: runs requests, sends heartbeats, drains or crashes.
 
 mod broken_body;
 mod heartbeat;
@@ -6,7 +6,7 @@
 mod work;
 
 use crate::endpoint_interface;
-use crate::history::{History, Leaving};
+use crate::history::{AcknowledgedDrain, History};
 use crate::workload::Workload;
 use axum::Router;
 use bramblewheel_platform_client as wire;
@@ -28,38 +28,38 @@
 use tokio::time::Instant;
 
 /// Time between two heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(500);
-/// Time that an endpoint serves on after its leaving was acknowledged.
-const SERVES_ON: Duration = Duration::from_millis(2_500);
-/// The end of an endpoint under a request.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
+/// Time for which a draining endpoint goes on serving after the daemon has acknowledged the draining state.
+const LINGER_TIME: Duration = Duration::from_millis(2_500);
+/// Tells whether an endpoint has ended, by a crash or by being dropped.
 #[derive(Debug, Default)]
-struct Ending {
+struct Termination {
     has_ended: AtomicBool,
-    told: Notify,
+    signal: Notify,
 }
 
-/// What an endpoint is told at its start.
+/// Settings of an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointSettings {
     /// Its id.
     pub id: String,
     /// Its service.
     pub service: &'static str,
-    /// Its machine's address.
+    /// Address of its machine.
     pub address: IpAddr,
     /// Number of the daemon beside it.
     pub daemon: usize,
-    /// The daemon's interface for it.
+    /// Address of the daemon's endpoint interface.
     pub admin: SocketAddr,
     /// Where it sends its calls.
     pub outbound: SocketAddr,
-    /// What it is asked to do.
+    /// Kinds of request that it runs.
     pub workload: Arc<Workload>,
-    /// Seed of what it draws.
+    /// Seed of its random decisions.
     pub seed: u64,
 }
 
-/// What another writer can know of an endpoint.
+/// Identity of an endpoint, as foreign messages use it.
 #[derive(Clone, Debug)]
 pub struct EndpointIdentity {
     /// Its id.
@@ -72,7 +72,7 @@
     pub address: SocketAddr,
 }
 
-/// A running endpoint; dropping it is its death.
+/// A running endpoint; dropping it is a crash.
 #[derive(Debug)]
 pub struct Endpoint {
     id: String,
@@ -83,8 +83,8 @@
     started_unix_millis: u64,
     sequence: Arc<AtomicU64>,
     history: History,
-    beating: JoinSet<()>,
-    ending: Arc<Ending>,
+    heartbeats: JoinSet<()>,
+    termination: Arc<Termination>,
     _serving: JoinSet<()>,
 }
 
@@ -106,11 +106,11 @@
         } = settings;
         let listener = TcpListener::bind((address, 0)).await?;
         let address = listener.local_addr()?;
-        let ending = Arc::new(Ending::default());
+        let termination = Arc::new(Termination::default());
         let slots = workload.slots;
         let started_unix_millis = unix_millis();
         let serving = Serving {
-            ending: Arc::clone(&ending),
+            termination: Arc::clone(&termination),
             id: id.as_str().into(),
             started_unix_millis,
             daemon,
@@ -122,11 +122,11 @@
         };
         let router = Router::new().fallback(run).with_state(serving);
         let mut tasks = JoinSet::new();
-        let until = Arc::clone(&ending);
+        let stop_signal = Arc::clone(&termination);
         tasks.spawn(async move {
             tokio::select! {
                 () = serve(listener, router) => {}
-                () = until.told.notified() => {}
+                () = stop_signal.signal.notified() => {}
             }
         });
         let mut endpoint = Self {
@@ -138,17 +138,17 @@
             started_unix_millis,
             sequence: Arc::new(AtomicU64::new(0)),
             history,
-            beating: JoinSet::new(),
-            ending,
+            heartbeats: JoinSet::new(),
+            termination,
             _serving: tasks,
         };
-        let beat = endpoint.heartbeat_sender("ready");
-        let ending = Arc::clone(&endpoint.ending);
-        endpoint.beating.spawn(async move {
-            while !ending.has_ended.load(Ordering::Relaxed) {
-                // One that is lost is made up for by the next.
-                beat.send().await;
-                tokio::time::sleep(HEARTBEAT).await;
+        let sender = endpoint.heartbeat_sender("ready");
+        let termination = Arc::clone(&endpoint.termination);
+        endpoint.heartbeats.spawn(async move {
+            while !termination.has_ended.load(Ordering::Relaxed) {
+                // A lost heartbeat is made up for by the next one.
+                sender.send().await;
+                tokio::time::sleep(HEARTBEAT_PERIOD).await;
             }
         });
         Ok(endpoint)
@@ -159,7 +159,7 @@
         &self.id
     }
 
-    /// What another writer can know of it.
+    /// Its identity, as foreign messages use it.
     pub fn identity(&self) -> EndpointIdentity {
         EndpointIdentity {
             id: self.id.clone(),
@@ -169,18 +169,18 @@
         }
     }
 
-    /// Sends heartbeats that can't be read, under this one's id.
+    /// Sends heartbeats that can't be parsed, under this endpoint's id.
     pub async fn send_invalid_heartbeats(&self) {
         for heartbeat in wire::invalid_heartbeats(self.service, self.address) {
-            // What comes of them shows in what the endpoint gets.
+            // The answer is ignored: if a daemon accepts one, the checks see it in the requests that the endpoint receives.
             let path = wire::heartbeat_path(&self.id);
             endpoint_interface::post(self.admin, &path, heartbeat).await;
         }
     }
 
-    /// Whether a request has ended it.
+    /// Whether a request has crashed it.
     pub fn has_ended(&self) -> bool {
-        self.ending.has_ended.load(Ordering::Relaxed)
+        self.termination.has_ended.load(Ordering::Relaxed)
     }
 
     fn heartbeat_sender(&self, state: &'static str) -> HeartbeatSender {
@@ -196,25 +196,29 @@
         }
     }
 
-    /// Leaves as planned: says so until it is acknowledged, serves on, and ends.
-    pub async fn leave(mut self) {
-        const TRIES: u32 = 10;
-        self.beating.shutdown().await;
-        let leaving = self.heartbeat_sender("draining");
-        for _ in 0..TRIES {
-            if leaving.send().await {
+    /// Makes a planned stop: reports that it drains until that is acknowledged, serves on for [`LINGER_TIME`],
+    /// deregisters and stops.
+    pub async fn stop(mut self) {
+        const MAX_ATTEMPTS: u32 = 10;
+        self.heartbeats.shutdown().await;
+        let sender = self.heartbeat_sender("draining");
+        for _ in 0..MAX_ATTEMPTS {
+            if sender.send().await {
                 let at = self.history.now();
-                self.history.events().leaving.push(Leaving {
-                    endpoint: self.id.clone(),
-                    started: self.started_unix_millis,
-                    at,
-                });
+                self.history
+                    .events()
+                    .acknowledged_drains
+                    .push(AcknowledgedDrain {
+                        endpoint: self.id.clone(),
+                        started: self.started_unix_millis,
+                        at,
+                    });
                 break;
             }
         }
-        tokio::time::sleep(SERVES_ON).await;
+        tokio::time::sleep(LINGER_TIME).await;
         let path = wire::deregister_path(&self.id);
-        // It ends all the same.
+        // The endpoint stops even if the deregistration fails.
         endpoint_interface::post(
             self.admin,
             &path,
@@ -226,18 +230,18 @@
 
 impl Drop for Endpoint {
     fn drop(&mut self) {
-        // Before its connections end, so that what runs is known to have been broken off by it.
-        self.ending.has_ended.store(true, Ordering::Relaxed);
+        // Set before the connections end, so that open runs are recorded as broken off by the endpoint.
+        self.termination.has_ended.store(true, Ordering::Relaxed);
     }
 }
 
 fn unix_millis() -> u64 {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-    let since = since.expect("the machine's clock is after 1970");
-    u64::try_from(since.as_millis()).expect("a few hundred million years at most")
+    let elapsed = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    let elapsed = elapsed.expect("the system clock is set after 1970");
+    u64::try_from(elapsed.as_millis()).expect("milliseconds since 1970 fit into 64 bits")
 }
 
-/// Serves connections; when it is dropped, all of them end at once.
+/// Serves connections; dropping the future closes all of them at once.
 async fn serve(listener: TcpListener, router: Router) {
     let mut connections = JoinSet::new();
     loop {
@@ -248,7 +252,7 @@
                 };
                 let service = TowerToHyperService::new(router.clone());
                 let serving = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-                // A connection's end is no matter of the endpoint.
+                // Errors of a single connection don't affect the endpoint.
                 connections.spawn(async move { drop(serving.await) });
             }
             Some(_) = connections.join_next() => {}
--- a/crates/bramblewheel-soak/src/endpoint/work.rs
+++ b/crates/bramblewheel-soak/src/endpoint/work.rs
@@ -1,9 +1,9 @@
-//! How an endpoint runs a request of a workload: work, calls, and an answer that is written piece by piece.
+//! Runs a request of a workload: work, calls, and an answer that is written in chunks.
 
 use super::serving::Serving;
 use crate::history::{Run, RunEnd};
 use crate::workload::RequestKind;
-use crate::workload_traffic::{CallOfEndpoint, call_for};
+use crate::workload_traffic::{EndpointCall, make_call};
 use axum::body::Body;
 use bramblewheel_platform_client as wire;
 use bytes::Bytes;
@@ -16,18 +16,19 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Length of one piece of an answer.
-const PIECE_BYTES: usize = 32 * 1024;
+/// Length of one chunk of an answer.
+const CHUNK_BYTES: usize = 32 * 1024;
 
-/// Notes the end of a run: as dropped, unless it was told otherwise before.
-pub(super) struct OpenRun {
+/// Records the end of a run when dropped, unless [`Self::record_end`] has recorded one: as broken off if the endpoint
+/// has ended, as dropped otherwise.
+pub(super) struct RunGuard {
     serving: Serving,
     number: usize,
 }
 
-impl OpenRun {
+impl RunGuard {
     pub(super) fn begin(serving: &Serving, id: &str, caller_service: Option<String>) -> Self {
-        let number = serving.history.run_begins(Run {
+        let number = serving.history.record_run(Run {
             id: id.to_owned(),
             endpoint: serving.id.to_string(),
             started: serving.started_unix_millis,
@@ -42,20 +43,20 @@
         }
     }
 
-    /// Number of the run among all runs.
+    /// Number of the run in the history.
     pub(super) fn number(&self) -> usize {
         self.number
     }
 
-    pub(super) fn ends(&self, end: RunEnd) {
-        self.serving.history.run_ends(self.number, end);
+    pub(super) fn record_end(&self, end: RunEnd) {
+        self.serving.history.record_run_end(self.number, end);
     }
 }
 
-impl Drop for OpenRun {
+impl Drop for RunGuard {
     fn drop(&mut self) {
-        let has_endpoint_ended = self.serving.ending.has_ended.load(Ordering::Relaxed);
-        self.ends(if has_endpoint_ended {
+        let has_endpoint_ended = self.serving.termination.has_ended.load(Ordering::Relaxed);
+        self.record_end(if has_endpoint_ended {
             RunEnd::BrokenOff
         } else {
             RunEnd::Dropped
@@ -63,14 +64,14 @@
     }
 }
 
-/// Time that the request says is left.
+/// Time left of a request, from its deadline header.
 pub(super) fn time_left(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(wire::DEADLINE)?.to_str().ok()?;
     let millis: f64 = text.parse().ok()?;
     Duration::try_from_secs_f64(millis / 1_000.0).ok()
 }
 
-/// Works on a request of a workload, with all its calls, until its time is over.
+/// Works on a request of a workload and makes all its calls, within the time left.
 pub(super) async fn work(
     serving: &Serving,
     kind: &RequestKind,
@@ -81,7 +82,7 @@
     let deadline = Instant::now() + left;
     let working = async {
         let time = serving.draw_work(kind);
-        // Half before the calls and half after them.
+        // Half of the work comes before the calls and half after them.
         tokio::time::sleep(time / 2).await;
         let have_succeeded = make_calls(serving, kind, id, run, deadline).await;
         tokio::time::sleep(time / 2).await;
@@ -95,7 +96,7 @@
     worked.unwrap_or(StatusCode::GATEWAY_TIMEOUT)
 }
 
-/// Returns whether all calls had success.
+/// Makes all calls of a request; returns whether all succeeded.
 async fn make_calls(
     serving: &Serving,
     kind: &RequestKind,
@@ -111,19 +112,19 @@
         let mut together = JoinSet::new();
         for _ in 0..calls.times {
             number += 1;
-            let call = CallOfEndpoint {
+            let call = EndpointCall {
                 history: serving.history.clone(),
                 outbound: serving.outbound,
                 daemon: serving.daemon,
                 kind: called.clone(),
-                // A run that is repeated makes its calls anew, under new ids.
+                // A repeated run makes its calls again, under new ids.
                 id: format!("{id}.{run}.{number}"),
                 parent: id.to_owned(),
-                left: deadline.saturating_duration_since(Instant::now()),
+                time_left: deadline.saturating_duration_since(Instant::now()),
             };
             if calls.together {
-                together.spawn(call_for(call));
-            } else if !call_for(call).await {
+                together.spawn(make_call(call));
+            } else if !make_call(call).await {
                 return false;
             }
         }
@@ -134,24 +135,30 @@
     true
 }
 
-/// The answer of a run: a body of this length that belongs to the request, written piece by piece.
-pub(super) fn answer(serving: &Serving, id: &str, bytes: u64, run: OpenRun, breaks: bool) -> Body {
+/// Returns the answer of a run: a body that is bound to the request id, with `bytes` bytes of filler, written in chunks.
+pub(super) fn answer(
+    serving: &Serving,
+    id: &str,
+    bytes: u64,
+    run: RunGuard,
+    is_broken_off: bool,
+) -> Body {
     let mut text = wire::body_head(&serving.id, id).into_bytes();
     let filler = usize::try_from(bytes).unwrap_or(usize::MAX);
     let whole = text.len() + filler;
     text.resize(whole, wire::FILLER);
     Body::new(Answer {
         rest: Bytes::from(text),
-        breaks_at: breaks.then_some(whole / 2),
+        breaks_at: is_broken_off.then_some(whole / 2),
         run: Some(run),
     })
 }
 
 struct Answer {
     rest: Bytes,
-    /// Length left at which the endpoint breaks it off.
+    /// Remaining length at which the endpoint breaks the answer off.
     breaks_at: Option<usize>,
-    run: Option<OpenRun>,
+    run: Option<RunGuard>,
 }
 
 impl http_body::Body for Answer {
@@ -164,21 +171,21 @@
     ) -> Poll<Option<Result<http_body::Frame<Bytes>, io::Error>>> {
         if self.breaks_at.is_some_and(|left| self.rest.len() <= left) {
             if let Some(run) = self.run.take() {
-                run.ends(RunEnd::BrokenOff);
+                run.record_end(RunEnd::BrokenOff);
             }
             return Poll::Ready(Some(Err(io::Error::other("broken off"))));
         }
-        let piece = self.rest.len().min(PIECE_BYTES);
-        let piece = self.rest.split_to(piece);
+        let chunk = self.rest.len().min(CHUNK_BYTES);
+        let chunk = self.rest.split_to(chunk);
         if self.rest.is_empty()
             && let Some(run) = self.run.take()
         {
-            run.ends(RunEnd::Answered);
+            run.record_end(RunEnd::Answered);
         }
-        if piece.is_empty() {
+        if chunk.is_empty() {
             return Poll::Ready(None);
         }
-        Poll::Ready(Some(Ok(http_body::Frame::data(piece))))
+        Poll::Ready(Some(Ok(http_body::Frame::data(chunk))))
     }
 
     fn is_end_stream(&self) -> bool {
--- a/crates/bramblewheel-soak/src/endpoint_interface.rs
+++ b/crates/bramblewheel-soak/src/endpoint_interface.rs
@@ -1,4 +1,4 @@
-//! Messages to the interface that daemons have for endpoints: heartbeats and deregistrations, whoever sends them.
+//! Sends heartbeats and deregistrations to a daemon's endpoint interface.
 
 use crate::traffic::{Call, send};
 use bytes::Bytes;
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for the answer to a message.
-const ANSWER_TIME: Duration = Duration::from_millis(1_000);
+/// Longest wait for the answer to a message.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Sends a message to a daemon; returns whether it was acknowledged.
 pub async fn post(admin: SocketAddr, path: &str, body: impl Into<Bytes>) -> bool {
@@ -17,6 +17,6 @@
         headers: &[("content-type", "application/json")],
         body: body.into(),
     };
-    let answer = send(admin, call, ANSWER_TIME).await;
+    let answer = send(admin, call, ANSWER_TIMEOUT).await;
     answer.is_ok_and(|answer| answer.status.is_success())
 }
--- a/crates/bramblewheel-soak/src/strike.rs
+++ b/crates/bramblewheel-soak/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! How each fault is carried out.
+//! Injects the faults of a plan.
 
 use crate::fleet::FleetError;
 use crate::history::PlannedStop;
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Time that a process gets to catch signals before one may be sent to it.
-const CATCHES_SIGNALS: Duration = Duration::from_millis(20);
+/// Time that a started process gets to install its signal handlers before a signal may be sent to it.
+const SIGNAL_HANDLER_SETUP_TIME: Duration = Duration::from_millis(20);
 
 impl Soak {
-    /// Carries out one step; returns when it is over.
-    pub(crate) async fn strike(self: &Arc<Self>, step: Step) -> Result<(), FleetError> {
+    /// Injects the fault of one step; returns when it is over.
+    pub(crate) async fn inject(self: &Arc<Self>, step: Step) -> Result<(), FleetError> {
         match step.fault {
             Fault::Kill(machine) => self.kill(machine, step.lasts, false).await,
             Fault::KillAndWipe(machine) => self.kill(machine, step.lasts, true).await,
@@ -27,10 +27,14 @@
                 self.hosts[&machine].lock().await.signal(Signal::CONT);
                 Ok(())
             }
-            Fault::SilentInwards(machine) => self.relay(machine, step, true, false, 0).await,
-            Fault::SilentOutwards(machine) => self.relay(machine, step, false, true, 0).await,
-            Fault::Silent(machine) => self.relay(machine, step, true, true, 0).await,
-            Fault::Delay(machine, millis) => self.relay(machine, step, false, false, millis).await,
+            Fault::SilentInwards(machine) => self.hold_traffic(machine, step, true, false, 0).await,
+            Fault::SilentOutwards(machine) => {
+                self.hold_traffic(machine, step, false, true, 0).await
+            }
+            Fault::Silent(machine) => self.hold_traffic(machine, step, true, true, 0).await,
+            Fault::Delay(machine, millis) => {
+                self.hold_traffic(machine, step, false, false, millis).await
+            }
             Fault::Reset(machine) => {
                 self.hosts[&machine].lock().await.reset_connections();
                 Ok(())
@@ -39,12 +43,12 @@
             Fault::ReloadSeries(machine) => self.reload_series(machine).await,
             Fault::KillSeries(machine) => self.kill_series(machine).await,
             Fault::Stop(daemon) => self.stop(daemon, step.lasts).await,
-            Fault::StopsInTurn => self.stop_in_turn(step.lasts).await,
+            Fault::StopsInTurn => self.stop_all_in_turn(step.lasts).await,
             Fault::StopControl(number) => self.stop_control(number, step.lasts).await,
             Fault::Surge(percent) => {
-                self.surge_percent.store(percent, Ordering::Relaxed);
+                self.load_percent.store(percent, Ordering::Relaxed);
                 tokio::time::sleep(step.lasts).await;
-                self.surge_percent.store(100, Ordering::Relaxed);
+                self.load_percent.store(100, Ordering::Relaxed);
                 Ok(())
             }
             Fault::EndpointCrash(daemon) => {
@@ -53,9 +57,9 @@
                 self.start_endpoint(daemon).await
             }
             Fault::EndpointLeaves(daemon) => {
-                let leaving = self.endpoints[daemon].lock().await.take();
-                if let Some(leaving) = leaving {
-                    leaving.leave().await;
+                let endpoint = self.endpoints[daemon].lock().await.take();
+                if let Some(endpoint) = endpoint {
+                    endpoint.stop().await;
                 }
                 self.start_endpoint(daemon).await
             }
@@ -79,19 +83,19 @@
         }
     }
 
-    /// Takes the endpoint beside a daemon away at once, or as planned, and starts it again under its id.
+    /// Ends the endpoint beside a daemon, by a crash or a planned stop, and starts it again under its id.
     async fn restart_endpoint(
         &self,
         daemon: usize,
         lasts: Duration,
-        leaves: bool,
+        is_planned: bool,
     ) -> Result<(), FleetError> {
         let Some(endpoint) = self.endpoints[daemon].lock().await.take() else {
             return Ok(());
         };
         let id = endpoint.id().to_owned();
-        if leaves {
-            endpoint.leave().await;
+        if is_planned {
+            endpoint.stop().await;
         } else {
             drop(endpoint);
         }
@@ -100,20 +104,20 @@
     }
 
     async fn restart_all_endpoints(self: &Arc<Self>, lasts: Duration) -> Result<(), FleetError> {
-        let mut restarting = JoinSet::new();
+        let mut restarts = JoinSet::new();
         for daemon in 0..self.daemons {
             let soak = Arc::clone(self);
-            restarting.spawn(async move { soak.restart_endpoint(daemon, lasts, false).await });
+            restarts.spawn(async move { soak.restart_endpoint(daemon, lasts, false).await });
         }
-        while let Some(restarted) = restarting.join_next().await {
-            restarted.expect("a fault is carried out without a panic")?;
+        while let Some(result) = restarts.join_next().await {
+            result.expect("fault injection does not panic")?;
         }
         Ok(())
     }
 
-    pub(crate) fn count_life(&self, machine: Machine) {
+    pub(crate) fn advance_generation(&self, machine: Machine) {
         if let Machine::Daemon(number) = machine {
-            self.lives[number].fetch_add(1, Ordering::SeqCst);
+            self.process_generations[number].fetch_add(1, Ordering::SeqCst);
         }
     }
 
@@ -121,18 +125,18 @@
         &self,
         machine: Machine,
         lasts: Duration,
-        is_wiped: bool,
+        wipes_data: bool,
     ) -> Result<(), FleetError> {
         let mut host = self.hosts[&machine].lock().await;
-        self.count_life(machine);
+        self.advance_generation(machine);
         host.kill().await;
-        if is_wiped {
+        if wipes_data {
             host.wipe()?;
         }
         tokio::time::sleep(lasts).await;
-        self.count_life(machine);
+        self.advance_generation(machine);
         host.start()?;
-        tokio::time::sleep(CATCHES_SIGNALS).await;
+        tokio::time::sleep(SIGNAL_HANDLER_SETUP_TIME).await;
         Ok(())
     }
 
@@ -152,7 +156,7 @@
         Ok(())
     }
 
-    async fn relay(
+    async fn hold_traffic(
         &self,
         machine: Machine,
         step: Step,
@@ -190,15 +194,15 @@
         Ok(())
     }
 
-    async fn stop_in_turn(self: &Arc<Self>, lasts: Duration) -> Result<(), FleetError> {
-        let mut stopping = JoinSet::new();
+    async fn stop_all_in_turn(self: &Arc<Self>, lasts: Duration) -> Result<(), FleetError> {
+        let mut stops = JoinSet::new();
         for daemon in 0..self.daemons {
             let soak = Arc::clone(self);
-            stopping.spawn(async move { soak.stop(daemon, lasts).await });
+            stops.spawn(async move { soak.stop(daemon, lasts).await });
             tokio::time::sleep(STOPS_PAUSE).await;
         }
-        while let Some(stopped) = stopping.join_next().await {
-            stopped.expect("a fault is carried out without a panic")?;
+        while let Some(result) = stops.join_next().await {
+            result.expect("fault injection does not panic")?;
         }
         Ok(())
     }
@@ -206,20 +210,20 @@
     async fn stop(&self, daemon: usize, lasts: Duration) -> Result<(), FleetError> {
         let machine = Machine::Daemon(daemon);
         let mut host = self.hosts[&machine].lock().await;
-        let told = self.history.now();
+        let requested = self.history.now();
         let is_in_time = host.stop().await;
-        self.count_life(machine);
+        self.advance_generation(machine);
         let ended = self.history.now();
         self.history.events().planned_stops.push(PlannedStop {
             daemon,
-            told,
+            requested,
             ended,
             is_in_time,
         });
         tokio::time::sleep(lasts).await;
-        self.count_life(machine);
+        self.advance_generation(machine);
         host.start()?;
-        tokio::time::sleep(CATCHES_SIGNALS).await;
+        tokio::time::sleep(SIGNAL_HANDLER_SETUP_TIME).await;
         Ok(())
     }
 
@@ -230,7 +234,7 @@
         }
         tokio::time::sleep(lasts).await;
         host.start()?;
-        tokio::time::sleep(CATCHES_SIGNALS).await;
+        tokio::time::sleep(SIGNAL_HANDLER_SETUP_TIME).await;
         Ok(())
     }
 }
--- a/crates/bramblewheel-soak/src/fleet.rs
+++ b/crates/bramblewheel-soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a soak: their addresses, settings, relays, starts and signals.
+//! Manages the processes of a soak: addresses, settings, relays, starts and signals.
 
 use crate::plan::Machine;
 use crate::relay::{Mode, Relay};
@@ -13,7 +13,7 @@
 use thiserror::Error;
 use tokio::process::{Child, Command};
 
-/// First of the ports that the programs take for themselves.
+/// First port that the programs assign to their own listeners.
 const FIRST_PORT: u16 = 7620;
 const SERVICE_PORT: u16 = FIRST_PORT + 1;
 const INBOUND_PORT: u16 = 8300;
@@ -21,34 +21,34 @@
 const OUTBOUND_PORT: u16 = 8304;
 const ADMIN_PORT: u16 = 8306;
 /// Grace time of a planned stop.
-pub const GRACE: Duration = Duration::from_secs(6);
-/// First numbers of the machines' addresses.
+pub const GRACE_TIME: Duration = Duration::from_secs(6);
+/// Last byte of the address of the first machine of each kind.
 const CONTROL_HOST: u8 = 10;
 const DAEMON_HOST: u8 = 50;
 
-/// The soak can't go on.
+/// The soak can't continue.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// A file, address or process can't be used.
-    #[error("{what}: {error}")]
+    /// An operation on a file, address or process failed.
+    #[error("{context}: {error}")]
     Io {
-        /// What was tried.
-        what: String,
-        /// What the operating system says.
+        /// File, address or program concerned.
+        context: String,
+        /// Error of the operating system.
         error: io::Error,
     },
 }
 
-fn failed(what: impl Into<String>) -> impl FnOnce(io::Error) -> FleetError {
-    let what = what.into();
-    |error| FleetError::Io { what, error }
+fn io_error(context: impl Into<String>) -> impl FnOnce(io::Error) -> FleetError {
+    let context = context.into();
+    |error| FleetError::Io { context, error }
 }
 
-/// Addresses of the machines: those that all know, where relays listen, and those that the
-/// processes bind.
+/// Addresses of the machines. Each has two: the advertised one, where its relays listen, and the one that its
+/// process binds.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Second number of all addresses; soaks that run side by side need different ones.
+    /// Second byte of all addresses; soaks that run side by side need different ones.
     pub network: u8,
 }
 
@@ -58,11 +58,13 @@
             Machine::Control(number) => (CONTROL_HOST, number),
             Machine::Daemon(number) => (DAEMON_HOST, number),
         };
-        first + u8::try_from(number).expect("a few dozen machines at most")
+        first
+            + u8::try_from(number)
+                .expect("the machine's number fits into the last byte of an address")
     }
 
-    /// The address that others know.
-    pub fn known(&self, machine: Machine) -> IpAddr {
+    /// The advertised address, where the relays listen.
+    pub fn advertised(&self, machine: Machine) -> IpAddr {
         Ipv4Addr::new(127, self.network, 1, Self::host(machine)).into()
     }
 
@@ -71,17 +73,17 @@
         Ipv4Addr::new(127, self.network, 2, Self::host(machine)).into()
     }
 
-    /// Where callers send their requests.
+    /// Where callers and the endpoint send their requests.
     pub fn outbound(&self, daemon: usize) -> SocketAddr {
         SocketAddr::new(self.bound(Machine::Daemon(daemon)), OUTBOUND_PORT)
     }
 
-    /// Where a machine tells whether it is ready.
+    /// Where a daemon reports whether it is ready.
     pub fn ready(&self, daemon: usize) -> SocketAddr {
         SocketAddr::new(self.bound(Machine::Daemon(daemon)), READY_PORT)
     }
 
-    /// Where endpoints register, or operators send orders.
+    /// Where endpoints send heartbeats to a daemon, and operators send changes to a control replica.
     pub fn admin(&self, machine: Machine) -> SocketAddr {
         SocketAddr::new(self.bound(machine), ADMIN_PORT)
     }
@@ -90,17 +92,17 @@
 /// The programs under test.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// What the processes run.
+    /// Program of all processes, unless `earlier_replica` applies.
     pub current: PathBuf,
-    /// What control replicas run until they are started for the second time, if that is another program.
+    /// Program that control replicas run on their first start, if it is a different one.
     pub earlier_replica: Option<PathBuf>,
 }
 
 impl Programs {
-    fn at_start(&self, machine: Machine, is_first: bool) -> &Path {
+    fn for_start(&self, machine: Machine, is_first_start: bool) -> &Path {
         let earlier = self.earlier_replica.as_ref();
         match (machine, earlier) {
-            (Machine::Control(_), Some(earlier)) if is_first => earlier,
+            (Machine::Control(_), Some(earlier)) if is_first_start => earlier,
             _ => &self.current,
         }
     }
@@ -115,7 +117,7 @@
     programs: Programs,
     folder: PathBuf,
     seeds: Vec<SocketAddr>,
-    /// Services of the endpoints.
+    /// Number of services.
     services: usize,
     is_first_start: bool,
     reloads: u32,
@@ -141,15 +143,16 @@
         };
         let mut relays = Vec::new();
         for port in ports {
-            let known = SocketAddr::new(addresses.known(machine), *port);
+            let advertised = SocketAddr::new(addresses.advertised(machine), *port);
             let target = SocketAddr::new(addresses.bound(machine), *port);
-            let relay = Relay::start(known, target).await;
-            relays.push(relay.map_err(failed(format!("relay at {known}")))?);
+            let relay = Relay::start(advertised, target).await;
+            relays.push(relay.map_err(io_error(format!("relay at {advertised}")))?);
         }
-        let seed = |number| SocketAddr::new(addresses.known(Machine::Control(number)), ADMIN_PORT);
+        let seed =
+            |number| SocketAddr::new(addresses.advertised(Machine::Control(number)), ADMIN_PORT);
         let name = Self::name_of(machine);
         let folder = folder.join(&name);
-        fs::create_dir_all(&folder).map_err(failed(folder.display().to_string()))?;
+        fs::create_dir_all(&folder).map_err(io_error(folder.display().to_string()))?;
         Ok(Self {
             machine,
             addresses,
@@ -172,14 +175,14 @@
     }
 
     fn settings(&self) -> String {
-        let known = self.addresses.known(self.machine);
+        let advertised = self.addresses.advertised(self.machine);
         let bound = self.addresses.bound(self.machine);
         let name = Self::name_of(self.machine);
         let seeds: Vec<String> = self.seeds.iter().map(|s| format!("\"{s}\"")).collect();
         let listen = match self.machine {
             Machine::Control(_) => String::new(),
             Machine::Daemon(_) => format!(
-                "inbound = \"{known}:{INBOUND_PORT}\"\noutbound = \"{bound}:{OUTBOUND_PORT}\"\n\
+                "inbound = \"{advertised}:{INBOUND_PORT}\"\noutbound = \"{bound}:{OUTBOUND_PORT}\"\n\
                  ready = \"{bound}:{READY_PORT}\"\n"
             ),
         };
@@ -188,10 +191,10 @@
             Machine::Daemon(number) => (service_of(number, self.services), String::new()),
         };
         let (first_start, reloads) = (self.is_first_start, self.reloads);
-        let (seeds, grace) = (seeds.join(", "), GRACE.as_secs());
+        let (seeds, grace) = (seeds.join(", "), GRACE_TIME.as_secs());
         format!(
             "# change {reloads}\nname = \"{name}\"\nzone = \"north\"\nregion = \"west\"\n\
-             address = \"{known}\"\nbind = \"{bound}\"\nfirst_port = {FIRST_PORT}\n\
+             address = \"{advertised}\"\nbind = \"{bound}\"\nfirst_port = {FIRST_PORT}\n\
              service = \"{service}\"\ndata_folder = \"{data}\"\nfirst_start = {first_start}\n\
              seeds = [{seeds}]\nheartbeat_ms = 500\nstop_grace_s = {grace}\n\
              [listen]\n{listen}admin = \"{bound}:{ADMIN_PORT}\"\n\
@@ -201,21 +204,21 @@
 
     fn write_settings(&self) -> Result<PathBuf, FleetError> {
         let file = self.folder.join("settings.toml");
-        fs::write(&file, self.settings()).map_err(failed(file.display().to_string()))?;
+        fs::write(&file, self.settings()).map_err(io_error(file.display().to_string()))?;
         Ok(file)
     }
 
-    /// Starts the process; its log is added to the one of earlier lives.
+    /// Starts the process; its log is appended to that of earlier processes.
     ///
     /// # Errors
     /// When it can't be started.
     pub fn start(&mut self) -> Result<(), FleetError> {
         let settings = self.write_settings()?;
-        let program = self.programs.at_start(self.machine, self.is_first_start);
+        let program = self.programs.for_start(self.machine, self.is_first_start);
         let file = self.folder.join("log");
         let log = OpenOptions::new().create(true).append(true).open(&file);
-        let log = log.map_err(failed(file.display().to_string()))?;
-        let errors = log.try_clone().map_err(failed("log"))?;
+        let log = log.map_err(io_error(file.display().to_string()))?;
+        let errors = log.try_clone().map_err(io_error("log"))?;
         let role = match self.machine {
             Machine::Control(_) => "control",
             Machine::Daemon(_) => "daemon",
@@ -229,7 +232,7 @@
             .stderr(Stdio::from(errors))
             .kill_on_drop(true)
             .spawn()
-            .map_err(failed(program.display().to_string()))?;
+            .map_err(io_error(program.display().to_string()))?;
         self.child = Some(child);
         self.is_first_start = false;
         Ok(())
@@ -240,40 +243,41 @@
         let id = self.child.as_ref().and_then(Child::id);
         let pid = id.and_then(|id| i32::try_from(id).ok());
         if let Some(pid) = pid.and_then(Pid::from_raw) {
-            // It may have ended meanwhile.
+            // The process may have exited already.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits for its exit.
     pub async fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended meanwhile.
+            // The process may have exited already.
             let _ = child.kill().await;
         }
     }
 
-    /// Stops the process as planned; returns whether it ended by itself within the grace time.
+    /// Makes a planned stop, and kills the process at the end of the grace time. Returns whether the process exited with
+    /// success within the grace time, or was not running.
     pub async fn stop(&mut self) -> bool {
         self.signal(Signal::TERM);
         let Some(mut child) = self.child.take() else {
             return true;
         };
-        let ended = tokio::time::timeout(GRACE, child.wait()).await;
-        let is_clean = matches!(&ended, Ok(Ok(status)) if status.success());
-        if ended.is_err() {
+        let exit = tokio::time::timeout(GRACE_TIME, child.wait()).await;
+        let has_exited_cleanly = matches!(&exit, Ok(Ok(status)) if status.success());
+        if exit.is_err() {
             let _ = child.kill().await;
         }
-        is_clean
+        has_exited_cleanly
     }
 
-    /// Whether the process has ended by itself.
+    /// Whether the process has exited without being stopped or killed by the soak.
     pub fn has_ended(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
 
-    /// Empties the data folder.
+    /// Deletes the data folder.
     ///
     /// # Errors
     /// When that fails.
@@ -281,13 +285,13 @@
         let data = self.folder.join("data");
         match fs::remove_dir_all(&data) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => {
-                Err(failed(data.display().to_string())(error))
+                Err(io_error(data.display().to_string())(error))
             }
             _ => Ok(()),
         }
     }
 
-    /// Changes the settings file and tells the process so.
+    /// Changes the settings file and sends the process a reload signal.
     ///
     /// # Errors
     /// When the file can't be written.
@@ -298,7 +302,7 @@
         Ok(())
     }
 
-    /// Sets what happens to what others send and hear.
+    /// Sets how all relays of the machine treat bytes.
     pub fn set_relays(&self, mode: Mode) {
         for relay in &self.relays {
             relay.set(mode);
@@ -313,7 +317,7 @@
     }
 }
 
-/// The service of the endpoint beside a daemon, of so many services.
+/// The service of the endpoint beside a daemon, given the number of services.
 pub fn service_of(daemon: usize, services: usize) -> &'static str {
     SERVICES[daemon % services]
 }
--- a/crates/bramblewheel-soak/src/foreign.rs
+++ b/crates/bramblewheel-soak/src/foreign.rs
@@ -1,7 +1,7 @@
-//! Another writer: sends heartbeats to a daemon that are not of the endpoint beside it, and deregistrations of endpoints
-//! elsewhere.
+//! A foreign sender: sends a daemon heartbeats that don't come from the endpoint beside it, and deregistrations of
+//! endpoints beside other daemons.
 //!
-//! Owns nothing; what is drawn depends on the soak's seed and the step. Relies on the endpoints for what such a writer can know.
+//! The soak's seed and the step determine the messages. Ids, start times and addresses are those of real endpoints.
 
 use crate::endpoint::EndpointIdentity;
 use crate::endpoint_interface;
@@ -16,27 +16,28 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between two foreign heartbeats.
-const PERIOD: Duration = Duration::from_millis(40);
-/// Sequence numbers by which a heartbeat is far ahead of the endpoint's own.
+/// Time between two foreign messages.
+const MESSAGE_PERIOD: Duration = Duration::from_millis(40);
+/// How far the sequence number of a [`Sequence::FarAhead`] heartbeat is ahead of the endpoint's own.
 const FAR_AHEAD: u64 = 1_000_000;
-/// Time by which a later start follows the endpoint's own, in milliseconds.
-const LATER: u64 = 600_000;
-/// Slots that a foreign heartbeat states.
-const SLOTS: u32 = 4_000_000_000;
-/// One in so many messages is a deregistration of an endpoint elsewhere.
-const DEREGISTRATION_IN: u32 = 8;
-
-/// Which messages of another writer are sent.
+/// How much later than the endpoint's own the start time of a [`Start::Later`] heartbeat is, in milliseconds.
+const LATER_START_MILLIS: u64 = 600_000;
+/// Slots that a foreign heartbeat reports.
+const REPORTED_SLOTS: u32 = 4_000_000_000;
+/// On average, one in this many messages is a deregistration of an endpoint beside another daemon.
+const MESSAGES_PER_DEREGISTRATION: u32 = 8;
+
+/// Which foreign messages are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForeignMessages {
-    /// Heartbeats, and deregistrations of endpoints elsewhere.
+    /// Heartbeats, and deregistrations of endpoints beside other daemons.
     All,
-    /// Heartbeats alone: control replicas that don't ask which daemon reports an end take the deregistrations.
+    /// Heartbeats only: control replicas that don't check which daemon reports the end of an endpoint accept such
+    /// deregistrations.
     Heartbeats,
 }
 
-/// Whose id a message names.
+/// Endpoint whose id a heartbeat carries.
 #[derive(Clone, Copy, Debug)]
 enum Id {
     Own,
@@ -44,7 +45,7 @@
     Unknown,
 }
 
-/// Which start it names.
+/// Start time that a heartbeat carries, relative to the endpoint's own.
 #[derive(Clone, Copy, Debug)]
 enum Start {
     Missing,
@@ -53,7 +54,7 @@
     Later,
 }
 
-/// Which sequence number it has.
+/// Sequence number of a heartbeat, relative to the endpoint's own.
 #[derive(Clone, Copy, Debug)]
 enum Sequence {
     Behind,
@@ -61,7 +62,7 @@
     FarAhead,
 }
 
-/// Contents of one foreign heartbeat.
+/// Form of a foreign heartbeat; its Debug text is the evidence when a daemon acknowledges one.
 #[derive(Clone, Copy, Debug)]
 struct Form {
     service: &'static str,
@@ -72,7 +73,7 @@
     state: &'static str,
 }
 
-/// A value of a list.
+/// Picks a random value of a list.
 fn one_of<T: Copy>(random: &mut Pcg64Mcg, values: &[T]) -> T {
     values[random.random_range(0..values.len())]
 }
@@ -108,7 +109,7 @@
             Start::Missing => None,
             Start::Earlier => Some(1),
             Start::Same => Some(named.started_unix_millis),
-            Start::Later => Some(named.started_unix_millis + LATER),
+            Start::Later => Some(named.started_unix_millis + LATER_START_MILLIS),
         }
     }
 
@@ -121,7 +122,7 @@
     }
 }
 
-/// A message of another writer, ready to be sent.
+/// A foreign message, ready to be sent.
 struct Message {
     is_deregistration: bool,
     form: String,
@@ -136,7 +137,7 @@
         elsewhere: &EndpointIdentity,
         other_service: &'static str,
     ) -> Self {
-        if random.random_ratio(1, DEREGISTRATION_IN) {
+        if random.random_ratio(1, MESSAGES_PER_DEREGISTRATION) {
             return Self {
                 is_deregistration: true,
                 form: "deregistration of an endpoint elsewhere".to_owned(),
@@ -157,7 +158,7 @@
                 elsewhere.address
             },
             zone: "north",
-            slots: SLOTS,
+            slots: REPORTED_SLOTS,
             state: form.state,
             sequence: form.sequence(named),
             started: form.started(named),
@@ -172,13 +173,13 @@
 }
 
 impl Soak {
-    /// Sends foreign heartbeats to a daemon for the time of the step.
+    /// Sends foreign messages to a daemon for the duration of the step.
     pub(crate) async fn send_foreign_heartbeats(&self, daemon: usize, step: Step) {
         let at = u64::try_from(step.at.as_millis()).unwrap_or(u64::MAX);
         let mut random = Pcg64Mcg::seed_from_u64(self.seed ^ at.rotate_left(16));
         let end = Instant::now() + step.lasts;
         while Instant::now() < end {
-            tokio::time::sleep(PERIOD).await;
+            tokio::time::sleep(MESSAGE_PERIOD).await;
             let elsewhere = (daemon + random.random_range(1..self.daemons.max(2))) % self.daemons;
             let own = self.identity_beside(daemon).await;
             let elsewhere = self.identity_beside(elsewhere).await;
--- a/crates/bramblewheel-soak/src/history.rs
+++ b/crates/bramblewheel-soak/src/history.rs
@@ -1,5 +1,5 @@
-//! What callers, endpoints and operators saw, in the order of their clocks: one, since all run in the
-//! soak's own process.
+//! Records what callers, endpoints and operators observed. All of them run in the soak's process, so one clock
+//! orders all events.
 
 pub use bramblewheel_platform_client::Kind;
 
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Time since the soak began.
-pub type At = Duration;
+pub type Timestamp = Duration;
 
 /// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -17,68 +17,68 @@
     Answer {
         /// Status.
         status: u16,
-        /// Endpoint that the proof names, if there is one.
+        /// Endpoint that the proof header names, if there is one.
         proof: Option<String>,
-        /// Whether the body is the one that this endpoint gives to this request.
+        /// Whether the body is the one that this endpoint sends for this request.
         is_own_body: bool,
     },
-    /// No connection came up; nothing was sent.
+    /// No connection was established; nothing was sent.
     NotSent,
     /// The connection ended before a complete answer.
     Broken,
-    /// The caller waited for longer than the request's deadline and a margin.
+    /// No answer came within the request's deadline and a margin.
     Unanswered,
     /// The caller stopped reading an answer that had begun.
     Abandoned,
 }
 
-/// A request of a caller.
+/// A request of a caller, or a call of an endpoint.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Request id.
     pub id: String,
     /// Its kind.
     pub kind: Kind,
     /// Daemon it was sent to.
     pub daemon: usize,
     /// When it was sent.
-    pub sent: At,
-    /// Time that it has: its caller's or its route's.
-    pub allowed: Duration,
-    /// When its last byte was sent, if it was.
-    pub whole_at: Option<At>,
-    /// The request that an endpoint makes it for; none of a caller's.
-    pub called_by: Option<String>,
+    pub sent: Timestamp,
+    /// Time limit of the caller or of the route, whichever is shorter.
+    pub time_limit: Duration,
+    /// When its last byte was sent; none if it was not.
+    pub body_sent_at: Option<Timestamp>,
+    /// Request that the calling endpoint runs; none for a request of a caller.
+    pub parent_id: Option<String>,
     /// When and how it ended.
-    pub ended: Option<(At, End)>,
+    pub ended: Option<(Timestamp, End)>,
 }
 
 /// A request that is about to be sent.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    /// Its id.
+pub struct NewRequest {
+    /// Request id.
     pub id: String,
     /// Its kind.
     pub kind: Kind,
     /// Daemon it is sent to.
     pub daemon: usize,
-    /// Time that it has.
-    pub allowed: Duration,
-    /// The request that an endpoint makes it for.
-    pub called_by: Option<String>,
-    /// Whether its body takes a while to send.
+    /// Time limit of the caller or of the route, whichever is shorter.
+    pub time_limit: Duration,
+    /// Request that the calling endpoint runs; none for a request of a caller.
+    pub parent_id: Option<String>,
+    /// Whether its body is sent slowly.
     pub is_sent_slowly: bool,
 }
 
-impl Asked {
-    /// A short request of a caller.
-    pub fn short(id: String, kind: Kind, daemon: usize, allowed: Duration) -> Self {
+impl NewRequest {
+    /// A request of a caller whose body is sent at once.
+    pub fn short(id: String, kind: Kind, daemon: usize, time_limit: Duration) -> Self {
         Self {
             id,
             kind,
             daemon,
-            allowed,
-            called_by: None,
+            time_limit,
+            parent_id: None,
             is_sent_slowly: false,
         }
     }
@@ -87,76 +87,76 @@
 /// How a run ended at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The endpoint wrote its answer to the end.
+    /// The endpoint wrote its whole answer.
     Answered,
-    /// The endpoint broke it off, or ended itself.
+    /// The endpoint broke its answer off, crashed or stopped.
     BrokenOff,
-    /// The connection to the endpoint was closed while it was at work.
+    /// The connection to the endpoint was closed while the request ran.
     Dropped,
 }
 
-/// A request that an endpoint began to run.
+/// One run of a request at an endpoint.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Its id.
+    /// Request id.
     pub id: String,
     /// Endpoint.
     pub endpoint: String,
-    /// When this start of the endpoint began, in Unix milliseconds.
+    /// Start time of the endpoint, in Unix milliseconds.
     pub started: u64,
     /// Daemon beside the endpoint.
     pub daemon: usize,
-    /// Service that the request was said to come from.
+    /// Service that the request named as its caller's.
     pub caller_service: Option<String>,
     /// When it arrived.
-    pub at: At,
+    pub at: Timestamp,
     /// When and how it ended.
-    pub ended: Option<(At, RunEnd)>,
+    pub ended: Option<(Timestamp, RunEnd)>,
 }
 
-/// An acknowledgement that a start of an endpoint leaves.
+/// A heartbeat of a draining endpoint that the daemon acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Leaving {
+pub struct AcknowledgedDrain {
     /// Endpoint.
     pub endpoint: String,
-    /// When this start of it began, in Unix milliseconds.
+    /// Start time of the endpoint, in Unix milliseconds.
     pub started: u64,
     /// When it was acknowledged.
-    pub at: At,
+    pub at: Timestamp,
 }
 
-/// What another writer sent to a daemon as of the endpoint beside it, or of one elsewhere.
+/// A message that a foreign sender sent to a daemon in the name of the endpoint beside it or of another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ForeignMessage {
     /// Daemon that it was sent to.
     pub daemon: usize,
-    /// What it said.
+    /// Contents of the message.
     pub form: String,
     /// Whether the daemon acknowledged it.
     pub is_acknowledged: bool,
 }
 
-/// A process that ended although nobody had stopped or killed it.
+/// A process that exited although the soak had neither stopped nor killed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndedProcess {
+pub struct UnexpectedExit {
     /// Where it ran.
     pub machine: Machine,
-    /// When that was noticed.
-    pub at: At,
+    /// When the exit was detected.
+    pub at: Timestamp,
 }
 
-/// An order of an operator.
+/// A configuration change that an operator ordered.
 #[derive(Clone, Debug)]
 pub struct Order {
     /// Version ordered.
     pub version: u64,
-    /// Version it builds on.
+    /// Version that it replaces.
     pub parent: u64,
     /// Text of the configuration.
     pub text: String,
-    /// When it was acknowledged, if it was.
-    pub acknowledged: Option<At>,
-    /// Whether it was refused for good.
+    /// When it was acknowledged; none if it was not.
+    pub acknowledged: Option<Timestamp>,
+    /// Whether it was refused.
     pub is_refused: bool,
 }
 
@@ -164,7 +164,7 @@
 #[derive(Clone, Debug)]
 pub struct Read {
     /// When it was sent.
-    pub sent: At,
+    pub sent: Timestamp,
     /// Text of the answer.
     pub text: String,
 }
@@ -172,68 +172,68 @@
 /// A daemon's answer to a request that shows which configuration is in force there.
 #[derive(Clone, Debug)]
 pub struct Probe {
-    /// Daemon asked.
+    /// Daemon that was probed.
     pub daemon: usize,
-    /// Process of the daemon, counted from its starts.
-    pub life: u64,
-    /// Version whose route was asked for.
+    /// Generation of the daemon's process.
+    pub generation: u64,
+    /// Version whose route was requested.
     pub version: u64,
     /// When it was sent.
-    pub sent: At,
+    pub sent: Timestamp,
     /// When it was answered.
-    pub answered: At,
-    /// Whether the daemon knew the route.
-    pub is_known: bool,
+    pub answered: Timestamp,
+    /// Whether the daemon had the route.
+    pub has_route: bool,
 }
 
-/// A planned stop of a daemon that no other fault was near.
+/// A planned stop of a daemon with no other fault near it.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedStop {
     /// Daemon.
     pub daemon: usize,
-    /// When it was told to stop.
-    pub told: At,
-    /// When its process had ended.
-    pub ended: At,
-    /// Whether it ended within the grace time.
+    /// When the stop was requested.
+    pub requested: Timestamp,
+    /// When its process had exited.
+    pub ended: Timestamp,
+    /// Whether it exited with success within the grace time.
     pub is_in_time: bool,
 }
 
-/// Everything that was seen.
+/// Everything that was recorded.
 #[derive(Clone, Debug, Default)]
 pub struct Events {
-    /// Requests of callers.
+    /// Requests of callers and calls of endpoints.
     pub requests: Vec<Request>,
     /// Runs at endpoints.
     pub runs: Vec<Run>,
-    /// Acknowledgements that an endpoint leaves.
-    pub leaving: Vec<Leaving>,
-    /// Orders.
+    /// Acknowledged heartbeats of draining endpoints.
+    pub acknowledged_drains: Vec<AcknowledgedDrain>,
+    /// Configuration changes.
     pub orders: Vec<Order>,
-    /// Reads.
+    /// Reads of the configuration.
     pub reads: Vec<Read>,
-    /// Probes.
+    /// Probes of the routes in force.
     pub probes: Vec<Probe>,
-    /// Processes that ended by themselves, each time with the machine.
-    pub ended_processes: Vec<EndedProcess>,
-    /// Heartbeats and deregistrations of another writer.
+    /// Unexpected exits of processes.
+    pub unexpected_exits: Vec<UnexpectedExit>,
+    /// Heartbeats and deregistrations of a foreign sender.
     pub foreign: Vec<ForeignMessage>,
-    /// Daemons, each with an endpoint that must have work after the last fault; 0 where that is not checked.
+    /// Number of daemons whose endpoints must receive requests after the last fault; 0 where that is not checked.
     pub daemons: usize,
     /// Planned stops.
     pub planned_stops: Vec<PlannedStop>,
-    /// When the first fault struck, where service before it is the measure of service after the last; without it, nearly
-    /// every request after the last must be served.
-    pub first_fault: Option<At>,
-    /// Whether callers ask for more at the usual load than endpoints have slots for.
+    /// When the first fault was injected, if the served share before it is the reference for the served share after the
+    /// last fault; if none, nearly every request after the last fault must be served.
+    pub first_fault: Option<Timestamp>,
+    /// Whether the usual load exceeds the capacity of the endpoints.
     pub is_overloaded: bool,
-    /// When the last fault had ended and all processes ran.
-    pub calm_since: At,
+    /// When the last fault had ended and all processes were running.
+    pub last_fault_ended: Timestamp,
     /// When callers stopped.
-    pub ended: At,
+    pub ended: Timestamp,
 }
 
-/// A recorder that all parts of the soak share.
+/// Recorder of events, shared by all parts of the soak.
 #[derive(Clone, Debug)]
 pub struct History {
     begun: Instant,
@@ -250,56 +250,56 @@
 }
 
 impl History {
-    /// The time since the soak began.
-    pub fn now(&self) -> At {
+    /// Returns the time since the soak began.
+    pub fn now(&self) -> Timestamp {
         self.begun.elapsed()
     }
 
-    /// What was seen so far.
+    /// Locks the events recorded so far.
     pub fn events(&self) -> MutexGuard<'_, Events> {
         self.events
             .lock()
-            .expect("a panic under the lock ends the soak, so the lock is never poisoned")
+            .expect("a panic while the lock is held ends the soak, so the lock is never poisoned")
     }
 
-    /// Notes a request before it is sent; returns its number.
-    pub fn begin(&self, asked: Asked) -> usize {
+    /// Records a request before it is sent; returns its number.
+    pub fn record_request(&self, request: NewRequest) -> usize {
         let sent = self.now();
         let requests = &mut self.events().requests;
         requests.push(Request {
-            id: asked.id,
-            kind: asked.kind,
-            daemon: asked.daemon,
+            id: request.id,
+            kind: request.kind,
+            daemon: request.daemon,
             sent,
-            allowed: asked.allowed,
-            whole_at: (!asked.is_sent_slowly).then_some(sent),
-            called_by: asked.called_by,
+            time_limit: request.time_limit,
+            body_sent_at: (!request.is_sent_slowly).then_some(sent),
+            parent_id: request.parent_id,
             ended: None,
         });
         requests.len() - 1
     }
 
-    /// Notes that the last byte of a request was sent.
-    pub fn note_whole(&self, number: usize) {
+    /// Records that the last byte of a request was sent.
+    pub fn record_body_sent(&self, number: usize) {
         let at = self.now();
-        self.events().requests[number].whole_at = Some(at);
+        self.events().requests[number].body_sent_at = Some(at);
     }
 
-    /// Notes the end of a request.
-    pub fn end(&self, number: usize, end: End) {
+    /// Records the end of a request.
+    pub fn record_end(&self, number: usize, end: End) {
         let at = self.now();
         self.events().requests[number].ended = Some((at, end));
     }
 
-    /// Notes that an endpoint begins to run a request; returns the run's number.
-    pub fn run_begins(&self, run: Run) -> usize {
+    /// Records that an endpoint begins to run a request; returns the number of the run.
+    pub fn record_run(&self, run: Run) -> usize {
         let runs = &mut self.events().runs;
         runs.push(run);
         runs.len() - 1
     }
 
-    /// Notes the end of a run, unless it has ended.
-    pub fn run_ends(&self, number: usize, end: RunEnd) {
+    /// Records the end of a run, unless one is recorded already.
+    pub fn record_run_end(&self, number: usize, end: RunEnd) {
         let at = self.now();
         self.events().runs[number].ended.get_or_insert((at, end));
     }
--- a/crates/bramblewheel-soak/src/lib.rs
+++ b/crates/bramblewheel-soak/src/lib.rs
@@ -1,13 +1,13 @@
-//! A randomized fault soak: control replicas and daemons run as real processes on loopback
-//! addresses, faults strike them from outside, and what callers, endpoints and operators saw is
-//! checked against the promises.
+//! Randomized fault soak: runs control replicas and daemons as real processes on loopback addresses,
+//! injects faults from outside, and checks what callers, endpoints and operators observed against the promises.
 //!
-//! One seed gives one plan of faults. Real processes don't repeat to the millisecond, so a seed that
+//! The seed determines the fault plan. The timing of real processes still varies between runs, so a seed that
 //! failed once is run again several times (`seeds.txt`).
 
 pub mod check;
 pub mod endpoint;
 mod endpoint_interface;
+mod fault_injection;
 pub mod fleet;
 pub mod foreign;
 pub mod history;
@@ -17,7 +17,6 @@
 pub mod relay;
 pub mod run;
 pub mod stop_plan;
-mod strike;
 pub mod traffic;
 pub mod workload;
 mod workload_traffic;
--- a/crates/bramblewheel-soak/src/load.rs
+++ b/crates/bramblewheel-soak/src/load.rs
@@ -1,6 +1,7 @@
-//! What goes on during a soak whatever strikes: callers, probes of the configuration, operators.
+//! Background tasks that run through a whole soak: callers, probes of the configuration, operators and the restart of
+//! endpoints and processes.
 
-use crate::history::{Asked, EndedProcess, Kind, Probe, Read};
+use crate::history::{Kind, NewRequest, Probe, Read, UnexpectedExit};
 use crate::operator::Operators;
 use crate::plan::Size;
 use crate::run::Soak;
@@ -15,16 +16,16 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Mean time between two requests to a daemon.
+/// Mean time between two requests of the plain callers of a daemon.
 const REQUEST_PERIOD: Duration = Duration::from_millis(50);
 /// Time between two requests on a kept connection.
 const KEPT_PERIOD: Duration = Duration::from_millis(40);
-/// Mean time between two sends of the request that ends endpoints.
+/// Mean time between two sends of the fatal request.
 const FATAL_PERIOD: Duration = Duration::from_millis(400);
 /// Time between two probes of a daemon's configuration.
 const PROBE_PERIOD: Duration = Duration::from_millis(250);
 
-/// Requests of callers at one daemon.
+/// Sends plain requests to one daemon, each on a connection of its own.
 pub(crate) async fn callers(soak: Arc<Soak>, daemon: usize) {
     let mut random = Pcg64Mcg::seed_from_u64(soak.seed ^ (daemon as u64) << 32);
     let mut calls = JoinSet::new();
@@ -51,7 +52,7 @@
     while calls.join_next().await.is_some() {}
 }
 
-/// A caller that keeps its connection for as long as the daemon's process does.
+/// Sends plain requests to one daemon on one connection, which is replaced only when it breaks.
 pub(crate) async fn kept_callers(soak: Arc<Soak>, daemon: usize) {
     let mut kept = None;
     let mut number = 0_u64;
@@ -70,7 +71,7 @@
     }
 }
 
-/// The request that ends endpoints, from half of the faults on: at any daemon, under a new id each time.
+/// Sends the fatal request to random daemons under a new id each time, beginning at half of the soak's length.
 pub(crate) async fn fatal_callers(soak: Arc<Soak>, size: Size) {
     let mut random = Pcg64Mcg::seed_from_u64(soak.seed ^ 1 << 51);
     tokio::time::sleep(size.length / 2).await;
@@ -95,7 +96,7 @@
     while calls.join_next().await.is_some() {}
 }
 
-/// Starts the endpoint beside a daemon again whenever a request has ended it.
+/// Starts a new endpoint beside a daemon whenever a request has crashed its endpoint.
 pub(crate) async fn restart_ended(soak: Arc<Soak>, daemon: usize) {
     while !soak.is_over() {
         tokio::time::sleep(REQUEST_PERIOD).await;
@@ -103,12 +104,12 @@
     }
 }
 
-/// Notes processes that end by themselves, and starts them again as whoever runs them does.
+/// Records processes that exit unexpectedly and starts them again, as a service manager does.
 pub(crate) async fn watch_processes(soak: Arc<Soak>) {
     while !soak.is_over() {
         tokio::time::sleep(PROBE_PERIOD).await;
         for (machine, host) in &soak.hosts {
-            // One that is being stopped or killed is no matter of this.
+            // A locked host may be in the middle of a stop or kill; it is checked again in the next round.
             let Ok(mut host) = host.try_lock() else {
                 continue;
             };
@@ -116,12 +117,12 @@
                 continue;
             }
             let at = soak.history.now();
-            let ended = EndedProcess {
+            let ended = UnexpectedExit {
                 machine: *machine,
                 at,
             };
-            soak.history.events().ended_processes.push(ended);
-            soak.count_life(*machine);
+            soak.history.events().unexpected_exits.push(ended);
+            soak.advance_generation(*machine);
             if let Err(error) = host.start() {
                 println!("{machine:?} not started again: {error}");
             }
@@ -129,7 +130,7 @@
     }
 }
 
-/// Asks a daemon again and again for routes that came with some version.
+/// Probes whether a daemon has the routes of recent versions.
 pub(crate) async fn probes(soak: Arc<Soak>, daemon: usize) {
     let mut random = Pcg64Mcg::seed_from_u64(soak.seed ^ (daemon as u64) << 40);
     let mut number = 0_u64;
@@ -137,8 +138,12 @@
         tokio::time::sleep(PROBE_PERIOD).await;
         let version = {
             let events = soak.history.events();
-            let taken = events.orders.iter().filter(|o| o.acknowledged.is_some());
-            let newest: Vec<u64> = taken.rev().take(3).map(|order| order.version).collect();
+            let acknowledged = events.orders.iter().filter(|o| o.acknowledged.is_some());
+            let newest: Vec<u64> = acknowledged
+                .rev()
+                .take(3)
+                .map(|order| order.version)
+                .collect();
             if newest.is_empty() {
                 continue;
             }
@@ -150,10 +155,10 @@
 }
 
 async fn probe(soak: &Soak, daemon: usize, version: u64, id: &str) {
-    let life = || soak.lives[daemon].load(Ordering::SeqCst);
-    let (before, sent) = (life(), soak.history.now());
-    let asked = Asked::short(id.to_owned(), Kind::Repeatable, daemon, DEADLINE);
-    let request = soak.history.begin(asked);
+    let generation = || soak.process_generations[daemon].load(Ordering::SeqCst);
+    let (before, sent) = (generation(), soak.history.now());
+    let new_request = NewRequest::short(id.to_owned(), Kind::Repeatable, daemon, DEADLINE);
+    let request = soak.history.record_request(new_request);
     let call = Call {
         method: Method::POST,
         path: &wire::probe_path(version),
@@ -161,32 +166,32 @@
         body: Bytes::new(),
     };
     let answer = send(soak.addresses.outbound(daemon), call, DEADLINE + MARGIN).await;
-    soak.history.end(request, end_of(&answer, id));
+    soak.history.record_end(request, end_of(&answer, id));
     let Ok(answer) = answer else {
         return;
     };
-    let is_known = match answer.status {
+    let has_route = match answer.status {
         StatusCode::NOT_FOUND => false,
         StatusCode::SERVICE_UNAVAILABLE => return,
         _ => true,
     };
-    if before != life() {
+    if before != generation() {
         return;
     }
     let answered = soak.history.now();
     soak.history.events().probes.push(Probe {
         daemon,
-        life: before,
+        generation: before,
         version,
         sent,
         answered,
-        is_known,
+        has_route,
     });
 }
 
-/// Changes and reads of the operators, and a read at the end.
+/// Runs the operators' changes and reads, with a last read at the end.
 pub(crate) async fn operate(soak: Arc<Soak>, mut operators: Operators) {
-    const LAST_READ_TRIES: u32 = 30;
+    const LAST_READ_ATTEMPTS: u32 = 30;
     let mut random = Pcg64Mcg::seed_from_u64(soak.seed ^ 1 << 50);
     while !soak.is_over() {
         let pause = Duration::from_millis(random.random_range(200..1_500));
@@ -196,14 +201,14 @@
         }
         operators.read().await;
     }
-    for _ in 0..LAST_READ_TRIES {
+    for _ in 0..LAST_READ_ATTEMPTS {
         if operators.read().await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     let at = soak.history.now();
-    // No answer at all reads as an empty configuration.
+    // No replica answered: recorded as a read of an empty configuration, which the check reports.
     let mut events = soak.history.events();
     events.reads.push(Read {
         sent: at,
--- a/crates/bramblewheel-soak/src/main.rs
+++ b/crates/bramblewheel-soak/src/main.rs
@@ -3,7 +3,7 @@
 use bramblewheel_soak::fleet::{Addresses, Programs};
 use bramblewheel_soak::foreign::ForeignMessages;
 use bramblewheel_soak::plan::Size;
-use bramblewheel_soak::run::{Play, run};
+use bramblewheel_soak::run::{Scenario, run};
 use bramblewheel_soak::workload::draw::draw;
 use bramblewheel_soak::workload::file::read;
 use gumdrop::Options;
@@ -15,7 +15,7 @@
 const BROKEN: u8 = 1;
 /// Exit code when the soak could not be run.
 const NOT_RUN: u8 = 2;
-/// Loopback networks that soaks choose from, by the low bits of the seed.
+/// Range of loopback networks; the low bits of the seed select one, so that soaks can run side by side.
 const FIRST_NETWORK: u8 = 64;
 const NETWORKS: u64 = 64;
 
@@ -60,12 +60,12 @@
 async fn main() -> ExitCode {
     let flags = Flags::parse_args_default_or_exit();
     let seed = flags.seed.unwrap_or_else(rand::random);
-    let play = match flags.planned_stops.as_deref() {
-        None if flags.no_foreign_deregistrations => Play::Faults(ForeignMessages::Heartbeats),
-        None => Play::Faults(ForeignMessages::All),
-        Some("drawn") => Play::PlannedStops(draw(seed)),
+    let scenario = match flags.planned_stops.as_deref() {
+        None if flags.no_foreign_deregistrations => Scenario::Faults(ForeignMessages::Heartbeats),
+        None => Scenario::Faults(ForeignMessages::All),
+        Some("drawn") => Scenario::PlannedStops(draw(seed)),
         Some(file) => match read(Path::new(file)) {
-            Ok(workload) => Play::PlannedStops(workload),
+            Ok(workload) => Scenario::PlannedStops(workload),
             Err(error) => {
                 eprintln!("bramblewheel-soak: {error}");
                 return ExitCode::from(NOT_RUN);
@@ -86,14 +86,23 @@
         daemons: flags.daemons,
         length: Duration::from_secs(flags.seconds),
     };
-    let offset = u8::try_from(seed % NETWORKS).expect("fewer than 256 networks");
+    let offset = u8::try_from(seed % NETWORKS).expect("NETWORKS is below 256");
     let network = FIRST_NETWORK + offset;
     let programs = Programs {
         current: flags.program,
         earlier_replica: flags.earlier_replica_program,
     };
     println!("seed {seed}, logs in {}", folder.display());
-    let verdict = match run(seed, &play, size, Addresses { network }, &programs, &folder).await {
+    let verdict = match run(
+        seed,
+        &scenario,
+        size,
+        Addresses { network },
+        &programs,
+        &folder,
+    )
+    .await
+    {
         Ok(verdict) => verdict,
         Err(error) => {
             eprintln!("bramblewheel-soak: {error}");
--- a/crates/bramblewheel-soak/src/operator.rs
+++ b/crates/bramblewheel-soak/src/operator.rs
@@ -1,4 +1,5 @@
-//! Operators: one after the other, racing at times, and sending again what got no clear answer.
+//! Operators that change the configuration one after the other, sometimes two at once, and send a change again
+//! when its outcome is unclear.
 
 use crate::fleet::Addresses;
 use crate::history::{History, Order, Read};
@@ -11,13 +12,13 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Time for the answer to an order or read.
-const ANSWER_TIME: Duration = Duration::from_millis(3_000);
-/// Pause after an order that got no clear answer.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Part of the answers that the operator doesn't see.
-const LOST_ANSWERS: f64 = 0.1;
-/// Versions whose routes a configuration keeps besides its own.
+/// Longest wait for the answer to a change or read.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Pause after a change whose outcome is unclear.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Share of the answers that the operator ignores, as if they were lost.
+const LOST_ANSWER_PROBABILITY: f64 = 0.1;
+/// Number of earlier versions whose routes a configuration keeps besides its own.
 const KEPT_VERSIONS: usize = 30;
 
 /// The operators of a soak.
@@ -27,14 +28,14 @@
     addresses: Addresses,
     replicas: usize,
     random: Pcg64Mcg,
-    /// Newest version known to be in place.
+    /// Newest version that was acknowledged or read.
     current: u64,
-    known: Vec<u64>,
-    /// Routes that every configuration has.
+    kept_versions: Vec<u64>,
+    /// Routes that are part of every configuration.
     routes: Vec<wire::Route>,
 }
 
-/// What came of an order.
+/// Outcome of sending a change.
 enum Outcome {
     Acknowledged,
     Refused,
@@ -42,7 +43,7 @@
 }
 
 impl Operators {
-    /// Operators of a control group.
+    /// Creates the operators of a control group.
     pub fn new(
         history: History,
         addresses: Addresses,
@@ -56,35 +57,35 @@
             replicas,
             random: Pcg64Mcg::seed_from_u64(seed),
             current: 0,
-            known: Vec::new(),
+            kept_versions: Vec::new(),
             routes,
         }
     }
 
-    /// Makes one change, or two at once on the same version.
+    /// Makes one change, or two at once that build on the same version.
     pub async fn change(&mut self) {
         let is_race = self.random.random_bool(0.3);
         let step = self.random.random_range(1..4);
         let version = self.current + step;
-        let first = self.order(version, "anna");
+        let first = self.add_order(version, "anna");
         if !is_race {
-            return self.settle(first).await;
+            return self.send_until_settled(first).await;
         }
-        let second = self.order(version, "bjorn");
-        let (one, other) = (self.target(), self.target());
+        let second = self.add_order(version, "bjorn");
+        let (one, other) = (self.pick_replica(), self.pick_replica());
         let (one, other) = tokio::join!(self.send(one, first), self.send(other, second));
-        // Both are noted: a group that acknowledges both is at fault.
-        let is_first_taken = self.note(first, &one);
-        let is_second_taken = self.note(second, &other);
-        if is_first_taken || is_second_taken {
+        // Both outcomes are recorded, so that the check finds a group that acknowledges both.
+        let is_first_acknowledged = self.record_outcome(first, &one);
+        let is_second_acknowledged = self.record_outcome(second, &other);
+        if is_first_acknowledged || is_second_acknowledged {
             return;
         }
-        self.settle(first).await;
-        self.settle(second).await;
+        self.send_until_settled(first).await;
+        self.send_until_settled(second).await;
     }
 
-    fn order(&mut self, version: u64, author: &str) -> usize {
-        let text = wire::configuration(version, &self.known, author, &self.routes);
+    fn add_order(&mut self, version: u64, author: &str) -> usize {
+        let text = wire::configuration(version, &self.kept_versions, author, &self.routes);
         let orders = &mut self.history.events().orders;
         orders.push(Order {
             version,
@@ -96,28 +97,28 @@
         orders.len() - 1
     }
 
-    fn target(&mut self) -> usize {
+    fn pick_replica(&mut self) -> usize {
         self.random.random_range(0..self.replicas)
     }
 
-    /// Sends an order until it is acknowledged or refused, or often in vain.
-    async fn settle(&mut self, number: usize) {
-        const TRIES: u32 = 30;
-        for _ in 0..TRIES {
-            let target = self.target();
-            let outcome = self.send(target, number).await;
-            let is_lost = self.random.random_bool(LOST_ANSWERS);
+    /// Sends a change until it is acknowledged or refused; gives up after `MAX_ATTEMPTS`.
+    async fn send_until_settled(&mut self, number: usize) {
+        const MAX_ATTEMPTS: u32 = 30;
+        for _ in 0..MAX_ATTEMPTS {
+            let replica = self.pick_replica();
+            let outcome = self.send(replica, number).await;
+            let is_lost = self.random.random_bool(LOST_ANSWER_PROBABILITY);
             if !is_lost {
-                self.note(number, &outcome);
+                self.record_outcome(number, &outcome);
                 if !matches!(outcome, Outcome::Unclear) {
                     return;
                 }
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    async fn send(&self, target: usize, number: usize) -> Outcome {
+    async fn send(&self, replica: usize, number: usize) -> Outcome {
         let (parent, text) = {
             let events = self.history.events();
             let order = &events.orders[number];
@@ -132,16 +133,16 @@
             ],
             body: Bytes::from(text),
         };
-        let address = self.addresses.admin(Machine::Control(target));
-        match send(address, call, ANSWER_TIME).await {
+        let address = self.addresses.admin(Machine::Control(replica));
+        match send(address, call, ANSWER_TIMEOUT).await {
             Ok(answer) if answer.status == StatusCode::OK => Outcome::Acknowledged,
             Ok(answer) if answer.status.is_client_error() => Outcome::Refused,
             _ => Outcome::Unclear,
         }
     }
 
-    /// Notes the outcome of an order; returns whether it is in place.
-    fn note(&mut self, number: usize, outcome: &Outcome) -> bool {
+    /// Records the outcome of a change; returns whether it was acknowledged.
+    fn record_outcome(&mut self, number: usize, outcome: &Outcome) -> bool {
         let at = self.history.now();
         let mut events = self.history.events();
         let order = &mut events.orders[number];
@@ -150,7 +151,7 @@
                 order.acknowledged.get_or_insert(at);
                 let version = order.version;
                 drop(events);
-                self.take(version);
+                self.record_version(version);
                 true
             }
             Outcome::Refused => {
@@ -161,27 +162,28 @@
         }
     }
 
-    fn take(&mut self, version: u64) {
+    fn record_version(&mut self, version: u64) {
         if version <= self.current {
             return;
         }
         self.current = version;
-        self.known.push(version);
-        if self.known.len() > KEPT_VERSIONS {
-            self.known.remove(0);
+        self.kept_versions.push(version);
+        if self.kept_versions.len() > KEPT_VERSIONS {
+            self.kept_versions.remove(0);
         }
     }
 
-    /// Newest version that was acknowledged.
+    /// Newest version that was acknowledged or read.
     pub fn current(&self) -> u64 {
         self.current
     }
 
-    /// Reads the configuration at any replica; also learns of a change whose answer was unclear.
+    /// Reads the configuration from a random replica; this also shows the outcome of an unclear change. Returns whether
+    /// the read succeeded.
     pub async fn read(&mut self) -> bool {
-        let target = self.target();
+        let replica = self.pick_replica();
         let sent = self.history.now();
-        let Ok(answer) = self.ask(target).await else {
+        let Ok(answer) = self.fetch(replica).await else {
             return false;
         };
         if answer.status != StatusCode::OK {
@@ -189,20 +191,20 @@
         }
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         if let Some(version) = wire::version_of(&text) {
-            self.take(version);
+            self.record_version(version);
         }
         self.history.events().reads.push(Read { sent, text });
         true
     }
 
-    async fn ask(&self, target: usize) -> Result<Answer, NoAnswer> {
+    async fn fetch(&self, replica: usize) -> Result<Answer, NoAnswer> {
         let call = Call {
             method: Method::GET,
             path: wire::READ,
             headers: &[],
             body: Bytes::new(),
         };
-        let address = self.addresses.admin(Machine::Control(target));
-        send(address, call, ANSWER_TIME).await
+        let address = self.addresses.admin(Machine::Control(replica));
+        send(address, call, ANSWER_TIMEOUT).await
     }
 }
--- a/crates/bramblewheel-soak/src/plan.rs
+++ b/crates/bramblewheel-soak/src/plan.rs
@@ -1,27 +1,27 @@
-//! What strikes when: one seed, one plan.
+//! Fault plans: a seed determines which faults are injected when.
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Time before the first fault, in which everything starts.
-pub(crate) const CALM_START: Duration = Duration::from_secs(5);
-/// Time after the end of a fault at a control replica before the next one: what was lost must be
-/// made up for first.
-const CONTROL_PAUSE: Duration = Duration::from_secs(6);
-/// Time around a planned stop that is checked in which nothing else happens.
-const STOP_MARGIN: Duration = Duration::from_secs(4);
-/// Time that a planned stop and the start after it take at most, and those of all daemons in turn.
-const STOP_TIME: Duration = Duration::from_secs(9);
-/// Pause between planned stops in turn.
+/// Time before the first fault, in which all processes start.
+pub(crate) const STARTUP_TIME: Duration = Duration::from_secs(5);
+/// Time between the end of a fault of a control replica and the next one: the control group must recover its lost
+/// state first.
+const CONTROL_RECOVERY_PAUSE: Duration = Duration::from_secs(6);
+/// Time before a planned stop in which no other fault may be active.
+const STOP_CLEARANCE: Duration = Duration::from_secs(4);
+/// Longest time that a planned stop with the following start takes, also when all daemons are stopped in turn.
+const MAX_STOP_TIME: Duration = Duration::from_secs(9);
+/// Pause between the planned stops of [`Fault::StopsInTurn`].
 pub const STOPS_PAUSE: Duration = Duration::from_millis(300);
-/// Steps of a series, and the pause between them.
+/// Number of steps of a series of reloads or kills.
 pub const SERIES_STEPS: u32 = 4;
-/// Pause between the steps of a series: they come before the one before has taken full effect.
+/// Pause between the steps of a series; short enough that the previous step has not taken full effect.
 pub const SERIES_PAUSE: Duration = Duration::from_millis(120);
 
-/// Tells the draws of foreign heartbeats from those of other faults.
-const FOREIGN_SEED: u64 = 1 << 52;
+/// Flips a bit of the seed, so that foreign heartbeats have a random sequence of their own.
+const FOREIGN_SEED_BIT: u64 = 1 << 52;
 
 /// A machine of the soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,65 +32,65 @@
     Daemon(usize),
 }
 
-/// What strikes.
+/// A kind of fault. "Duration" below is [`Step::lasts`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is killed, and started again after the time.
+    /// The process is killed, and started again after the duration.
     Kill(Machine),
-    /// The same, and its data folder is emptied meanwhile.
+    /// Like [`Fault::Kill`], but the data folder is deleted before the restart.
     KillAndWipe(Machine),
     /// All control replicas are killed at once.
     KillAllControl,
-    /// The process stands still for the time.
+    /// The process is suspended for the duration.
     Pause(Machine),
-    /// What others send to the machine is held for the time.
+    /// Traffic to the machine is held back for the duration.
     SilentInwards(Machine),
-    /// What the machine answers is held for the time.
+    /// Answers of the machine are held back for the duration.
     SilentOutwards(Machine),
-    /// Both.
+    /// Traffic in both directions is held back for the duration.
     Silent(Machine),
-    /// Every piece on its way to and from the machine is held for some milliseconds, for the time.
+    /// Every chunk to and from the machine is delayed by some milliseconds, for the duration.
     Delay(Machine, u64),
     /// Connections to the machine are reset.
     Reset(Machine),
-    /// The settings file changes and the process is told so.
+    /// The settings file changes and the process gets a reload signal.
     Reload(Machine),
-    /// The settings file changes again and again, and the process is told each time.
+    /// Several reloads in quick succession.
     ReloadSeries(Machine),
-    /// The process is killed and started again, several times in a row.
+    /// The process is killed and started again several times in quick succession.
     KillSeries(Machine),
     /// A planned stop; the process is started again.
     Stop(usize),
     /// A planned stop of a control replica; it is started again.
     StopControl(usize),
-    /// Callers send more: in percent of the usual load.
+    /// Callers send this percentage of the usual load.
     Surge(u32),
-    /// Planned stops of all daemons, one after the other before the last has ended; each is started again.
+    /// Planned stops of all daemons in turn, each begun before the previous one has finished; each is started again.
     StopsInTurn,
-    /// The endpoint dies without notice; another one starts beside the daemon.
+    /// The endpoint crashes; another one starts beside the daemon.
     EndpointCrash(usize),
-    /// The endpoint says that it leaves, serves on and ends; another one starts.
+    /// The endpoint reports that it drains, serves for a while longer and stops; another one starts.
     EndpointLeaves(usize),
-    /// The endpoint dies without notice and starts again under its id after the time.
+    /// The endpoint crashes and starts again under its id after the duration.
     EndpointRestart(usize),
-    /// The endpoint leaves as planned and starts again under its id.
+    /// The endpoint makes a planned stop and starts again under its id.
     EndpointRestartAfterLeaving(usize),
-    /// All endpoints die at once and start again under their ids after the time.
+    /// All endpoints crash at once and start again under their ids after the duration.
     AllEndpointsRestart,
-    /// Heartbeats that can't be read come under the endpoint's id.
+    /// Heartbeats that can't be parsed are sent under the endpoint's id.
     InvalidHeartbeats(usize),
-    /// Another writer sends readable heartbeats, which are not of the endpoint on the machine, for the time.
+    /// For the duration, valid heartbeats are sent to the daemon that don't come from the endpoint on its machine.
     ForeignHeartbeats(usize),
 }
 
-/// A fault and its time.
+/// A fault with its begin and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
     /// When it begins.
     pub at: Duration,
     /// How long it lasts.
     pub lasts: Duration,
-    /// What strikes.
+    /// The fault.
     pub fault: Fault,
 }
 
@@ -105,14 +105,14 @@
     pub length: Duration,
 }
 
-/// The steps of a seed, in order.
+/// Returns the fault plan of a seed, sorted by begin.
 pub fn plan(seed: u64, size: Size) -> Vec<Step> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut steps = control_steps(&mut random, size);
     steps.extend(daemon_steps(&mut random, size));
-    // Once a run, in its last third, all endpoints start again under their ids.
+    // Once per run, at five sixths of its length, all endpoints start again under their ids.
     steps.push(Step {
-        at: CALM_START + size.length * 5 / 6,
+        at: STARTUP_TIME + size.length * 5 / 6,
         lasts: millis(&mut random, 200..1_500),
         fault: Fault::AllEndpointsRestart,
     });
@@ -126,10 +126,10 @@
     Duration::from_millis(random.random_range(range))
 }
 
-/// One fault after the other: more losses at once than the group bears would rest service.
+/// Faults of control replicas, one at a time: losing more replicas than the group tolerates would interrupt service.
 fn control_steps(random: &mut impl Rng, size: Size) -> Vec<Step> {
-    let end = CALM_START + size.length;
-    let mut at = CALM_START + millis(random, 0..2_000);
+    let end = STARTUP_TIME + size.length;
+    let mut at = STARTUP_TIME + millis(random, 0..2_000);
     let mut steps = Vec::new();
     while at < end {
         let machine = Machine::Control(random.random_range(0..size.replicas));
@@ -146,16 +146,16 @@
         };
         let lasts = millis(random, 300..5_000);
         steps.push(Step { at, lasts, fault });
-        at += lasts + CONTROL_PAUSE + millis(random, 0..1_000);
+        at += lasts + CONTROL_RECOVERY_PAUSE + millis(random, 0..1_000);
     }
     steps
 }
 
 fn daemon_steps(random: &mut impl Rng, size: Size) -> Vec<Step> {
-    let end = CALM_START + size.length;
+    let end = STARTUP_TIME + size.length;
     let mut steps = Vec::new();
     let mut busy_until = vec![Duration::ZERO; size.daemons];
-    let mut at = CALM_START;
+    let mut at = STARTUP_TIME;
     while at < end {
         at += millis(random, 200..2_500);
         let number = random.random_range(0..size.daemons);
@@ -187,11 +187,11 @@
     steps
 }
 
-/// Foreign heartbeats come at any time, also while the daemon or a replica is struck, so that they are drawn apart.
+/// Foreign heartbeats may overlap with any other fault of the daemon or of a replica, so they are drawn separately.
 fn foreign_steps(seed: u64, size: Size) -> Vec<Step> {
-    let mut random = Pcg64Mcg::seed_from_u64(seed ^ FOREIGN_SEED);
-    let end = CALM_START + size.length;
-    let mut at = CALM_START;
+    let mut random = Pcg64Mcg::seed_from_u64(seed ^ FOREIGN_SEED_BIT);
+    let end = STARTUP_TIME + size.length;
+    let mut at = STARTUP_TIME;
     let mut steps = Vec::new();
     while at < end {
         at += millis(&mut random, 500..4_000);
@@ -204,15 +204,15 @@
     steps
 }
 
-/// Every 20 seconds a stop that nothing else is near.
+/// Adds a planned stop every 20 seconds and removes all other faults near it.
 fn add_planned_stops(random: &mut impl Rng, size: Size, steps: &mut Vec<Step>) {
     const PERIOD: Duration = Duration::from_secs(20);
-    let end = CALM_START + size.length;
-    let mut at = CALM_START + PERIOD;
+    let end = STARTUP_TIME + size.length;
+    let mut at = STARTUP_TIME + PERIOD;
     let mut is_first = true;
-    while at + STOP_TIME < end {
-        let free = (at.saturating_sub(STOP_MARGIN), at + STOP_TIME);
-        steps.retain(|step| step.at + step.lasts < free.0 || step.at > free.1);
+    while at + MAX_STOP_TIME < end {
+        let clear_window = (at.saturating_sub(STOP_CLEARANCE), at + MAX_STOP_TIME);
+        steps.retain(|step| step.at + step.lasts < clear_window.0 || step.at > clear_window.1);
         steps.push(Step {
             at,
             lasts: millis(random, 100..500),
--- a/crates/bramblewheel-soak/src/relay.rs
+++ b/crates/bramblewheel-soak/src/relay.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy in front of one listener: passes connections on, and harms them on demand.
+//! Loopback proxy in front of one listener: forwards connections, and delays, holds or resets them on demand.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,17 +9,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Size of one piece that is passed on.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Largest chunk that is forwarded at once.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a relay does with bytes. Held bytes go on once the relay passes again.
+/// How a relay treats bytes. Bytes that are held back are forwarded once the direction is no longer silent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mode {
-    /// Time that each piece is held.
+    /// Delay of each chunk.
     pub delay: Duration,
-    /// Nothing reaches the listener.
+    /// Whether bytes to the listener are held back.
     pub is_silent_inwards: bool,
-    /// Nothing comes back from the listener.
+    /// Whether bytes from the listener are held back.
     pub is_silent_outwards: bool,
 }
 
@@ -46,12 +46,12 @@
 }
 
 impl Relay {
-    /// Starts a relay at `known` for the listener at `target`.
+    /// Starts a relay at `listen_address` for the listener at `target`.
     ///
     /// # Errors
-    /// When `known` can't be bound.
-    pub async fn start(known: SocketAddr, target: SocketAddr) -> io::Result<Self> {
-        let listener = TcpListener::bind(known).await?;
+    /// When `listen_address` can't be bound.
+    pub async fn start(listen_address: SocketAddr, target: SocketAddr) -> io::Result<Self> {
+        let listener = TcpListener::bind(listen_address).await?;
         let relay = Self {
             mode: Arc::new(watch::Sender::new(Mode::default())),
             resets: Arc::new(watch::Sender::new(0)),
@@ -60,13 +60,13 @@
         tokio::spawn(async move {
             while let Ok((client, _)) = listener.accept().await {
                 let relay = serving.clone();
-                tokio::spawn(async move { relay.pass(client, target).await });
+                tokio::spawn(async move { relay.forward(client, target).await });
             }
         });
         Ok(relay)
     }
 
-    /// Sets what is done with bytes from now on.
+    /// Sets how bytes are treated from now on.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
@@ -76,10 +76,10 @@
         self.resets.send_modify(|resets| *resets += 1);
     }
 
-    async fn pass(&self, client: TcpStream, target: SocketAddr) {
+    async fn forward(&self, client: TcpStream, target: SocketAddr) {
         let mut resets = self.resets.subscribe();
         let Ok(server) = TcpStream::connect(target).await else {
-            // A dead listener resets.
+            // Reset, as the operating system does when no process listens.
             let _ = client.set_zero_linger();
             return;
         };
@@ -98,7 +98,7 @@
         if is_reset {
             let _ = from_client.as_ref().set_zero_linger();
             let _ = from_server.as_ref().set_zero_linger();
-            // Dropped as they are, the writing halves would end their streams first.
+            // Dropping the write halves would send a FIN before the reset.
             to_client.forget();
             to_server.forget();
         }
@@ -111,9 +111,9 @@
         direction: Direction,
     ) -> Option<()> {
         let mut mode = self.mode.subscribe();
-        let mut piece = vec![0; PIECE_BYTES];
+        let mut chunk = vec![0; CHUNK_BYTES];
         loop {
-            let count = from.read(&mut piece).await.ok()?;
+            let count = from.read(&mut chunk).await.ok()?;
             let passing = mode.wait_for(|mode| !mode.is_silent(direction)).await;
             let delay = passing.ok()?.delay;
             if !delay.is_zero() {
@@ -122,7 +122,7 @@
             if count == 0 {
                 return to.shutdown().await.ok();
             }
-            to.write_all(&piece[..count]).await.ok()?;
+            to.write_all(&chunk[..count]).await.ok()?;
         }
     }
 }
--- a/crates/bramblewheel-soak/src/run.rs
+++ b/crates/bramblewheel-soak/src/run.rs
@@ -1,6 +1,6 @@
-//! One soak from its start to its verdict.
+//! Runs one soak: starts the processes, injects the faults and checks the recorded history.
 
-use crate::check::{Breach, RECOVERY, check};
+use crate::check::{Breach, RECOVERY_TIME, check};
 use crate::endpoint::{Endpoint, EndpointSettings};
 use crate::fleet::{Addresses, FleetError, Host, Programs, service_of};
 use crate::foreign::ForeignMessages;
@@ -25,14 +25,14 @@
 use tokio::sync::Mutex;
 use tokio::task::JoinSet;
 
-/// Longest wait for the whole to serve at the beginning.
-const START_TIME: Duration = Duration::from_secs(15);
-/// Traffic after the time in which service must be back.
-const CALM_END: Duration = Duration::from_secs(5);
-/// Time after which an endpoint that a request ended is started again.
-const ENDED_FOR: Duration = Duration::from_millis(1_000);
+/// Longest wait at the beginning for all daemons to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time for which traffic continues after the recovery time, so that the recovered service can be checked.
+const OBSERVATION_TIME: Duration = Duration::from_secs(5);
+/// Time after which an endpoint that crashed while running a request is started again.
+const ENDPOINT_RESTART_DELAY: Duration = Duration::from_millis(1_000);
 
-/// What a soak found.
+/// Result of a soak.
 #[derive(Debug)]
 pub struct Verdict {
     /// Broken promises.
@@ -41,11 +41,11 @@
     pub requests: usize,
     /// Requests answered with success.
     pub served: usize,
-    /// Orders acknowledged.
+    /// Configuration changes that were acknowledged.
     pub orders: usize,
-    /// Faults that struck.
+    /// Faults that were injected.
     pub faults: usize,
-    /// Heartbeats and deregistrations that another writer sent.
+    /// Foreign heartbeats and deregistrations that were sent.
     pub foreign: usize,
 }
 
@@ -56,27 +56,27 @@
     pub(crate) daemons: usize,
     pub(crate) hosts: BTreeMap<Machine, Arc<Mutex<Host>>>,
     pub(crate) endpoints: Vec<Mutex<Option<Endpoint>>>,
-    /// Starts of each daemon's process.
-    pub(crate) lives: Vec<AtomicU64>,
+    /// Generation of each daemon's process; advances when the process ends and when it is started again.
+    pub(crate) process_generations: Vec<AtomicU64>,
     next_endpoint: AtomicU64,
     is_over: AtomicBool,
-    /// Load in percent of the usual one.
-    pub(crate) surge_percent: AtomicU32,
+    /// Load in percent of the usual load.
+    pub(crate) load_percent: AtomicU32,
     workload: Arc<Workload>,
     pub(crate) foreign_messages: ForeignMessages,
     pub(crate) seed: u64,
 }
 
-/// What a soak plays.
+/// Faults and traffic of a soak.
 #[derive(Clone, Debug)]
-pub enum Play {
-    /// Faults of all kinds, with plain callers.
+pub enum Scenario {
+    /// Faults of all kinds, with plain callers; no workload.
     Faults(ForeignMessages),
     /// Planned stops of all forms, with the callers of a workload.
     PlannedStops(Workload),
 }
 
-impl Play {
+impl Scenario {
     fn steps(&self, seed: u64, size: Size) -> Vec<Step> {
         match self {
             Self::Faults(_) => plan(seed, size),
@@ -99,20 +99,20 @@
     }
 }
 
-/// Runs the programs at `program` with the faults of a seed; files go to `folder`.
+/// Runs `programs` with the faults of a seed; settings, data and logs go to `folder`.
 ///
 /// # Errors
-/// [`FleetError`] when the soak itself can't go on.
+/// [`FleetError`] when the soak itself can't continue.
 pub async fn run(
     seed: u64,
-    play: &Play,
+    scenario: &Scenario,
     size: Size,
     addresses: Addresses,
     programs: &Programs,
     folder: &Path,
 ) -> Result<Verdict, FleetError> {
-    let steps = play.steps(seed, size);
-    let soak = Soak::prepare(seed, play, size, addresses, programs, folder);
+    let steps = scenario.steps(seed, size);
+    let soak = Soak::prepare(seed, scenario, size, addresses, programs, folder);
     let soak = Arc::new(soak.await?);
     for host in soak.hosts.values() {
         host.lock().await.start()?;
@@ -124,59 +124,64 @@
     let history = soak.history.clone();
     let mut operators = Operators::new(history, addresses, size.replicas, seed, routes);
     operators.change().await;
-    soak.until_ready().await;
+    soak.wait_until_ready().await;
     let mut background = JoinSet::new();
     for daemon in 0..size.daemons {
-        spawn_callers(&mut background, &soak, play, daemon);
+        spawn_callers(&mut background, &soak, scenario, daemon);
         background.spawn(probes(Arc::clone(&soak), daemon));
         background.spawn(restart_ended(Arc::clone(&soak), daemon));
     }
     background.spawn(watch_processes(Arc::clone(&soak)));
-    if matches!(play, Play::Faults(_)) {
+    if matches!(scenario, Scenario::Faults(_)) {
         background.spawn(fatal_callers(Arc::clone(&soak), size));
     }
-    if let (Play::PlannedStops(_), Some(first)) = (play, steps.first()) {
+    if let (Scenario::PlannedStops(_), Some(first)) = (scenario, steps.first()) {
         let at = soak.history.now() + first.at;
         let mut events = soak.history.events();
         events.first_fault = Some(at);
         events.is_overloaded = soak.workload.fills_slots();
     }
-    if matches!(play, Play::Faults(_)) {
+    if matches!(scenario, Scenario::Faults(_)) {
         soak.history.events().daemons = size.daemons;
     }
-    let operating = tokio::spawn(operate(Arc::clone(&soak), operators));
-    strike_all(&soak, &steps).await?;
-    let calm = soak.history.now();
-    soak.history.events().calm_since = calm;
-    tokio::time::sleep(RECOVERY + CALM_END).await;
+    let operations = tokio::spawn(operate(Arc::clone(&soak), operators));
+    inject_faults(&soak, &steps).await?;
+    let faults_ended = soak.history.now();
+    soak.history.events().last_fault_ended = faults_ended;
+    tokio::time::sleep(RECOVERY_TIME + OBSERVATION_TIME).await;
     soak.is_over.store(true, Ordering::Relaxed);
     while background.join_next().await.is_some() {}
-    // The operators end by themselves with a last read.
-    let _ = operating.await;
+    // The operators finish with a last read.
+    let _ = operations.await;
     for host in soak.hosts.values() {
         host.lock().await.kill().await;
     }
     Ok(soak.verdict(steps.len()))
 }
 
-fn spawn_callers(background: &mut JoinSet<()>, soak: &Arc<Soak>, play: &Play, daemon: usize) {
-    if matches!(play, Play::Faults(_)) {
+fn spawn_callers(
+    background: &mut JoinSet<()>,
+    soak: &Arc<Soak>,
+    scenario: &Scenario,
+    daemon: usize,
+) {
+    if matches!(scenario, Scenario::Faults(_)) {
         background.spawn(callers(Arc::clone(soak), daemon));
         background.spawn(kept_callers(Arc::clone(soak), daemon));
         return;
     }
-    let asked = soak.workload.kinds.iter();
-    for kind in asked.filter(|kind| kind.per_second > 0.0) {
-        let calling = workload_traffic::callers(Arc::clone(soak), daemon, kind.clone());
-        background.spawn(calling);
+    let kinds = soak.workload.kinds.iter();
+    for kind in kinds.filter(|kind| kind.per_second > 0.0) {
+        let caller = workload_traffic::callers(Arc::clone(soak), daemon, kind.clone());
+        background.spawn(caller);
     }
 }
 
-async fn strike_all(soak: &Arc<Soak>, steps: &[Step]) -> Result<(), FleetError> {
-    let begun = tokio::time::Instant::now();
-    let mut striking = JoinSet::new();
+async fn inject_faults(soak: &Arc<Soak>, steps: &[Step]) -> Result<(), FleetError> {
+    let start = tokio::time::Instant::now();
+    let mut injections = JoinSet::new();
     for step in steps {
-        tokio::time::sleep_until(begun + step.at).await;
+        tokio::time::sleep_until(start + step.at).await;
         println!(
             "{:8.2}s {:?} for {:?}",
             soak.history.now().as_secs_f64(),
@@ -184,10 +189,10 @@
             step.lasts
         );
         let (soak, step) = (Arc::clone(soak), *step);
-        striking.spawn(async move { soak.strike(step).await });
+        injections.spawn(async move { soak.inject(step).await });
     }
-    while let Some(struck) = striking.join_next().await {
-        struck.expect("a fault is carried out without a panic")?;
+    while let Some(result) = injections.join_next().await {
+        result.expect("fault injection does not panic")?;
     }
     Ok(())
 }
@@ -195,13 +200,13 @@
 impl Soak {
     async fn prepare(
         seed: u64,
-        play: &Play,
+        scenario: &Scenario,
         size: Size,
         addresses: Addresses,
         programs: &Programs,
         folder: &Path,
     ) -> Result<Self, FleetError> {
-        let workload = Arc::new(play.workload());
+        let workload = Arc::new(scenario.workload());
         let control = (0..size.replicas).map(Machine::Control);
         let machines = control.chain((0..size.daemons).map(Machine::Daemon));
         let mut hosts = BTreeMap::new();
@@ -222,17 +227,17 @@
             daemons: size.daemons,
             hosts,
             endpoints: (0..size.daemons).map(|_| Mutex::new(None)).collect(),
-            lives: (0..size.daemons).map(|_| AtomicU64::new(0)).collect(),
+            process_generations: (0..size.daemons).map(|_| AtomicU64::new(0)).collect(),
             next_endpoint: AtomicU64::new(0),
             is_over: AtomicBool::new(false),
-            surge_percent: AtomicU32::new(100),
+            load_percent: AtomicU32::new(100),
             workload,
-            foreign_messages: play.foreign_messages(),
+            foreign_messages: scenario.foreign_messages(),
             seed,
         })
     }
 
-    /// Starts the endpoint beside a daemon again if it has ended under a request.
+    /// Starts a new endpoint beside a daemon if its endpoint has crashed while running a request.
     pub(crate) async fn restart_if_ended(&self, daemon: usize) {
         let has_ended = |endpoint: &mut Option<Endpoint>| {
             let is_over = endpoint.as_ref().is_some_and(Endpoint::has_ended);
@@ -241,7 +246,7 @@
         if !has_ended(&mut *self.endpoints[daemon].lock().await) {
             return;
         }
-        tokio::time::sleep(ENDED_FOR).await;
+        tokio::time::sleep(ENDPOINT_RESTART_DELAY).await;
         if let Err(error) = self.start_endpoint(daemon).await {
             println!("endpoint beside daemon {daemon} not started again: {error}");
         }
@@ -252,7 +257,7 @@
         self.start_endpoint_as(daemon, format!("e-{number}")).await
     }
 
-    /// Starts an endpoint under an id that an earlier start may have had.
+    /// Starts an endpoint under the given id, which an earlier endpoint may have used.
     pub(crate) async fn start_endpoint_as(
         &self,
         daemon: usize,
@@ -272,18 +277,18 @@
         };
         let started = Endpoint::start(settings, self.history.clone());
         let endpoint = started.await.map_err(|error| FleetError::Io {
-            what: "endpoint".to_owned(),
+            context: "endpoint".to_owned(),
             error,
         })?;
         *self.endpoints[daemon].lock().await = Some(endpoint);
         Ok(())
     }
 
-    /// Until every daemon says that it is ready, or for long.
-    async fn until_ready(&self) {
-        let begun = tokio::time::Instant::now();
+    /// Waits until every daemon reports that it is ready, for [`READY_TIMEOUT`] at most.
+    async fn wait_until_ready(&self) {
+        let start = tokio::time::Instant::now();
         for daemon in 0..self.daemons {
-            while begun.elapsed() < START_TIME && !self.is_ready(daemon).await {
+            while start.elapsed() < READY_TIMEOUT && !self.is_ready(daemon).await {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
@@ -300,14 +305,14 @@
         answer.is_ok_and(|answer| answer.status == StatusCode::OK)
     }
 
-    /// Services of the endpoints.
+    /// Number of services.
     pub(crate) fn services(&self) -> usize {
         self.workload.services
     }
 
-    /// Factor of the usual load.
-    pub(crate) fn surge(&self) -> f64 {
-        f64::from(self.surge_percent.load(Ordering::Relaxed)) / 100.0
+    /// Load as a factor of the usual load.
+    pub(crate) fn load_factor(&self) -> f64 {
+        f64::from(self.load_percent.load(Ordering::Relaxed)) / 100.0
     }
 
     pub(crate) fn is_over(&self) -> bool {
@@ -323,12 +328,12 @@
         };
         let services = self.workload.services;
         let service = |daemon| service_of(daemon, services);
-        let is_taken = |order: &&crate::history::Order| order.acknowledged.is_some();
+        let is_acknowledged = |order: &&crate::history::Order| order.acknowledged.is_some();
         Verdict {
             breaches: check(&events, &service, &wire::version_of),
             requests: events.requests.len(),
             served: events.requests.iter().filter(is_served).count(),
-            orders: events.orders.iter().filter(is_taken).count(),
+            orders: events.orders.iter().filter(is_acknowledged).count(),
             faults,
             foreign: events.foreign.len(),
         }
--- a/crates/bramblewheel-soak/src/stop_plan.rs
+++ b/crates/bramblewheel-soak/src/stop_plan.rs
@@ -1,24 +1,24 @@
-//! Planned stops in all their forms, one after the other, and nothing unplanned beside them.
+//! Plans that exercise all patterns of planned stops, one after the other, without any unplanned fault.
 
-use crate::plan::{CALM_START, Fault, Machine, Size, Step, millis};
+use crate::plan::{Fault, Machine, STARTUP_TIME, Size, Step, millis};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Time between the beginnings of two forms: the last stop of one, and the start after it, are over.
+/// Time between the beginnings of two patterns; long enough for the last stop of a pattern and the start after it.
 const PERIOD: Duration = Duration::from_secs(13);
-/// Time by which a surge begins before the stops, so that queues are full when they come.
+/// Time by which a surge precedes the stops, so that queues are full when they begin.
 const SURGE_LEAD: Duration = Duration::from_millis(1_500);
 /// Length of a surge.
 const SURGE_TIME: Duration = Duration::from_secs(9);
-/// Loads of a surge, in percent of the usual one.
-const SURGES: std::ops::Range<u32> = 150..350;
+/// Load during a surge, in percent of the usual load.
+const SURGE_PERCENT: std::ops::Range<u32> = 150..350;
 
-/// The steps of a seed, in order.
+/// Returns the plan of a seed, sorted by begin.
 pub fn plan(seed: u64, size: Size) -> Vec<Step> {
     let mut random = Pcg64Mcg::seed_from_u64(seed ^ 0x570_9575);
-    let end = CALM_START + size.length;
-    let mut at = CALM_START + SURGE_LEAD;
+    let end = STARTUP_TIME + size.length;
+    let mut at = STARTUP_TIME + SURGE_LEAD;
     let mut steps = Vec::new();
     while at + PERIOD <= end {
         let is_in_surge = random.random_bool(0.6);
@@ -26,18 +26,18 @@
             steps.push(Step {
                 at: at - SURGE_LEAD,
                 lasts: SURGE_TIME,
-                fault: Fault::Surge(random.random_range(SURGES)),
+                fault: Fault::Surge(random.random_range(SURGE_PERCENT)),
             });
         }
-        steps.extend(one_form(&mut random, size, at));
+        steps.extend(stop_pattern(&mut random, size, at));
         at += PERIOD;
     }
     steps.sort_by_key(|step| step.at);
     steps
 }
 
-/// Stops of one form that begin at `at`.
-fn one_form(random: &mut Pcg64Mcg, size: Size, at: Duration) -> Vec<Step> {
+/// Steps of one pattern that begins at `at`.
+fn stop_pattern(random: &mut Pcg64Mcg, size: Size, at: Duration) -> Vec<Step> {
     let daemon = random.random_range(0..size.daemons);
     let other = (daemon + random.random_range(1..size.daemons)) % size.daemons;
     let step = |at, fault| Step {
@@ -48,9 +48,9 @@
     match random.random_range(0..9) {
         0 => vec![step(at, Fault::Stop(daemon))],
         1 => vec![step(at, Fault::StopsInTurn)],
-        2 => several(random, size, at, size.daemons.div_ceil(4)),
-        3 => several(random, size, at, size.daemons.div_ceil(2)),
-        // Two that may stand on one path, one shortly after the other.
+        2 => concurrent_stops(random, size, at, size.daemons.div_ceil(4)),
+        3 => concurrent_stops(random, size, at, size.daemons.div_ceil(2)),
+        // Two daemons that may be on the path of one request, one shortly after the other.
         4 => vec![
             step(at, Fault::Stop(daemon)),
             step(at + millis(random, 0..3_000), Fault::Stop(other)),
@@ -82,7 +82,7 @@
 }
 
 /// Stops of `count` daemons within a second.
-fn several(random: &mut impl Rng, size: Size, at: Duration, count: usize) -> Vec<Step> {
+fn concurrent_stops(random: &mut impl Rng, size: Size, at: Duration, count: usize) -> Vec<Step> {
     let first = random.random_range(0..size.daemons);
     let stop = |number| Step {
         at: at + millis(random, 0..1_000),
--- a/crates/bramblewheel-soak/src/traffic.rs
+++ b/crates/bramblewheel-soak/src/traffic.rs
@@ -1,6 +1,6 @@
-//! Calls over HTTP: what callers, endpoints and operators send.
+//! HTTP client of the soak's callers, endpoints and operators.
 
-use crate::history::{Asked, End, History, Kind};
+use crate::history::{End, History, Kind, NewRequest};
 use bramblewheel_platform_client as wire;
 use bytes::Bytes;
 use http::{HeaderMap, Method, Request, Response, StatusCode};
@@ -13,25 +13,25 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Time that callers give to a request.
+/// Deadline that callers give their requests.
 pub const DEADLINE: Duration = Duration::from_millis(3_000);
-/// Time after the deadline in which an answer must have come.
+/// Time after the deadline within which an answer must arrive.
 pub const MARGIN: Duration = Duration::from_millis(2_000);
-/// Body of the request that ends every endpoint which runs it.
+/// Body of the fatal request, which crashes every endpoint that runs it.
 pub const FATAL_BODY: &str = "fatal";
-/// Beginning of that request's ids.
+/// Prefix of the ids of the fatal request.
 pub const FATAL_ID: &str = "f-";
-/// Time for a connection to come up.
-pub const CONNECT: Duration = Duration::from_millis(1_000);
+/// Longest wait for a connection.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Why there is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoAnswer {
-    /// No connection came up.
+    /// No connection was established.
     NotSent,
     /// The connection ended before the answer did.
     Broken,
-    /// The answer did not come in time.
+    /// The answer did not arrive in time.
     Late,
 }
 
@@ -40,20 +40,20 @@
 pub struct Answer {
     /// Status.
     pub status: StatusCode,
-    /// Fields.
+    /// Header fields.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// What is sent.
+/// Contents of an HTTP request.
 #[derive(Debug)]
 pub struct Call<'a> {
     /// Method.
     pub method: Method,
     /// Path.
     pub path: &'a str,
-    /// Fields.
+    /// Header fields.
     pub headers: &'a [(&'a str, &'a str)],
     /// Body.
     pub body: Bytes,
@@ -66,17 +66,17 @@
 pub async fn send(
     address: SocketAddr,
     call: Call<'_>,
-    longest: Duration,
+    time_limit: Duration,
 ) -> Result<Answer, NoAnswer> {
-    let connecting = timeout(CONNECT, TcpStream::connect(address)).await;
+    let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let Ok(Ok(stream)) = connecting else {
         return Err(NoAnswer::NotSent);
     };
     let _ = stream.set_nodelay(true);
-    let asking = async {
+    let exchange = async {
         let handshake = http1::handshake(TokioIo::new(stream));
         let (mut sender, connection) = handshake.await.map_err(|_| NoAnswer::Broken)?;
-        let driving = tokio::spawn(connection);
+        let connection_task = tokio::spawn(connection);
         let mut request = Request::builder().method(call.method).uri(call.path);
         request = request.header("host", wire::HOST);
         for (name, value) in call.headers {
@@ -84,18 +84,18 @@
         }
         let request = request
             .body(Full::new(call.body))
-            .expect("names and paths are constants and numbers");
+            .expect("paths and header values are constants, ids and numbers, all of them valid");
         let answer = sender.send_request(request).await;
         let answer = read_whole(answer.map_err(|_| NoAnswer::Broken)?).await?;
-        driving.abort();
+        connection_task.abort();
         Ok(answer)
     };
-    timeout(longest, asking)
+    timeout(time_limit, exchange)
         .await
         .unwrap_or(Err(NoAnswer::Late))
 }
 
-/// Reads an answer to its end.
+/// Reads the whole body of an answer.
 async fn read_whole(answer: Response<Incoming>) -> Result<Answer, NoAnswer> {
     let (head, body) = answer.into_parts();
     let body = body.collect().await.map_err(|_| NoAnswer::Broken)?;
@@ -106,21 +106,21 @@
     })
 }
 
-/// A connection that a caller keeps for as long as it works.
+/// A connection that a caller uses for one request after the other until it breaks.
 pub type KeptConnection = http1::SendRequest<Full<Bytes>>;
 
-/// Opens a connection to keep; none if it does not come up.
+/// Opens a connection to keep; returns none if that fails.
 pub async fn open(address: SocketAddr) -> Option<KeptConnection> {
-    let connecting = timeout(CONNECT, TcpStream::connect(address)).await;
+    let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connecting.ok()?.ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    // It ends when the other side does, or when its sender is dropped.
+    // The task ends when the peer closes the connection or the sender is dropped.
     tokio::spawn(connection);
     Some(sender)
 }
 
-/// Sends one request on a kept connection and notes what came of it; gives the connection back if it still
-/// works. It is used for as long as the other side lets it be.
+/// Sends one request on a kept connection and records how it ended. Returns the connection if the answer was
+/// complete, so that it is used until the peer closes it.
 pub async fn call_on(
     mut kept: KeptConnection,
     history: &History,
@@ -133,13 +133,13 @@
         .header(wire::REQUEST_ID, &id)
         .header(wire::DEADLINE, deadline)
         .body(Full::new(Bytes::from(id.clone())))
-        .expect("names and paths are constants and numbers");
+        .expect("paths and header values are constants, ids and numbers, all of them valid");
     if kept.ready().await.is_err() {
         return None;
     }
-    let asked = Asked::short(id.clone(), Kind::Repeatable, daemon, DEADLINE);
-    let number = history.begin(asked);
-    let asking = async {
+    let new_request = NewRequest::short(id.clone(), Kind::Repeatable, daemon, DEADLINE);
+    let number = history.record_request(new_request);
+    let exchange = async {
         let sent = kept.try_send_request(request).await;
         let answer = sent.map_err(|error| match error.message() {
             Some(_) => NoAnswer::NotSent,
@@ -147,22 +147,22 @@
         })?;
         read_whole(answer).await
     };
-    let answer = timeout(DEADLINE + MARGIN, asking)
+    let answer = timeout(DEADLINE + MARGIN, exchange)
         .await
         .unwrap_or(Err(NoAnswer::Late));
-    let is_well = answer.is_ok();
-    history.end(number, end_of(&answer, &id));
-    is_well.then_some(kept)
+    let has_answer = answer.is_ok();
+    history.record_end(number, end_of(&answer, &id));
+    has_answer.then_some(kept)
 }
 
-/// Sends one request of a caller and notes what came of it.
+/// Sends one request of a caller and records how it ended.
 pub async fn call(history: History, address: SocketAddr, daemon: usize, kind: Kind, id: String) {
     let is_fatal = id.starts_with(FATAL_ID);
     let is_second = !is_fatal && id.ends_with(['1', '3', '5', '7', '9']);
     let service = usize::from(is_second);
     let path = wire::path(kind, service);
     let deadline = DEADLINE.as_millis().to_string();
-    let number = history.begin(Asked::short(id.clone(), kind, daemon, DEADLINE));
+    let number = history.record_request(NewRequest::short(id.clone(), kind, daemon, DEADLINE));
     let call = Call {
         method: Method::POST,
         path: &path,
@@ -174,20 +174,20 @@
         }),
     };
     let answer = send(address, call, DEADLINE + MARGIN).await;
-    history.end(number, end_of(&answer, &id));
+    history.record_end(number, end_of(&answer, &id));
 }
 
 /// How a request ended for its caller.
 pub fn end_of(answer: &Result<Answer, NoAnswer>, id: &str) -> End {
     match answer {
-        Ok(answer) => ended(answer, id),
+        Ok(answer) => end_of_answer(answer, id),
         Err(NoAnswer::NotSent) => End::NotSent,
         Err(NoAnswer::Broken) => End::Broken,
         Err(NoAnswer::Late) => End::Unanswered,
     }
 }
 
-fn ended(answer: &Answer, id: &str) -> End {
+fn end_of_answer(answer: &Answer, id: &str) -> End {
     let proof = answer.headers.get(wire::PROOF);
     let proof = proof.and_then(|value| value.to_str().ok());
     let own = proof.map(|endpoint| wire::body(endpoint, id));
--- a/crates/bramblewheel-soak/src/workload/draw.rs
+++ b/crates/bramblewheel-soak/src/workload/draw.rs
@@ -1,15 +1,15 @@
-//! Draws a workload by seed: trees of up to four levels, long tails, slots that fill.
+//! Draws a workload from a seed: call trees of up to four levels, long-tailed times and sizes, endpoints with few slots.
 
 use super::{Calls, Connections, RequestKind, Spread, Workload};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Kinds that callers ask for.
-const KINDS: std::ops::RangeInclusive<usize> = 3..=5;
-/// Longest answer, in bytes: longer than all buffers between an endpoint and a caller.
-const LONGEST_ANSWER: u64 = 4_000_000;
+/// Number of kinds that callers send.
+const CALLER_KINDS: std::ops::RangeInclusive<usize> = 3..=5;
+/// Longest answer, in bytes; longer than all buffers between an endpoint and a caller together.
+const MAX_ANSWER_BYTES: u64 = 4_000_000;
 
-/// The workload of a seed.
+/// Returns the workload of a seed.
 pub fn draw(seed: u64) -> Workload {
     let mut random = Pcg64Mcg::seed_from_u64(seed ^ 0x5eed_0f10_ad00);
     let services = random.random_range(2..=4);
@@ -17,8 +17,8 @@
     for level in 1..services {
         kinds.push(called_kind(&mut random, level, services));
     }
-    for number in 0..random.random_range(KINDS) {
-        kinds.push(asked_kind(&mut random, number, services));
+    for number in 0..random.random_range(CALLER_KINDS) {
+        kinds.push(caller_kind(&mut random, number, services));
     }
     Workload {
         name: format!("drawn-{seed}"),
@@ -29,7 +29,7 @@
     }
 }
 
-/// Kinds of calls, one for each service but the first; each may call the next.
+/// Draws a kind that only endpoints call. There is one for each service but the first; each may call the next one.
 fn called_kind(random: &mut Pcg64Mcg, level: usize, services: usize) -> RequestKind {
     let mut calls = Vec::new();
     if level + 1 < services && random.random_bool(0.6) {
@@ -71,7 +71,7 @@
     }
 }
 
-fn asked_kind(random: &mut Pcg64Mcg, number: usize, services: usize) -> RequestKind {
+fn caller_kind(random: &mut Pcg64Mcg, number: usize, services: usize) -> RequestKind {
     let service = random.random_range(0..services);
     let mut calls = Vec::new();
     if service + 1 < services && random.random_bool(0.6) {
@@ -99,7 +99,7 @@
             least: 20,
             most: 8_000,
             long_part: if is_large { 0.1 } else { 0.0 },
-            longest: LONGEST_ANSWER,
+            longest: MAX_ANSWER_BYTES,
         },
         body_bytes: Spread {
             least: 0,
--- a/crates/bramblewheel-soak/src/workload/file.rs
+++ b/crates/bramblewheel-soak/src/workload/file.rs
@@ -1,4 +1,4 @@
-//! Reads a workload from a file in TOML and checks it.
+//! Reads a workload from a TOML file and checks it.
 
 use super::{RequestKind, Spread, Workload};
 use bramblewheel_platform_client::SERVICES;
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Longest chain of calls: a call of a call of a call of a request.
-const MOST_LEVELS: usize = 4;
+/// Largest depth of a call tree, the request of the caller included.
+const MAX_LEVELS: usize = 4;
 
 /// A workload can't be used.
 #[derive(Debug, Error)]
@@ -19,18 +19,18 @@
     Read {
         /// The file.
         file: PathBuf,
-        /// What the operating system says.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// It is no workload in TOML; the text names the line.
+    /// The file is not a workload in TOML; the message names the line.
     #[error("{}: {error}", file.display())]
     Syntax {
         /// The file.
         file: PathBuf,
-        /// What is wrong, with its line.
+        /// What is wrong, with the line.
         error: Box<toml::de::Error>,
     },
-    /// A field has a value that can't be.
+    /// A field has an invalid value.
     #[error("{field}: {reason}")]
     Value {
         /// The field, with the kind it belongs to.
@@ -40,7 +40,7 @@
     },
 }
 
-/// Reads a file and checks what it says.
+/// Reads a workload from a file and checks it.
 ///
 /// # Errors
 /// [`WorkloadError`].
@@ -57,10 +57,10 @@
     Ok(workload)
 }
 
-/// Checks what a workload says.
+/// Checks the values of a workload.
 ///
 /// # Errors
-/// [`WorkloadError::Value`] with the first field that can't be.
+/// [`WorkloadError::Value`] for the first invalid field.
 pub fn check(workload: &Workload) -> Result<(), WorkloadError> {
     let services = 1..=SERVICES.len();
     ensure(
@@ -96,9 +96,13 @@
 
 fn check_kind(workload: &Workload, kind: &RequestKind) -> Result<(), WorkloadError> {
     let field = |name: &str| format!("kind {}: {name}", kind.name);
-    let is_word = |c: char| c.is_ascii_alphanumeric() || c == '-';
-    let is_name = !kind.name.is_empty() && kind.name.chars().all(is_word);
-    ensure(is_name, field("name"), || "letters, digits and - only")?;
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-';
+    let is_valid_name = !kind.name.is_empty() && kind.name.chars().all(is_allowed);
+    ensure(
+        is_valid_name,
+        field("name"),
+        || "letters, digits and - only",
+    )?;
     let has_service = kind.service < workload.services;
     ensure(has_service, field("service"), || "there is no such service")?;
     for (name, millis) in [
@@ -114,7 +118,7 @@
         ("slow_readers", kind.slow_readers),
         ("slow_senders", kind.slow_senders),
     ] {
-        ensure(is_part(part), field(name), || "must be between 0 and 1")?;
+        ensure(is_share(part), field(name), || "must be between 0 and 1")?;
     }
     for (name, spread) in [
         ("work_ms", &kind.work_ms),
@@ -127,15 +131,15 @@
         let called = workload.kind(&calls.kind).is_some();
         ensure(called, field("calls"), || "a called kind is not there")?;
     }
-    let levels = levels_of(workload, kind, MOST_LEVELS + 1);
+    let levels = levels_of(workload, kind, MAX_LEVELS + 1);
     ensure(
-        levels <= MOST_LEVELS,
+        levels <= MAX_LEVELS,
         field("calls"),
         || "more than four levels, or a kind that calls itself",
     )
 }
 
-fn is_part(part: f64) -> bool {
+fn is_share(part: f64) -> bool {
     (0.0..=1.0).contains(&part)
 }
 
@@ -143,7 +147,7 @@
     let is_range = spread.least <= spread.most;
     ensure(is_range, field.clone(), || "least is above most")?;
     ensure(
-        is_part(spread.long_part),
+        is_share(spread.long_part),
         field.clone(),
         || "long_part must be between 0 and 1",
     )?;
@@ -151,7 +155,7 @@
     ensure(has_long, field, || "longest is below most")
 }
 
-/// Levels of the tree of a kind, counted up to `most`.
+/// Depth of the call tree of a kind, counted up to `most`.
 fn levels_of(workload: &Workload, kind: &RequestKind, most: usize) -> usize {
     if most <= 1 {
         return 1;
--- a/crates/bramblewheel-soak/src/workload/mod.rs
+++ b/crates/bramblewheel-soak/src/workload/mod.rs
@@ -1,6 +1,6 @@
-//! What is asked of a soak's services: kinds of request with their own times, sizes, calls and callers.
+//! Workloads: the kinds of request that a soak's services receive, with their times, sizes, calls and callers.
 //!
-//! A workload comes from a file ([`file::read`]) or is drawn by seed ([`draw::draw`]).
+//! A workload is read from a file ([`file::read`]) or drawn from a seed ([`draw::draw`]).
 
 pub mod demand;
 pub mod draw;
@@ -11,17 +11,17 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// What is asked of the services.
+/// A workload.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
     /// Its name.
     pub name: String,
-    /// Services that endpoints belong to, from 1 to the number of those that the soak knows.
+    /// Number of services, from 1 to the number of names in [`SERVICES`](bramblewheel_platform_client::SERVICES).
     pub services: usize,
-    /// Requests that an endpoint runs side by side.
+    /// Number of requests that an endpoint runs concurrently.
     pub slots: u32,
-    /// Time after its start in which an endpoint takes twice as long, in milliseconds.
+    /// Time after its start in which an endpoint works half as fast, in milliseconds.
     #[serde(default)]
     pub cold_ms: u64,
     /// Kinds of request.
@@ -33,56 +33,56 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RequestKind {
-    /// Its name, which its paths hold.
+    /// Its name, which is part of its path.
     pub name: String,
-    /// Number of its service.
+    /// Index of its service.
     pub service: usize,
     /// Whether a request may run more than once.
     pub may_repeat: bool,
     /// Rank; the most important is 0.
     pub rank: u32,
-    /// Longest time that its route allows, in milliseconds.
+    /// Time limit of its route, in milliseconds.
     pub timeout_ms: u64,
-    /// Time that its callers wait, in milliseconds.
+    /// Time for which its callers wait, in milliseconds.
     pub deadline_ms: u64,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Latency objective of its route, in milliseconds.
     pub objective_ms: u64,
-    /// Requests of callers each second at each daemon; none of a kind that only endpoints call.
+    /// Requests of callers per second and daemon; 0 for a kind that only endpoints call.
     #[serde(default)]
     pub per_second: f64,
-    /// Time that an endpoint works on a request besides its calls, in milliseconds.
+    /// Time for which an endpoint works on a request, without its calls, in milliseconds.
     pub work_ms: Spread,
     /// Length of an answer, in bytes.
     pub answer_bytes: Spread,
     /// Length of a request's body, in bytes.
     #[serde(default)]
     pub body_bytes: Spread,
-    /// What an endpoint calls for a request.
+    /// Calls that an endpoint makes for a request.
     #[serde(default)]
     pub calls: Vec<Calls>,
     /// How callers use connections.
     #[serde(default)]
     pub connections: Connections,
-    /// Part of the callers that read slowly, between 0 and 1.
+    /// Share of the callers that read slowly, between 0 and 1.
     #[serde(default)]
     pub slow_readers: f64,
-    /// Part of the callers that send their body slowly, between 0 and 1.
+    /// Share of the callers that send their body slowly, between 0 and 1.
     #[serde(default)]
     pub slow_senders: f64,
 }
 
-/// Numbers that are mostly in one range and now and then in another.
+/// A distribution with a usual range and a long tail.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Spread {
-    /// Least of the usual ones.
+    /// Lower bound of the usual range.
     pub least: u64,
-    /// Most of the usual ones.
+    /// Upper bound of the usual range.
     pub most: u64,
-    /// Part that is long, between 0 and 1.
+    /// Share of values in the long tail, between 0 and 1.
     #[serde(default)]
     pub long_part: f64,
-    /// Most of the long ones; their least is the most of the usual ones.
+    /// Upper bound of the long tail, which begins at `most`.
     #[serde(default)]
     pub longest: u64,
 }
@@ -93,9 +93,9 @@
 pub struct Calls {
     /// Kind that is called.
     pub kind: String,
-    /// How often.
+    /// Number of calls.
     pub times: u32,
-    /// Whether the calls are made side by side; one after the other otherwise.
+    /// Whether the calls are made concurrently; one after the other otherwise.
     #[serde(default)]
     pub together: bool,
 }
@@ -104,17 +104,17 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Connections {
-    /// A connection for each request.
+    /// A new connection for each request.
     #[default]
     Fresh,
-    /// One connection for one request after the other, used until the daemon's process is gone.
+    /// One connection for one request after the other, used until the daemon closes it.
     Kept,
-    /// A pool of connections that are used side by side.
+    /// A pool of connections that are used concurrently.
     Pooled,
 }
 
 impl Spread {
-    /// The same number each time.
+    /// A distribution with a single value.
     pub fn exactly(number: u64) -> Self {
         Self {
             least: number,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Mean of the numbers.
+    /// Mean value.
     pub fn mean(&self) -> f64 {
         #[expect(
             clippy::cast_precision_loss,
@@ -135,7 +135,7 @@
         usual * (1.0 - self.long_part) + long * self.long_part
     }
 
-    /// Draws a number.
+    /// Draws a value.
     pub fn draw(&self, random: &mut impl Rng) -> u64 {
         if self.long_part > 0.0 && random.random_bool(self.long_part) {
             random.random_range(self.most..=self.longest)
@@ -146,8 +146,8 @@
 }
 
 impl RequestKind {
-    /// Time that a request of a caller has: its own or that of its route.
-    pub fn allowed(&self) -> Duration {
+    /// Time limit of a request of a caller: the caller's or the route's, whichever is shorter.
+    pub fn time_limit(&self) -> Duration {
         Duration::from_millis(self.deadline_ms.min(self.timeout_ms))
     }
 
@@ -167,7 +167,7 @@
 }
 
 impl Workload {
-    /// No kinds of its own: plain callers ask for short work of two services.
+    /// The workload of plain callers: no kinds of request, short work at two services.
     pub fn plain() -> Self {
         Self {
             name: "plain".to_owned(),
@@ -178,9 +178,9 @@
         }
     }
 
-    /// Part of the requests that endpoints refuse, as large a part that they fail, and one that they cut short.
-    /// Smaller where requests make calls: a tree of a dozen fails with any of them.
-    pub fn harm_part(&self) -> f64 {
+    /// Probability that an endpoint refuses a request; the same holds for failing it and for truncating its answer.
+    /// Lower where requests make calls: a tree of a dozen calls fails if any one of them does.
+    pub fn fault_probability(&self) -> f64 {
         if self.kinds.is_empty() { 0.01 } else { 0.001 }
     }
 
@@ -197,7 +197,7 @@
         self.kinds.iter().map(route).collect()
     }
 
-    /// The kind of this name.
+    /// Returns the kind of the given name.
     pub fn kind(&self, name: &str) -> Option<&RequestKind> {
         self.kinds.iter().find(|kind| kind.name == name)
     }
--- a/crates/bramblewheel-soak/src/workload_traffic.rs
+++ b/crates/bramblewheel-soak/src/workload_traffic.rs
@@ -1,8 +1,8 @@
-//! Requests of a workload: how callers and endpoints send them, and how they read the answers.
+//! Sends the requests of a workload, for callers and for endpoints, and reads the answers.
 
-use crate::history::{Asked, End, History};
+use crate::history::{End, History, NewRequest};
 use crate::run::Soak;
-use crate::traffic::{CONNECT, MARGIN, NoAnswer};
+use crate::traffic::{CONNECT_TIMEOUT, MARGIN, NoAnswer};
 use crate::workload::{Connections, RequestKind};
 use bramblewheel_platform_client as wire;
 use bytes::Bytes;
@@ -24,19 +24,19 @@
 use tokio::task::JoinSet;
 use tokio::time::{Sleep, timeout};
 
-/// Pause of a slow reader or sender between two pieces.
+/// Pause of a slow reader or sender between two chunks.
 const SLOW_PAUSE: Duration = Duration::from_millis(10);
-/// Length of one piece of a body that is sent slowly.
-const PIECE_BYTES: usize = 16 * 1024;
-/// Longest time for the body of an answer that has begun; a slow reader takes some seconds for the longest.
-const READ_TIME: Duration = Duration::from_secs(15);
+/// Length of one chunk of a body that is sent slowly.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Longest time for reading the body of an answer; a slow reader takes some seconds for the longest one.
+const READ_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A body that is sent at once or piece by piece; tells when its last byte is handed on.
+/// A body that is sent at once or in chunks; calls `on_sent` when its last byte is passed to the connection.
 struct SentBody {
     rest: Bytes,
     pause: Option<Pin<Box<Sleep>>>,
     is_slow: bool,
-    whole: Option<Box<dyn FnOnce() + Send>>,
+    on_sent: Option<Box<dyn FnOnce() + Send>>,
 }
 
 impl http_body::Body for SentBody {
@@ -52,24 +52,24 @@
             self.pause = None;
         }
         let most = if self.is_slow {
-            PIECE_BYTES
+            CHUNK_BYTES
         } else {
             self.rest.len()
         };
         let length = self.rest.len().min(most);
-        let piece = self.rest.split_to(length);
+        let chunk = self.rest.split_to(length);
         if self.rest.is_empty()
-            && let Some(told) = self.whole.take()
+            && let Some(notify) = self.on_sent.take()
         {
-            told();
+            notify();
         }
-        if piece.is_empty() {
+        if chunk.is_empty() {
             return Poll::Ready(None);
         }
         if self.is_slow {
             self.pause = Some(Box::pin(tokio::time::sleep(SLOW_PAUSE)));
         }
-        Poll::Ready(Some(Ok(Frame::data(piece))))
+        Poll::Ready(Some(Ok(Frame::data(chunk))))
     }
 
     fn is_end_stream(&self) -> bool {
@@ -84,12 +84,12 @@
 type Connection = http1::SendRequest<SentBody>;
 
 async fn open(address: SocketAddr) -> Option<Connection> {
-    let connecting = timeout(CONNECT, TcpStream::connect(address)).await;
+    let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connecting.ok()?.ok()?;
-    // Without it a short request may wait for the other side's delayed acknowledgement.
+    // With Nagle's algorithm, a short request may wait for the peer's delayed acknowledgement.
     stream.set_nodelay(true).ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    // It ends when the other side does, or when its sender is dropped.
+    // The task ends when the peer closes the connection or the sender is dropped.
     tokio::spawn(connection);
     Some(sender)
 }
@@ -101,7 +101,7 @@
     kind: RequestKind,
     id: String,
     parent: Option<String>,
-    /// Time that its caller waits.
+    /// Time for which its caller waits.
     deadline: Duration,
     body: Bytes,
     reads_slowly: bool,
@@ -109,20 +109,21 @@
 }
 
 impl WorkRequest {
-    /// Sends it and notes what came of it; returns its answer's status, and the connection if it can carry another.
+    /// Sends the request and records how it ended. Returns the status of the answer, and the connection if it can be
+    /// used again.
     async fn send(self, mut connection: Connection) -> (Option<StatusCode>, Option<Connection>) {
         if connection.ready().await.is_err() {
             return (None, None);
         }
-        let allowed = self
+        let time_limit = self
             .deadline
             .min(Duration::from_millis(self.kind.timeout_ms));
-        let number = self.history.begin(Asked {
+        let number = self.history.record_request(NewRequest {
             id: self.id.clone(),
             kind: self.kind.repeatability(),
             daemon: self.daemon,
-            allowed,
-            called_by: self.parent.clone(),
+            time_limit,
+            parent_id: self.parent.clone(),
             is_sent_slowly: self.sends_slowly,
         });
         let (history, is_slow) = (self.history.clone(), self.sends_slowly);
@@ -130,9 +131,9 @@
             rest: self.body,
             pause: None,
             is_slow,
-            whole: Some(Box::new(move || {
+            on_sent: Some(Box::new(move || {
                 if is_slow {
-                    history.note_whole(number);
+                    history.record_body_sent(number);
                 }
             })),
         };
@@ -141,9 +142,9 @@
             .header(wire::REQUEST_ID, &self.id)
             .header(wire::DEADLINE, self.deadline.as_millis().to_string())
             .body(body)
-            .expect("names and paths are constants and numbers");
-        let asking = timeout(self.deadline + MARGIN, connection.try_send_request(request));
-        let end = match asking.await {
+            .expect("paths and header values are constants, ids and numbers, all of them valid");
+        let exchange = timeout(self.deadline + MARGIN, connection.try_send_request(request));
+        let end = match exchange.await {
             Err(_) => End::Unanswered,
             Ok(Err(error)) if error.message().is_some() => End::NotSent,
             Ok(Err(_)) => End::Broken,
@@ -153,14 +154,14 @@
             End::Answer { status, .. } => StatusCode::from_u16(*status).ok(),
             _ => None,
         };
-        self.history.end(number, end);
+        self.history.record_end(number, end);
         (status, status.is_some().then_some(connection))
     }
 }
 
 async fn read(answer: Response<Incoming>, reads_slowly: bool, id: &str) -> End {
     let (head, body) = answer.into_parts();
-    let reading = timeout(READ_TIME, read_body(body, reads_slowly));
+    let reading = timeout(READ_TIMEOUT, read_body(body, reads_slowly));
     match reading.await {
         Err(_) => End::Abandoned,
         Ok(Err(_)) => End::Broken,
@@ -192,26 +193,28 @@
     }
 }
 
-/// A call that an endpoint makes.
-pub(crate) struct CallOfEndpoint {
+/// A call made by an endpoint.
+pub(crate) struct EndpointCall {
     pub(crate) history: History,
-    /// The daemon beside it.
+    /// Address of the daemon beside the endpoint.
     pub(crate) outbound: SocketAddr,
     pub(crate) daemon: usize,
     pub(crate) kind: RequestKind,
     pub(crate) id: String,
-    /// The request it is made for.
+    /// Request that the endpoint runs.
     pub(crate) parent: String,
-    /// Time that this request has left.
-    pub(crate) left: Duration,
+    /// Time that the parent request has left.
+    pub(crate) time_left: Duration,
 }
 
-/// Makes a call; returns whether it had success.
-pub(crate) async fn call_for(call: CallOfEndpoint) -> bool {
+/// Makes a call; returns whether it succeeded.
+pub(crate) async fn make_call(call: EndpointCall) -> bool {
     let Some(connection) = open(call.outbound).await else {
         return false;
     };
-    let deadline = call.left.min(Duration::from_millis(call.kind.deadline_ms));
+    let deadline = call
+        .time_left
+        .min(Duration::from_millis(call.kind.deadline_ms));
     let request = WorkRequest {
         history: call.history,
         daemon: call.daemon,
@@ -227,7 +230,7 @@
     status.is_some_and(|status| status.is_success())
 }
 
-/// The callers of one kind at one daemon.
+/// Sends the requests of one kind to one daemon until the soak is over.
 pub(crate) async fn callers(soak: Arc<Soak>, daemon: usize, kind: RequestKind) {
     let name_hash = kind.name.bytes().fold(0_u64, |hash, byte| {
         hash.wrapping_mul(31).wrapping_add(u64::from(byte))
@@ -237,18 +240,18 @@
     let mut sent = JoinSet::new();
     let mut number = 0_u64;
     while !soak.is_over() {
-        let per_second = kind.per_second * soak.surge();
+        let per_second = kind.per_second * soak.load_factor();
         let pause = Duration::from_secs_f64(random.random_range(0.2..1.8) / per_second);
         tokio::time::sleep(pause).await;
         number += 1;
         let id = format!("w-{}-{daemon}-{number}", kind.name);
-        let request = drawn(&soak, daemon, &kind, id, &mut random);
+        let request = draw_request(&soak, daemon, &kind, id, &mut random);
         let address = soak.addresses.outbound(daemon);
         let pool = Arc::clone(&pool);
-        let uses = kind.connections;
-        let sending = async move { send_from(uses, &pool, address, request).await };
-        if uses == Connections::Kept {
-            // One after the other, on one connection.
+        let connections = kind.connections;
+        let sending = async move { send_with_pool(connections, &pool, address, request).await };
+        if connections == Connections::Kept {
+            // Sequentially, on a single connection.
             sending.await;
         } else {
             sent.spawn(sending);
@@ -258,13 +261,17 @@
     while sent.join_next().await.is_some() {}
 }
 
-async fn send_from(
-    uses: Connections,
+async fn send_with_pool(
+    connections: Connections,
     pool: &Mutex<Vec<Connection>>,
     address: SocketAddr,
     request: WorkRequest,
 ) {
-    let take = || pool.lock().expect("no panic under the lock").pop();
+    let take = || {
+        pool.lock()
+            .expect("no code panics while it holds the pool")
+            .pop()
+    };
     let kept = take().filter(|kept| !kept.is_closed());
     let connection = match kept {
         Some(kept) => Some(kept),
@@ -273,13 +280,15 @@
     let Some(connection) = connection else {
         return;
     };
-    let (_, left) = request.send(connection).await;
-    if let (Some(left), true) = (left, uses != Connections::Fresh) {
-        pool.lock().expect("no panic under the lock").push(left);
+    let (_, reusable) = request.send(connection).await;
+    if let (Some(reusable), true) = (reusable, connections != Connections::Fresh) {
+        pool.lock()
+            .expect("no code panics while it holds the pool")
+            .push(reusable);
     }
 }
 
-fn drawn(
+fn draw_request(
     soak: &Soak,
     daemon: usize,
     kind: &RequestKind,
--- a/crates/bramblewheel-soak/tests/check.rs
+++ b/crates/bramblewheel-soak/tests/check.rs
@@ -1,15 +1,15 @@
-//! Each check reports the history that it is about, and says nothing on a sound one.
+//! Tests that each check reports a history that breaks its promise, and none reports a valid history.
 
 use bramblewheel_platform_client as wire;
 use bramblewheel_soak::check::check;
 use bramblewheel_soak::history::{
-    At, End, EndedProcess, Events, ForeignMessage, Kind, Leaving, Order, PlannedStop, Probe, Read,
-    Request, Run, RunEnd,
+    AcknowledgedDrain, End, Events, ForeignMessage, Kind, Order, PlannedStop, Probe, Read, Request,
+    Run, RunEnd, Timestamp, UnexpectedExit,
 };
 use bramblewheel_soak::plan::Machine;
 use std::time::Duration;
 
-fn at(millis: u64) -> At {
+fn at(millis: u64) -> Timestamp {
     Duration::from_millis(millis)
 }
 
@@ -19,9 +19,9 @@
         kind,
         daemon: 0,
         sent: at(sent),
-        allowed: at(6_000),
-        whole_at: Some(at(sent)),
-        called_by: None,
+        time_limit: at(6_000),
+        body_sent_at: Some(at(sent)),
+        parent_id: None,
         ended: Some((at(sent + 50), end)),
     }
 }
@@ -56,19 +56,19 @@
     }
 }
 
-fn probe(version: u64, sent: u64, is_known: bool) -> Probe {
+fn probe(version: u64, sent: u64, has_route: bool) -> Probe {
     Probe {
         daemon: 0,
-        life: 0,
+        generation: 0,
         version,
         sent: at(sent),
         answered: at(sent + 10),
-        is_known,
+        has_route,
     }
 }
 
-/// A history in which nothing is wrong.
-fn sound() -> Events {
+/// A history that breaks no promise.
+fn valid_history() -> Events {
     let served = |id: &str, sent| request(id, Kind::Once, sent, answer(200, Some("e-1")));
     Events {
         requests: vec![
@@ -88,44 +88,44 @@
         probes: vec![probe(1, 1_000, true), probe(2, 15_000, true)],
         planned_stops: vec![PlannedStop {
             daemon: 0,
-            told: at(5_000),
+            requested: at(5_000),
             ended: at(8_000),
             is_in_time: true,
         }],
-        calm_since: at(9_000),
+        last_fault_ended: at(9_000),
         ended: at(21_000),
         ..Events::default()
     }
 }
 
-fn promises(events: &Events) -> Vec<&'static str> {
+fn broken_promises(events: &Events) -> Vec<&'static str> {
     let found = check(events, &|_| wire::SERVICES[0], &wire::version_of);
     found.into_iter().map(|breach| breach.promise).collect()
 }
 
-/// The promises that are broken once the sound history is changed.
-fn changed(change: impl FnOnce(&mut Events)) -> Vec<&'static str> {
-    let mut events = sound();
+/// Returns the promises that are broken once the valid history is changed.
+fn broken_after(change: impl FnOnce(&mut Events)) -> Vec<&'static str> {
+    let mut events = valid_history();
     change(&mut events);
-    promises(&events)
+    broken_promises(&events)
 }
 
 #[test]
-fn a_sound_history_is_left_alone() {
-    assert!(promises(&sound()).is_empty());
+fn a_valid_history_is_not_reported() {
+    assert!(broken_promises(&valid_history()).is_empty());
 }
 
 #[test]
 fn broken_promises_of_requests_are_reported() {
-    let twice = changed(|events| events.runs.push(run("r-1", "e-2", 300)));
-    assert_eq!(twice, ["at most once"]);
-    let refused = changed(|events| events.runs.push(run("r-2", "e-1", 300)));
+    let repeated = broken_after(|events| events.runs.push(run("r-1", "e-2", 300)));
+    assert_eq!(repeated, ["at most once"]);
+    let refused = broken_after(|events| events.runs.push(run("r-2", "e-1", 300)));
     assert_eq!(refused, ["not run means not run"]);
-    let unasked = changed(|events| events.runs.push(run("x", "e-1", 300)));
-    assert_eq!(unasked, ["nothing unasked runs"]);
-    let foreign = changed(|events| events.runs[0].caller_service = None);
+    let unsolicited = broken_after(|events| events.runs.push(run("x", "e-1", 300)));
+    assert_eq!(unsolicited, ["nothing unasked runs"]);
+    let foreign = broken_after(|events| events.runs[0].caller_service = None);
     assert_eq!(foreign, ["caller's service"]);
-    let piece = changed(|events| {
+    let partial_answer = broken_after(|events| {
         events.requests[0].ended = Some((
             at(150),
             End::Answer {
@@ -135,58 +135,62 @@
             },
         ));
     });
-    assert_eq!(piece, ["whole answer"]);
-    let silent = changed(|events| events.requests[1].ended = Some((at(9_999), End::Unanswered)));
+    assert_eq!(partial_answer, ["whole answer"]);
+    let silent =
+        broken_after(|events| events.requests[1].ended = Some((at(9_999), End::Unanswered)));
     assert_eq!(silent, ["answered in time"]);
 }
 
 #[test]
-fn work_for_an_endpoint_that_left_is_reported() {
-    let leaving = |started, millis| Leaving {
+fn a_run_at_an_endpoint_that_drained_is_reported() {
+    let drain = |started, millis| AcknowledgedDrain {
         endpoint: "e-1".to_owned(),
         started,
         at: at(millis),
     };
-    let in_time = changed(|events| events.leaving.push(leaving(7, 18_500)));
+    let in_time = broken_after(|events| events.acknowledged_drains.push(drain(7, 18_500)));
     assert!(in_time.is_empty());
-    let late = changed(|events| events.leaving.push(leaving(7, 17_900)));
+    let late = broken_after(|events| events.acknowledged_drains.push(drain(7, 17_900)));
     assert_eq!(late, ["nothing for one that leaves"]);
-    let an_earlier_start = changed(|events| events.leaving.push(leaving(6, 17_900)));
-    assert!(an_earlier_start.is_empty());
+    let earlier_start = broken_after(|events| events.acknowledged_drains.push(drain(6, 17_900)));
+    assert!(earlier_start.is_empty());
 }
 
 #[test]
 fn broken_promises_of_configurations_are_reported() {
-    let both = changed(|events| events.orders.push(order(3, 1, "bjorn", Some(950))));
+    let both = broken_after(|events| events.orders.push(order(3, 1, "bjorn", Some(950))));
     assert!(both.contains(&"one wins a race"), "{both:?}");
-    let taken_back = changed(|events| events.orders[1].is_refused = true);
-    assert_eq!(taken_back, ["an order taken is never refused"]);
-    let old = changed(|events| events.reads[0].text = wire::configuration(1, &[], "anna", &[]));
+    let refused_later = broken_after(|events| events.orders[1].is_refused = true);
+    assert_eq!(refused_later, ["an order taken is never refused"]);
+    let old =
+        broken_after(|events| events.reads[0].text = wire::configuration(1, &[], "anna", &[]));
     assert_eq!(old, ["reads never go back"]);
-    let other = changed(|events| events.reads[0].text = wire::configuration(2, &[], "bjorn", &[]));
+    let other =
+        broken_after(|events| events.reads[0].text = wire::configuration(2, &[], "bjorn", &[]));
     assert_eq!(other, ["what was taken is kept"]);
-    let nothing = changed(|events| events.reads[0].text.clear());
+    let nothing = broken_after(|events| events.reads[0].text.clear());
     assert_eq!(nothing, ["reads are whole"]);
-    let back = changed(|events| events.probes.push(probe(1, 2_000, false)));
-    assert_eq!(back, ["no step back"]);
-    let missing = changed(|events| events.probes[1] = probe(2, 18_000, false));
+    let forgotten = broken_after(|events| events.probes.push(probe(1, 2_000, false)));
+    assert_eq!(forgotten, ["no step back"]);
+    let missing = broken_after(|events| events.probes[1] = probe(2, 18_000, false));
     assert_eq!(missing, ["in force everywhere"]);
 }
 
 #[test]
 fn broken_promises_of_stops_and_recovery_are_reported() {
-    let cut = changed(|events| {
+    let cut = broken_after(|events| {
         let cut_off = request("r-9", Kind::Repeatable, 5_100, End::Broken);
         events.requests.push(cut_off);
         events.runs.push(run("r-9", "e-1", 5_110));
     });
     assert_eq!(cut, ["a planned stop cuts nothing off"]);
-    let hangs = changed(|events| events.planned_stops[0].is_in_time = false);
+    let hangs = broken_after(|events| events.planned_stops[0].is_in_time = false);
     assert_eq!(hangs, ["a planned stop ends"]);
-    let down = changed(|events| events.requests[2].ended = Some((at(20_050), answer(502, None))));
+    let down =
+        broken_after(|events| events.requests[2].ended = Some((at(20_050), answer(502, None))));
     assert_eq!(down, ["service comes back"]);
-    // Half of what was sent before the first fault was served.
-    let as_before = changed(|events| {
+    // Half of the requests sent before the first fault were served.
+    let as_before = broken_after(|events| {
         events.first_fault = Some(at(5_000));
         for sent in [20_100, 20_200] {
             let id = format!("r-{sent}");
@@ -201,16 +205,16 @@
 }
 
 #[test]
-fn a_request_that_goes_on_to_end_endpoints_is_reported() {
+fn a_request_that_keeps_crashing_endpoints_is_reported() {
     let fatal_runs = |late: u64| {
-        changed(move |events| {
+        broken_after(move |events| {
             let mut times = vec![6_000, 6_100, 6_200, 6_900];
             times.extend((0..late).map(|number| 25_000 + number * 100));
             for (number, millis) in times.into_iter().enumerate() {
                 let id = format!("f-{number}");
                 let lost = answer(502, None);
-                let asked = request(&id, Kind::Repeatable, millis - 5, lost);
-                events.requests.push(asked);
+                let fatal_request = request(&id, Kind::Repeatable, millis - 5, lost);
+                events.requests.push(fatal_request);
                 events.runs.push(run(&id, "e-1", millis));
             }
         })
@@ -221,42 +225,42 @@
 }
 
 #[test]
-fn foreign_heartbeats_that_are_taken_are_reported() {
+fn accepted_foreign_heartbeats_are_reported() {
     let foreign = |is_acknowledged| ForeignMessage {
         daemon: 0,
         form: "draining".to_owned(),
         is_acknowledged,
     };
-    let refused = changed(|events| events.foreign.push(foreign(false)));
+    let refused = broken_after(|events| events.foreign.push(foreign(false)));
     assert!(refused.is_empty());
-    let taken = changed(|events| events.foreign.extend([foreign(true), foreign(true)]));
+    let taken = broken_after(|events| events.foreign.extend([foreign(true), foreign(true)]));
     assert_eq!(
         taken,
         ["foreign heartbeats are refused"],
-        "one for each form"
+        "one breach for each form"
     );
-    let renamed = changed(|events| {
+    let renamed = broken_after(|events| {
         events.runs[0].caller_service = Some(wire::UNKNOWN_SERVICE.to_owned());
     });
     assert_eq!(renamed, ["caller's service"]);
 }
 
 #[test]
-fn a_process_that_ends_by_itself_is_reported() {
-    let ended = EndedProcess {
+fn an_unexpected_process_exit_is_reported() {
+    let ended = UnexpectedExit {
         machine: Machine::Daemon(1),
         at: at(700),
     };
-    let found = changed(|events| events.ended_processes.push(ended));
+    let found = broken_after(|events| events.unexpected_exits.push(ended));
     assert_eq!(found, ["no process ends by itself"]);
 }
 
 #[test]
-fn an_endpoint_that_gets_no_work_any_more_is_reported() {
-    // Requests run beside daemon 1 alone.
-    let idle = changed(|events| events.daemons = 2);
+fn an_endpoint_that_receives_no_more_requests_is_reported() {
+    // All requests run beside daemon 1.
+    let idle = broken_after(|events| events.daemons = 2);
     assert_eq!(idle, ["every endpoint has work"]);
-    let late = changed(|events| {
+    let late = broken_after(|events| {
         events.daemons = 2;
         let beside = |millis| Run {
             daemon: 0,
--- a/crates/bramblewheel-soak/tests/operator.rs
+++ b/crates/bramblewheel-soak/tests/operator.rs
@@ -1,4 +1,5 @@
-//! Operators note every acknowledgement, so that a group which takes both orders of a race is found.
+//! Tests that operators record every acknowledgement, so that a control group that accepts both changes of a race is
+//! reported.
 
 use axum::Router;
 use bramblewheel_platform_client as wire;
@@ -10,14 +11,14 @@
 use std::ops::RangeInclusive;
 use tokio::net::TcpListener;
 
-/// Loopback networks that no soak chooses; the first one that nobody listens in is taken, so that
-/// several runs of this test can go side by side.
+/// Loopback networks that no soak uses; the first free one is taken, so that several runs of this test can run side
+/// by side.
 const NETWORKS: RangeInclusive<u8> = 200..=250;
-/// Enough changes for several races.
+/// Number of changes; enough for several races.
 const CHANGES: usize = 20;
 
-/// A listener at the operators' address of the first machine.
-async fn listening() -> (Addresses, TcpListener) {
+/// Binds a listener to the operators' address of the first control replica.
+async fn bind_replica_address() -> (Addresses, TcpListener) {
     for network in NETWORKS {
         let addresses = Addresses { network };
         let address = addresses.admin(Machine::Control(0));
@@ -25,14 +26,14 @@
             return (addresses, listener);
         }
     }
-    panic!("somebody listens in all networks");
+    panic!("the operators' address is in use in all networks");
 }
 
 #[tokio::test]
-async fn a_group_that_takes_both_orders_of_a_race_is_reported() {
-    let (addresses, listener) = listening().await;
-    let takes_all = Router::new().fallback(async || "taken");
-    tokio::spawn(async move { axum::serve(listener, takes_all).await });
+async fn a_group_that_accepts_both_changes_of_a_race_is_reported() {
+    let (addresses, listener) = bind_replica_address().await;
+    let accepts_all = Router::new().fallback(async || "taken");
+    tokio::spawn(async move { axum::serve(listener, accepts_all).await });
     let history = History::default();
     let mut operators = Operators::new(history.clone(), addresses, 1, 7, Vec::new());
     for _ in 0..CHANGES {
--- a/crates/bramblewheel-soak/tests/plan.rs
+++ b/crates/bramblewheel-soak/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of faults: the same for one seed, within the bounds that the checks rely on.
+//! Tests that fault plans are reproducible and keep the distances between faults that the checks rely on.
 
 use bramblewheel_soak::plan::{Fault, Machine, Size, Step, plan};
 use std::time::Duration;
@@ -9,7 +9,7 @@
     length: Duration::from_secs(120),
 };
 
-fn strikes_control(step: &Step) -> bool {
+fn affects_control(step: &Step) -> bool {
     match step.fault {
         Fault::Kill(machine)
         | Fault::KillAndWipe(machine)
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn one_seed_gives_one_plan() {
+fn a_plan_is_reproducible_from_its_seed() {
     for seed in 0..50 {
         assert_eq!(plan(seed, SIZE), plan(seed, SIZE));
         assert!(plan(seed, SIZE).len() > 20, "seed {seed}");
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn control_replicas_are_struck_one_after_the_other() {
+fn faults_of_control_replicas_do_not_overlap() {
     for seed in 0..50 {
         let steps = plan(seed, SIZE);
-        let control: Vec<&Step> = steps.iter().filter(|step| strikes_control(step)).collect();
+        let control: Vec<&Step> = steps.iter().filter(|step| affects_control(step)).collect();
         for pair in control.windows(2) {
             assert!(
                 pair[1].at >= pair[0].at + pair[0].lasts,
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn nothing_else_is_near_a_planned_stop() {
+fn no_other_fault_is_near_a_planned_stop() {
     for seed in 0..50 {
         let steps = plan(seed, SIZE);
         let stops: Vec<&Step> = steps
--- a/crates/bramblewheel-soak/tests/planned_stops.rs
+++ b/crates/bramblewheel-soak/tests/planned_stops.rs
@@ -1,29 +1,29 @@
-//! What counts as interrupted by a planned stop, and what excuses it: each shown by a history.
+//! Tests which requests the check reports as interrupted by a planned stop, and which ones it excuses.
 //!
-//! The daemon 0 is told to stop at 5 s; its grace time ends at 11 s, and its process at 10.75 s.
+//! In all histories, daemon 0 is requested to stop at 5 s, its grace time ends at 11 s, and its process exits at 10.75 s.
 
 use bramblewheel_platform_client::{Kind, SERVICES, version_of};
 use bramblewheel_soak::check::check;
-use bramblewheel_soak::history::{At, End, Events, PlannedStop, Request, Run, RunEnd};
+use bramblewheel_soak::history::{End, Events, PlannedStop, Request, Run, RunEnd, Timestamp};
 use std::time::Duration;
 
-const TOLD: u64 = 5_000;
+const REQUESTED: u64 = 5_000;
 const ENDED: u64 = 10_750;
 
-fn at(millis: u64) -> At {
+fn at(millis: u64) -> Timestamp {
     Duration::from_millis(millis)
 }
 
-/// A request of a caller at the stopping daemon that is sent and ends at these times.
-fn asked(sent: u64, ended: u64, end: End) -> Request {
+/// A request of a caller to the stopping daemon with these times, in milliseconds.
+fn caller_request(sent: u64, ended: u64, end: End) -> Request {
     Request {
         id: "r-1".to_owned(),
         kind: Kind::Repeatable,
         daemon: 0,
         sent: at(sent),
-        allowed: at(6_000),
-        whole_at: Some(at(sent)),
-        called_by: None,
+        time_limit: at(6_000),
+        body_sent_at: Some(at(sent)),
+        parent_id: None,
         ended: Some((at(ended), end)),
     }
 }
@@ -48,8 +48,8 @@
     }
 }
 
-/// The promises that this history breaks.
-fn broken(request: Request, runs: Vec<Run>) -> Vec<&'static str> {
+/// Returns the promises that a history with this request and these runs breaks.
+fn broken_promises(request: Request, runs: Vec<Run>) -> Vec<&'static str> {
     let served = Request {
         id: "later".to_owned(),
         daemon: 1,
@@ -61,7 +61,7 @@
                 is_own_body: true,
             },
         )),
-        ..asked(30_000, 30_050, End::Broken)
+        ..caller_request(30_000, 30_050, End::Broken)
     };
     let served_run = Run {
         id: "later".to_owned(),
@@ -75,11 +75,11 @@
         runs,
         planned_stops: vec![PlannedStop {
             daemon: 0,
-            told: at(TOLD),
+            requested: at(REQUESTED),
             ended: at(ENDED),
             is_in_time: true,
         }],
-        calm_since: at(12_000),
+        last_fault_ended: at(12_000),
         ended: at(31_000),
         ..Events::default()
     };
@@ -87,98 +87,107 @@
     found.into_iter().map(|breach| breach.promise).collect()
 }
 
-fn nothing() -> Vec<&'static str> {
+fn none() -> Vec<&'static str> {
     Vec::new()
 }
 
 #[test]
-fn a_late_request_that_is_cut_off_at_its_endpoint_is_reported() {
-    let cut = asked(9_900, 10_750, End::Broken);
+fn a_late_request_whose_run_is_cut_off_is_reported() {
+    let cut = caller_request(9_900, 10_750, End::Broken);
     let runs = vec![run(1, 9_910, Some((10_750, RunEnd::Dropped)))];
-    assert_eq!(broken(cut, runs), ["a planned stop cuts nothing off"]);
+    assert_eq!(
+        broken_promises(cut, runs),
+        ["a planned stop cuts nothing off"]
+    );
 }
 
 #[test]
-fn a_cut_after_the_endpoint_has_answered_is_reported() {
-    let cut = asked(5_100, 7_500, End::Broken);
+fn a_connection_closed_after_the_endpoint_answered_is_reported() {
+    let cut = caller_request(5_100, 7_500, End::Broken);
     let runs = vec![run(1, 5_110, Some((7_490, RunEnd::Answered)))];
-    assert_eq!(broken(cut, runs), ["a planned stop cuts nothing off"]);
+    assert_eq!(
+        broken_promises(cut, runs),
+        ["a planned stop cuts nothing off"]
+    );
 }
 
 #[test]
-fn an_answer_in_place_of_an_endpoint_at_work_is_reported() {
+fn an_error_answer_of_the_daemon_during_a_run_is_reported() {
     for status in [502, 504] {
-        let replaced = asked(9_000, 10_500, answer(status));
+        let answered_by_daemon = caller_request(9_000, 10_500, answer(status));
         let runs = vec![run(1, 9_010, Some((10_500, RunEnd::Dropped)))];
         assert_eq!(
-            broken(replaced, runs),
+            broken_promises(answered_by_daemon, runs),
             ["a planned stop breaks no work off"]
         );
     }
 }
 
 #[test]
-fn a_request_that_was_read_and_gets_no_answer_is_reported() {
-    let left = asked(6_000, 10_750, End::Broken);
+fn a_request_that_was_read_but_not_answered_is_reported() {
+    let unanswered = caller_request(6_000, 10_750, End::Broken);
     assert_eq!(
-        broken(left, Vec::new()),
+        broken_promises(unanswered, Vec::new()),
         ["a planned stop answers what was read"]
     );
-    let may_be_unread = asked(10_600, 10_750, End::Broken);
-    assert_eq!(broken(may_be_unread, Vec::new()), nothing());
+    let may_be_unread = caller_request(10_600, 10_750, End::Broken);
+    assert_eq!(broken_promises(may_be_unread, Vec::new()), none());
     let half_sent = Request {
-        whole_at: None,
-        ..asked(6_000, 10_750, End::Broken)
+        body_sent_at: None,
+        ..caller_request(6_000, 10_750, End::Broken)
     };
-    assert_eq!(broken(half_sent, Vec::new()), nothing());
+    assert_eq!(broken_promises(half_sent, Vec::new()), none());
 }
 
 #[test]
-fn work_at_the_endpoint_beside_a_stopping_daemon_counts() {
+fn a_run_beside_the_stopping_daemon_is_checked() {
     let elsewhere = |ended| Request {
         daemon: 1,
-        ..asked(4_900, ended, answer(502))
+        ..caller_request(4_900, ended, answer(502))
     };
     let short = vec![run(0, 4_910, Some((8_000, RunEnd::Dropped)))];
     assert_eq!(
-        broken(elsewhere(8_000), short),
+        broken_promises(elsewhere(8_000), short),
         ["a planned stop breaks no work off"]
     );
     let long = vec![run(0, 4_910, Some((10_500, RunEnd::Dropped)))];
-    assert_eq!(broken(elsewhere(10_500), long), nothing());
+    assert_eq!(broken_promises(elsewhere(10_500), long), none());
 }
 
 #[test]
-fn long_work_excuses_a_request_of_the_first_half_only() {
+fn a_long_run_excuses_only_requests_of_the_first_half_of_the_grace_time() {
     let runs = || vec![run(1, 7_950, Some((10_750, RunEnd::Dropped)))];
-    let early = asked(7_900, 10_750, End::Broken);
-    assert_eq!(broken(early, runs()), nothing());
-    let late = asked(8_100, 10_750, End::Broken);
-    assert_eq!(broken(late, runs()), ["a planned stop cuts nothing off"]);
+    let early = caller_request(7_900, 10_750, End::Broken);
+    assert_eq!(broken_promises(early, runs()), none());
+    let late = caller_request(8_100, 10_750, End::Broken);
+    assert_eq!(
+        broken_promises(late, runs()),
+        ["a planned stop cuts nothing off"]
+    );
 }
 
 #[test]
-fn what_the_endpoint_breaks_off_and_what_is_out_of_time_is_excused() {
-    let cut = asked(5_100, 6_000, End::Broken);
+fn runs_broken_off_by_the_endpoint_and_expired_requests_are_excused() {
+    let cut = caller_request(5_100, 6_000, End::Broken);
     let by_endpoint = vec![run(1, 5_110, Some((5_999, RunEnd::BrokenOff)))];
-    assert_eq!(broken(cut, by_endpoint), nothing());
+    assert_eq!(broken_promises(cut, by_endpoint), none());
     let out_of_time = Request {
-        allowed: at(800),
-        ..asked(9_900, 10_720, answer(504))
+        time_limit: at(800),
+        ..caller_request(9_900, 10_720, answer(504))
     };
     let runs = vec![run(1, 9_910, Some((10_720, RunEnd::Dropped)))];
-    assert_eq!(broken(out_of_time, runs), nothing());
+    assert_eq!(broken_promises(out_of_time, runs), none());
 }
 
 #[test]
-fn what_ended_before_the_stop_or_at_other_daemons_is_left_alone() {
-    let before = asked(4_000, 4_900, End::Broken);
+fn requests_that_end_before_the_stop_or_at_other_daemons_are_not_reported() {
+    let before = caller_request(4_000, 4_900, End::Broken);
     let runs = vec![run(1, 4_010, Some((4_900, RunEnd::Dropped)))];
-    assert_eq!(broken(before, runs), nothing());
+    assert_eq!(broken_promises(before, runs), none());
     let elsewhere = Request {
         daemon: 2,
-        ..asked(6_000, 7_000, End::Broken)
+        ..caller_request(6_000, 7_000, End::Broken)
     };
     let runs = vec![run(1, 6_010, Some((7_000, RunEnd::Dropped)))];
-    assert_eq!(broken(elsewhere, runs), nothing());
+    assert_eq!(broken_promises(elsewhere, runs), none());
 }
--- a/crates/bramblewheel-soak/tests/relay.rs
+++ b/crates/bramblewheel-soak/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay does to connections what a plan says.
+//! Tests that the relay holds traffic back and resets connections.
 
 use bramblewheel_ports::claim_address;
 use bramblewheel_soak::relay::{Mode, Relay};
@@ -6,10 +6,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A relay in front of an echo.
-async fn echo() -> (Relay, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let target = listener.local_addr().expect("bound");
+/// Starts a relay in front of an echo server; returns it with a client connection.
+async fn start_relayed_echo() -> (Relay, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("binding to a free port succeeds");
+    let target = listener
+        .local_addr()
+        .expect("a bound listener has an address");
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             tokio::spawn(async move {
@@ -18,41 +22,66 @@
             });
         }
     });
-    let known = claim_address().expect("a port is left");
-    let relay = Relay::start(known, target).await.expect("the port is free");
-    let client = TcpStream::connect(known).await.expect("it listens");
+    let listen_address = claim_address().expect("an address is free");
+    let relay = Relay::start(listen_address, target)
+        .await
+        .expect("the claimed address can be bound");
+    let client = TcpStream::connect(listen_address)
+        .await
+        .expect("the relay accepts connections");
     (relay, client)
 }
 
 #[tokio::test]
-async fn what_is_held_goes_on_later() {
+async fn held_bytes_are_forwarded_later() {
     for mode in [(true, false), (false, true)] {
-        let (relay, mut client) = echo().await;
-        client.write_all(b"one").await.expect("open");
+        let (relay, mut client) = start_relayed_echo().await;
+        client
+            .write_all(b"one")
+            .await
+            .expect("the connection is open");
         let mut word = [0; 3];
-        client.read_exact(&mut word).await.expect("echoed");
+        client
+            .read_exact(&mut word)
+            .await
+            .expect("the answer is echoed");
         relay.set(Mode {
             is_silent_inwards: mode.0,
             is_silent_outwards: mode.1,
             ..Mode::default()
         });
-        client.write_all(b"two").await.expect("open");
+        client
+            .write_all(b"two")
+            .await
+            .expect("the connection is open");
         let silence = Duration::from_millis(100);
-        let early = tokio::time::timeout(silence, client.read_exact(&mut word)).await;
-        assert!(early.is_err(), "{mode:?}");
+        let while_silent = tokio::time::timeout(silence, client.read_exact(&mut word)).await;
+        assert!(while_silent.is_err(), "{mode:?}");
         relay.set(Mode::default());
-        client.read_exact(&mut word).await.expect("echoed");
+        client
+            .read_exact(&mut word)
+            .await
+            .expect("the answer is echoed");
         assert_eq!(&word, b"two");
     }
 }
 
 #[tokio::test]
-async fn a_reset_ends_connections_with_an_error() {
-    let (relay, mut client) = echo().await;
+async fn reset_closes_connections_with_an_error() {
+    let (relay, mut client) = start_relayed_echo().await;
     let mut word = [0; 3];
-    client.write_all(b"one").await.expect("open");
-    client.read_exact(&mut word).await.expect("echoed");
+    client
+        .write_all(b"one")
+        .await
+        .expect("the connection is open");
+    client
+        .read_exact(&mut word)
+        .await
+        .expect("the answer is echoed");
     relay.reset();
-    let error = client.read_exact(&mut word).await.expect_err("reset");
+    let error = client
+        .read_exact(&mut word)
+        .await
+        .expect_err("the connection is reset");
     assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
 }
