--- a/crates/bramblewheel-soak/src/check/foreign_heartbeats.rs
+++ b/crates/bramblewheel-soak/src/check/foreign_heartbeats.rs
@@ -24,7 +24,7 @@
     check_work(events, found);
 }
 
-/// Requests are spread over all endpoints of a service, so an endpoint without any is missing in the daemons' lists.
+/// Requests are spread over all endpoints of a service, so an endpoint that receives none is not served by its daemon.
 fn check_work(events: &Events, found: &mut Vec<Breach>) {
     let from = events.last_fault_ended + RECOVERY_TIME;
     for daemon in 0..events.daemons {
--- a/crates/bramblewheel-soak/src/check/planned_stops.rs
+++ b/crates/bramblewheel-soak/src/check/planned_stops.rs
@@ -4,8 +4,8 @@
 //! only
 //! - if its endpoint broke it off, crashed or stopped;
 //! - if the time limit of its caller or its route had passed;
-//! - if it was sent within the first half of the grace time, and its endpoint was still running it in the last sixth:
-//!   then no daemon can wait for it.
+//! - if it was sent within the first half of the grace time or is a call of an endpoint, and it or the request that it
+//!   was made for was still running in the last sixth: then no daemon can wait for it.
 
 use super::{Breach, report_breach};
 use crate::fleet::GRACE_TIME;
@@ -75,10 +75,10 @@
         return;
     };
     let parent_runs = request.parent_id.as_deref().and_then(|id| runs.get(id));
-    let at_work = own_runs.iter().chain(parent_runs.into_iter().flatten());
-    let at_work: Vec<&Run> = at_work.copied().collect();
+    let related_runs = own_runs.iter().chain(parent_runs.into_iter().flatten());
+    let related_runs: Vec<&Run> = related_runs.copied().collect();
     let overlapping_stops = stops().filter(|stop| was_open_during(request, own_runs, stop));
-    if is_excused(request, &at_work, overlapping_stops) {
+    if is_excused(request, &related_runs, overlapping_stops) {
         return;
     }
     report_breach(
@@ -127,7 +127,7 @@
 
 fn is_excused<'a>(
     request: &Request,
-    at_work: &[&Run],
+    related_runs: &[&Run],
     stops: impl Iterator<Item = &'a PlannedStop>,
 ) -> bool {
     let Some((ended, _)) = &request.ended else {
@@ -135,7 +135,7 @@
     };
     let was_broken_off = |run: &&Run| matches!(run.ended, Some((_, RunEnd::BrokenOff)));
     let is_over = *ended + CLOCK_MARGIN >= request.sent + request.time_limit;
-    if at_work.iter().any(was_broken_off) || is_over {
+    if related_runs.iter().any(was_broken_off) || is_over {
         return true;
     }
     let mut stops = stops;
@@ -143,7 +143,7 @@
         let long_run_from = stop.requested + LONG_RUN_TIME;
         let is_long_run = |run: &&Run| run.ended.is_none_or(|(at, _)| at >= long_run_from);
         let is_early = request.sent <= stop.requested + ACCEPT_TIME;
-        (is_early || request.parent_id.is_some()) && at_work.iter().any(is_long_run)
+        (is_early || request.parent_id.is_some()) && related_runs.iter().any(is_long_run)
     })
 }
 
--- a/crates/bramblewheel-soak/src/endpoint/mod.rs
+++ b/crates/bramblewheel-soak/src/endpoint/mod.rs
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Makes a planned stop: reports that it drains until that is acknowledged, serves on for [`LINGER_TIME`],
+    /// Makes a planned stop: reports that it drains until that is acknowledged, serves on for `LINGER_TIME`,
     /// deregisters and stops.
     pub async fn stop(mut self) {
         const MAX_ATTEMPTS: u32 = 10;
--- a/crates/bramblewheel-soak/src/foreign.rs
+++ b/crates/bramblewheel-soak/src/foreign.rs
@@ -1,7 +1,7 @@
 //! A foreign sender: sends a daemon heartbeats that don't come from the endpoint beside it, and deregistrations of
 //! endpoints beside other daemons.
 //!
-//! The soak's seed and the step determine the messages. Ids, start times and addresses are those of real endpoints.
+//! The soak's seed and the step determine the messages, which are derived from the identities of running endpoints.
 
 use crate::endpoint::EndpointIdentity;
 use crate::endpoint_interface;
--- a/crates/bramblewheel-soak/src/main.rs
+++ b/crates/bramblewheel-soak/src/main.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// Exit code when a promise was broken.
-const BROKEN: u8 = 1;
+const EXIT_PROMISE_BROKEN: u8 = 1;
 /// Exit code when the soak could not be run.
-const NOT_RUN: u8 = 2;
+const EXIT_NOT_RUN: u8 = 2;
 /// Range of loopback networks; the low bits of the seed select one, so that soaks can run side by side.
 const FIRST_NETWORK: u8 = 64;
 const NETWORKS: u64 = 64;
@@ -68,7 +68,7 @@
             Ok(workload) => Scenario::PlannedStops(workload),
             Err(error) => {
                 eprintln!("bramblewheel-soak: {error}");
-                return ExitCode::from(NOT_RUN);
+                return ExitCode::from(EXIT_NOT_RUN);
             }
         },
     };
@@ -78,7 +78,7 @@
         (None, Ok(folder)) => folder.path().to_owned(),
         (None, Err(error)) => {
             eprintln!("bramblewheel-soak: no temporary folder: {error}");
-            return ExitCode::from(NOT_RUN);
+            return ExitCode::from(EXIT_NOT_RUN);
         }
     };
     let size = Size {
@@ -106,7 +106,7 @@
         Ok(verdict) => verdict,
         Err(error) => {
             eprintln!("bramblewheel-soak: {error}");
-            return ExitCode::from(NOT_RUN);
+            return ExitCode::from(EXIT_NOT_RUN);
         }
     };
     println!(
@@ -120,5 +120,5 @@
         println!("all promises held");
         return ExitCode::SUCCESS;
     }
-    ExitCode::from(BROKEN)
+    ExitCode::from(EXIT_PROMISE_BROKEN)
 }
--- a/crates/bramblewheel-soak/src/run.rs
+++ b/crates/bramblewheel-soak/src/run.rs
@@ -72,7 +72,7 @@
 pub enum Scenario {
     /// Faults of all kinds, with plain callers; no workload.
     Faults(ForeignMessages),
-    /// Planned stops of all forms, with the callers of a workload.
+    /// Planned stops of all patterns, with the callers of a workload.
     PlannedStops(Workload),
 }
 
