--- a/crates/bramblewheel-decisions/src/admission.rs
+++ b/crates/bramblewheel-decisions/src/admission.rs
@@ -21,11 +21,13 @@
 
 /// Part of an endpoint's slots that is used, 0 to 1: some endpoints slow down when nearly full.
 const USED_SLOTS: f64 = 0.94;
-/// Requests that may wait per used slot. The mean served share over 15 whole days was 0.505 with 4, 0.489 with 1.5.
+/// Requests that may wait per used slot. The mean net value of 15 whole days was 0.505 with 4, 0.489 with 1.5. The net
+/// value is the value of the requests answered in time, as a part of the attainable, less the cost of resources and of
+/// refusals; 1 is the best.
 const WAITING_PER_SLOT: f64 = 4.0;
 /// Least number of requests that may wait, which matters for endpoints with a single slot.
 const MIN_QUEUE_LENGTH: usize = 2;
-/// Part of the latency objective, 0 to 1, that a request may wait. The mean served share over 15 whole days was 0.505
+/// Part of the latency objective, 0 to 1, that a request may wait. The mean net value of 15 whole days was 0.505
 /// with 0.6, 0.494 with 0.3.
 const WAITING_PART_OF_OBJECTIVE: f64 = 0.6;
 /// The wait takes at most the time left divided by this.
--- a/crates/bramblewheel-decisions/src/class_limit.rs
+++ b/crates/bramblewheel-decisions/src/class_limit.rs
@@ -22,18 +22,19 @@
 use std::time::Duration;
 
 /// Mean time of the answers, as a part of the objective, above which the limit falls. For classes that are not the
-/// least important, the served shares of eight whole days added up to 5.706 with 0.4 and failures at 0.15, and to 5.661
-/// with 0.8 and failures at 0.6.
+/// least important, the net values of eight whole days added up to 5.706 with 0.4 and failures at 0.15, and to 5.661
+/// with 0.8 and failures at 0.6. The net value of a day or surge is the value of the requests answered in time, as a
+/// part of the attainable, less the cost of resources and of refusals; 1 is the best.
 const BUSY_PART_OF_OBJECTIVE: f64 = 0.4;
 /// The same as a multiple of the usual time, so that a class that is always slow is not limited. In a long surge the
-/// served share was 0.793 with 1.8, 0.771 with 1.4.
+/// net value was 0.793 with 1.8, 0.771 with 1.4.
 const BUSY_MULTIPLE_OF_USUAL: f64 = 1.8;
 /// Least length of a window.
 const WINDOW: Duration = Duration::from_millis(200);
 /// Least number of answers in a window; with fewer it continues.
 const MIN_ANSWERS: u32 = 5;
 /// Share of failures among the answers, 0 to 1, above which the limit falls: if calls are refused deep in the tree,
-/// their parents fail, and fast. In a long surge the served share was 0.793 with 0.15 and an increase of 0.08, 0.788
+/// their parents fail, and fast. In a long surge the net value was 0.793 with 0.15 and an increase of 0.08, 0.788
 /// with 0.06 and 0.05.
 const TOLERATED_FAILURES: f64 = 0.15;
 /// Largest part of the requests in use to which the limit falls in one window.
--- a/crates/bramblewheel-decisions/src/directory/endpoint.rs
+++ b/crates/bramblewheel-decisions/src/directory/endpoint.rs
@@ -20,7 +20,9 @@
 use std::time::Duration;
 
 /// Cost of an endpoint in another zone, in units of a full endpoint: traffic between zones costs more than a somewhat
-/// longer wait. Mean served share over whole days: 0.441 with 0.3, 0.450 with 0.6 and with 1.0.
+/// longer wait. Mean net value of whole days: 0.441 with 0.3, 0.450 with 0.6 and with 1.0. The net value is the value
+/// of the requests answered in time, as a part of the attainable, less the cost of resources and of refusals; 1 is the
+/// best.
 const OTHER_ZONE_COST: f64 = 0.6;
 /// Cost of an idle endpoint of usual speed, in units of a full endpoint, so that slowness counts even without load.
 const IDLE_COST: f64 = 0.15;
--- a/crates/bramblewheel-decisions/src/early_refusal/refused_part.rs
+++ b/crates/bramblewheel-decisions/src/early_refusal/refused_part.rs
@@ -39,9 +39,10 @@
 /// For requests that failed because of missing capacity downstream. Much work is lost with each of them, and returning
 /// capacity shows only after the time of a whole call tree.
 ///
-/// Mean served share over whole days of one deployment: 0.505 with 0.05 tolerated, 0.497 with 0.12; with a rise of 4,
-/// 0.431 with a fall of 0.5 and 0.441 with 1.0 and 1.5; with a rise of 2 and a fall of 1.5, 0.440. Differences below
-/// 0.01 are noise.
+/// Mean net value of whole days of one deployment: 0.505 with 0.05 tolerated, 0.497 with 0.12; with a rise of 4, 0.431
+/// with a fall of 0.5 and 0.441 with 1.0 and 1.5; with a rise of 2 and a fall of 1.5, 0.440. Differences below 0.01 are
+/// noise. The net value is the value of the requests answered in time, as a part of the attainable, less the cost of
+/// resources and of refusals; 1 is the best.
 pub(super) const DOWNSTREAM: RefusalSettings = RefusalSettings {
     tolerated: 0.05,
     rise_per_second: 4.0,
@@ -50,7 +51,7 @@
 
 /// For less important requests that need the same service: they are refused before many of the more important ones are.
 ///
-/// With this rule the served share of two overloaded days was 0.403 and 0.676, without it 0.391 and 0.643. The effect
+/// With this rule the net value of two overloaded days was 0.403 and 0.676, without it 0.391 and 0.643. The effect
 /// of each of the three figures alone is not known.
 pub(super) const FOR_OTHERS: RefusalSettings = RefusalSettings {
     tolerated: 0.03,
--- a/crates/bramblewheel-decisions/src/exemption.rs
+++ b/crates/bramblewheel-decisions/src/exemption.rs
@@ -4,8 +4,8 @@
 //! nested calls, since a refusal in the middle of a call tree wastes all the work done for it so far. Without the first
 //! rule most tenants' most important requests were subject to the limits: while one service rejected 0.55 of all
 //! requests, 4,385 of them were refused at endpoints with free slots. With it, with retries by root rank and with
-//! nested calls known from the table, the served share of that day rose from 0.329 to 0.371 of the attainable (one run
-//! each).
+//! nested calls known from the table, the value of that day's answers rose from 0.329 to 0.371 of the attainable (one
+//! run each).
 //!
 //! Three rules use the exemption, with two different ranks:
 //!
--- a/crates/bramblewheel-decisions/src/nested_routes.rs
+++ b/crates/bramblewheel-decisions/src/nested_routes.rs
@@ -26,7 +26,8 @@
 /// Largest part of the machines, 0 to 1, that the caller services of a nested class may have. A service with few
 /// machines is rarely seen by chance, so its absence alone must not decide. In the deployments seen, the calling
 /// services had at most half of the machines. Without this limit `callers of route` was logged 1,236 times in two
-/// seconds of low load; with it the served share of a day rose from 0.621 to 0.646.
+/// seconds of low load; with it the net value of a day rose from 0.621 to 0.646. The net value is the value of the
+/// requests answered in time, as a part of the attainable, less the cost of resources and of refusals; 1 is the best.
 const MAX_CALLER_PART: f64 = 0.7;
 /// Part of a class's requests, 0 to 1, up to which a service does not count as a caller, to ignore single requests that
 /// operators send by hand.
--- a/crates/bramblewheel-decisions/src/retry_after.rs
+++ b/crates/bramblewheel-decisions/src/retry_after.rs
@@ -14,8 +14,8 @@
 
 /// Parts of the latency objective after which a caller that found no capacity may return. One that returns within its
 /// objective can still be served in time: at the highest load 1,368 requests of a route with an objective of 400 ms
-/// were served late, against 3,456 with 150 to 500 ms for all routes, and the served share rose from 0.372 to 0.375 of
-/// the attainable (one run each).
+/// were served late, against 3,456 with 150 to 500 ms for all routes, and the value of the answers rose from 0.372 to
+/// 0.375 of the attainable (one run each).
 const PARTS_OF_OBJECTIVE: Range<f64> = 0.1..0.33;
 /// Further part of the latency objective to wait if all requests of the class are refused; proportionally less if only
 /// a part is. The figures of [`PARTS_OF_OBJECTIVE`] hold for both constants together.
