--- a/crates/bramblewheel-bundle/src/canonical.rs
+++ b/crates/bramblewheel-bundle/src/canonical.rs
@@ -1,4 +1,4 @@
-//! Canonical bytes: one bundle has exactly one encoding, so that a digest names a meaning.
+//! Canonical encoding: every bundle has exactly one encoding, so that equal bundles have equal digests.
 
 use crate::check::check;
 use crate::digest::digest;
@@ -8,55 +8,55 @@
 use bramblewheel_types::{BundleDigest, BundleVersion};
 use thiserror::Error;
 
-/// Longest bundle accepted, in bytes; it must fit a control frame with its signatures.
+/// Maximum length of a bundle in bytes; bundle and signatures must fit in one control frame.
 pub const MAX_BUNDLE_LENGTH: usize = 2 * 1024 * 1024;
 
-/// Bytes are not an acceptable bundle.
+/// Bytes are not a valid bundle.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The bytes are over [`MAX_BUNDLE_LENGTH`].
     #[error("bundle of {0} bytes is over the limit of {MAX_BUNDLE_LENGTH}")]
     TooLong(usize),
-    /// The bytes don't begin with the marker of a format known here.
+    /// The bytes don't begin with the marker of a supported format.
     #[error("not a bundle of a known format")]
     UnknownFormat,
-    /// The bytes after the marker are not a bundle or its head.
+    /// The bytes after the marker are not a bundle or a head.
     #[error("malformed bundle: {0}")]
     Malformed(String),
-    /// The bytes hold a bundle, but not in its one canonical encoding.
+    /// The bytes are an encoding of a bundle, but not the canonical one.
     #[error("the bytes are not the bundle's canonical encoding")]
     NotCanonical,
-    /// The bundle breaks a rule.
+    /// The bundle violates a rule.
     #[error("invalid bundle: {0}")]
     Invalid(#[from] InvalidBundle),
-    /// The digest stated is not the digest of the bytes.
+    /// The stated digest is not that of the bytes.
     #[error("digest stated {stated}, digest of the bytes {actual}")]
     DigestMismatch {
-        /// Digest stated beside the bytes.
+        /// Digest sent with the bytes.
         stated: BundleDigest,
         /// Digest of the bytes.
         actual: BundleDigest,
     },
-    /// The version stated is not the version in the bytes.
+    /// The stated version is not that in the bytes.
     #[error("version stated {stated}, version in the bytes {actual}")]
     VersionMismatch {
-        /// Version stated beside the bytes.
+        /// Version sent with the bytes.
         stated: BundleVersion,
         /// Version in the bytes.
         actual: BundleVersion,
     },
 }
 
-/// Encodes a bundle: the format marker, then head and rest (see [`crate::sections`]) as CBOR with
-/// keys in declaration order and maps sorted by key.
+/// Encodes a bundle: format marker, then head and rest (see [`crate::sections`]) as CBOR, with struct
+/// fields in declaration order and maps sorted by key.
 pub fn encode(bundle: &Bundle) -> Vec<u8> {
     sections::encode(bundle)
 }
 
-/// Decodes a bundle; only its canonical encoding is accepted, and every rule is checked again.
+/// Decodes and validates a bundle; only its canonical encoding is accepted.
 ///
 /// # Errors
-/// [`DecodeError`] saying what is wrong with the bytes.
+/// [`DecodeError`] with the reason.
 pub fn decode(bytes: &[u8]) -> Result<Bundle, DecodeError> {
     if bytes.len() > MAX_BUNDLE_LENGTH {
         return Err(DecodeError::TooLong(bytes.len()));
@@ -70,12 +70,12 @@
 }
 
 impl Bundle {
-    /// Decodes a bundle that arrived with its version and digest beside it.
+    /// Decodes a bundle that was received with its version and digest.
     ///
-    /// Signatures are not looked at: see [`crate::verify`].
+    /// Does not verify signatures: see [`crate::verify`].
     ///
     /// # Errors
-    /// [`DecodeError`] when the digest or version differ or the bytes are not acceptable.
+    /// [`DecodeError`] when the digest or version differs or the bytes are not a valid bundle.
     pub fn from_signed_bytes(
         bytes: &[u8],
         stated_digest: BundleDigest,
--- a/crates/bramblewheel-bundle/src/check.rs
+++ b/crates/bramblewheel-bundle/src/check.rs
@@ -1,4 +1,4 @@
-//! The rules every bundle keeps, as one function over the model.
+//! Validation rules for bundles.
 
 use crate::error::{Finding, InvalidBundle, Problem};
 use crate::model::{Bundle, OperatorPolicy, RequestLimits, RoutePolicy, ServicePolicy};
@@ -6,34 +6,34 @@
 use bramblewheel_types::{Millis, ServiceName};
 use ed25519_dalek::VerifyingKey;
 
-/// Most services in a bundle.
+/// Maximum number of services in a bundle.
 pub const MAX_SERVICES: usize = 4_096;
-/// Most routes of one service.
+/// Maximum number of routes of one service.
 pub const MAX_ROUTES: usize = 256;
-/// Most operator keys.
+/// Maximum number of operator keys.
 pub const MAX_OPERATORS: usize = 64;
-/// Longest path prefix, in bytes.
+/// Maximum length of a path prefix in bytes.
 pub const MAX_PREFIX_LENGTH: usize = 256;
-/// Longest deadline: one hour.
+/// Maximum deadline: one hour.
 pub const MAX_DEADLINE: Millis = Millis(60 * 60 * 1_000);
-/// Longest retention of operation keys: 30 days.
+/// Maximum retention of operation keys: 30 days.
 pub const MAX_RETENTION: Millis = Millis(30 * 24 * 60 * 60 * 1_000);
-/// Most extra attempts one request tree may cause.
+/// Maximum number of extra attempts that one request tree may cause.
 pub const MAX_RETRY_TOKENS: u64 = 100;
-/// Largest count accepted for queues, slots, sessions and connections.
+/// Maximum for counts of queued calls, slots, sessions and connections.
 pub const MAX_COUNT: u64 = 1_000_000;
-/// Largest spill-over threshold, in per cent of the concurrency limit.
+/// Maximum spill-over threshold, in percent of the concurrency limit.
 pub const MAX_SPILL_OVER_PERCENT: u64 = 1_000;
 
-/// Checks a bundle against every rule.
+/// Checks a bundle against all rules.
 ///
 /// # Errors
 /// [`InvalidBundle`] with all findings.
 pub fn check(bundle: &Bundle) -> Result<(), InvalidBundle> {
-    refuse(findings(bundle))
+    into_result(findings(bundle))
 }
 
-fn refuse(findings: Vec<Finding>) -> Result<(), InvalidBundle> {
+fn into_result(findings: Vec<Finding>) -> Result<(), InvalidBundle> {
     if findings.is_empty() {
         Ok(())
     } else {
@@ -41,14 +41,14 @@
     }
 }
 
-/// Checks a bundle's head against every rule for it.
+/// Checks a bundle's head against the rules for heads.
 ///
 /// # Errors
 /// [`InvalidBundle`] with all findings.
 pub fn check_head(head: &Head) -> Result<(), InvalidBundle> {
     let mut checker = Checker::default();
     checker.head(head);
-    refuse(checker.findings)
+    into_result(checker.findings)
 }
 
 pub(crate) fn findings(bundle: &Bundle) -> Vec<Finding> {
@@ -243,7 +243,7 @@
         );
     }
 
-    /// A key forgotten while its request may still run could run a second time.
+    /// If an operation key is discarded before its request's deadline, the request could be executed a second time.
     fn retention(&mut self, bundle: &Bundle) {
         let retention = bundle.limits.operation_retention.0;
         for (name, service) in &bundle.services {
--- a/crates/bramblewheel-bundle/src/defaults.rs
+++ b/crates/bramblewheel-bundle/src/defaults.rs
@@ -1,4 +1,4 @@
-//! Values that hold where a bundle's text states none.
+//! Default values for keys that a bundle's text omits.
 
 use crate::model::{AdmissionPolicy, RequestLimits, RoutingPolicy};
 use bramblewheel_types::Millis;
@@ -6,7 +6,7 @@
 /// Deadline of a root request.
 pub const DEADLINE: Millis = Millis(2_000);
 
-/// Limits that hold for every request tree.
+/// Limits for every request tree.
 pub const LIMITS: RequestLimits = RequestLimits {
     retry_tokens: 3,
     retry_ratio_percent: 10,
@@ -23,7 +23,7 @@
     max_sessions: 128,
 };
 
-/// How callers choose among a service's endpoints.
+/// Load balancing over a service's endpoints.
 pub const ROUTING: RoutingPolicy = RoutingPolicy {
     spill_over_percent: 80,
     slow_start: Millis(10_000),
--- a/crates/bramblewheel-bundle/src/delta.rs
+++ b/crates/bramblewheel-bundle/src/delta.rs
@@ -1,5 +1,5 @@
-//! What leads from one bundle to a newer one: changed services whole, names of removed ones, and
-//! the other parts where they differ.
+//! Difference between a bundle and a newer one: complete policies of changed services, names of removed
+//! services, and the other parts where they differ.
 
 use crate::canonical::{self, DecodeError, MAX_BUNDLE_LENGTH};
 use crate::model::{Bundle, OperatorPolicy, RequestLimits, ServicePolicy};
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// A delta does not lead to the bundle it is said to lead to.
+/// A delta can't be decoded or does not produce the stated bundle.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DeltaError {
     /// The bytes are over [`MAX_BUNDLE_LENGTH`].
@@ -17,12 +17,12 @@
     /// The bytes are not a delta.
     #[error("malformed delta: {0}")]
     Malformed(String),
-    /// The bundle it leads to is not the one stated, or not an acceptable one.
-    #[error("the delta leads elsewhere: {0}")]
+    /// The resulting bundle is not the stated one, or is invalid.
+    #[error("the delta does not produce the stated bundle: {0}")]
     WrongTarget(#[from] DecodeError),
 }
 
-/// What leads from one bundle to a newer one.
+/// Difference between a bundle and a newer one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     version: BundleVersion,
@@ -32,16 +32,16 @@
     operators: Option<OperatorPolicy>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     limits: Option<RequestLimits>,
-    /// Services that are new or differ.
+    /// Services that are new or changed.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     services: BTreeMap<ServiceName, ServicePolicy>,
-    /// Services taken out before `services` are put in; unknown names do no harm.
+    /// Services removed before `services` are inserted; unknown names are ignored.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     removed: BTreeSet<ServiceName>,
 }
 
 impl Delta {
-    /// What leads from `older` to `newer`.
+    /// Computes the delta from `older` to `newer`.
     pub fn between(older: &Bundle, newer: &Bundle) -> Self {
         let changed = newer
             .services
@@ -53,9 +53,9 @@
             .filter(|name| !newer.services.contains_key(*name));
         Self {
             version: newer.version,
-            deployment: difference(&older.deployment, &newer.deployment),
-            operators: difference(&older.operators, &newer.operators),
-            limits: difference(&older.limits, &newer.limits),
+            deployment: changed_value(&older.deployment, &newer.deployment),
+            operators: changed_value(&older.operators, &newer.operators),
+            limits: changed_value(&older.limits, &newer.limits),
             services: changed
                 .map(|(name, policy)| (name.clone(), policy.clone()))
                 .collect(),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// One delta in place of this and a `later` one that starts where this one ends.
+    /// Combines this delta with a `later` one that starts from this one's result.
     #[must_use]
     pub fn then(mut self, later: Self) -> Self {
         for name in &later.removed {
@@ -85,14 +85,14 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes)
-            .expect("a vector takes every write and the model has only types that CBOR has");
+            .expect("writes to a vector succeed and CBOR can represent every type of the model");
         bytes
     }
 
     /// Decodes a delta.
     ///
     /// # Errors
-    /// [`DeltaError`] when the bytes are too long or no delta.
+    /// [`DeltaError`] when the bytes are too long or not a delta.
     pub fn decode(bytes: &[u8]) -> Result<Self, DeltaError> {
         if bytes.len() > MAX_BUNDLE_LENGTH {
             return Err(DeltaError::TooLong(bytes.len()));
@@ -100,23 +100,23 @@
         ciborium::from_reader(bytes).map_err(|error| DeltaError::Malformed(error.to_string()))
     }
 
-    /// Applies the delta to the bundle it starts from; gives the newer one and its canonical bytes.
+    /// Applies the delta to the bundle that it starts from; returns the newer one and its canonical encoding.
     ///
     /// # Errors
-    /// [`DeltaError::WrongTarget`] unless it leads to an acceptable bundle with the stated version
-    /// and digest.
+    /// [`DeltaError::WrongTarget`] unless the result is a valid bundle with the stated version and
+    /// digest.
     pub fn apply(
         self,
         older: &Bundle,
         stated_digest: BundleDigest,
         stated_version: BundleVersion,
     ) -> Result<(Bundle, Vec<u8>), DeltaError> {
-        let bytes = canonical::encode(&self.applied_to(older));
+        let bytes = canonical::encode(&self.apply_unchecked(older));
         let bundle = Bundle::from_signed_bytes(&bytes, stated_digest, stated_version)?;
         Ok((bundle, bytes))
     }
 
-    fn applied_to(self, older: &Bundle) -> Bundle {
+    fn apply_unchecked(self, older: &Bundle) -> Bundle {
         let mut services = older.services.clone();
         for name in &self.removed {
             services.remove(name);
@@ -132,6 +132,6 @@
     }
 }
 
-fn difference<T: Clone + PartialEq>(older: &T, newer: &T) -> Option<T> {
+fn changed_value<T: Clone + PartialEq>(older: &T, newer: &T) -> Option<T> {
     (older != newer).then(|| newer.clone())
 }
--- a/crates/bramblewheel-bundle/src/diff.rs
+++ b/crates/bramblewheel-bundle/src/diff.rs
@@ -1,20 +1,20 @@
-//! What differs between two bundles, value by value.
+//! Differences between two bundles, value by value.
 
 use crate::model::{Bundle, OperatorPublicKey, RequestLimits, RoutePolicy, ServicePolicy};
 use bramblewheel_types::Criticality;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A value of a bundle, for showing.
+/// A value of a bundle, for display.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Value {
     /// A number; times are in milliseconds.
     Number(u64),
-    /// A text.
+    /// A string.
     Text(String),
-    /// True or false.
+    /// A boolean.
     Flag(bool),
-    /// An importance class.
+    /// A criticality class.
     Criticality(Criticality),
     /// An operator's public key.
     PublicKey(OperatorPublicKey),
@@ -35,11 +35,11 @@
 /// One difference between two bundles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Key in dotted form; a service stands with its name, a route with its prefix.
+    /// Key in dotted form; services are identified by name, routes by their prefix.
     pub key: String,
-    /// Value before, none if the key is new.
+    /// Value before; `None` if the key is new.
     pub before: Option<Value>,
-    /// Value after, none if the key is gone.
+    /// Value after; `None` if the key was removed.
     pub after: Option<Value>,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Every difference between two bundles, ordered by key.
+/// All differences between two bundles, ordered by key.
 pub fn changes(before: &Bundle, after: &Bundle) -> Vec<Change> {
     let mut before = flatten(before);
     let after = flatten(after);
@@ -160,7 +160,7 @@
     values: &mut BTreeMap<String, Value>,
 ) {
     let path = format!("{service}.route.{}", route.prefix);
-    // The first matching route applies, so that a change of order can be a change of meaning.
+    // The first matching route applies, so that a change of order can change the policy of a path.
     values.insert(format!("{path}.position"), Value::Number(position as u64));
     values.insert(format!("{path}.repeatable"), Value::Flag(route.repeatable));
     if let Some(criticality) = route.criticality {
--- a/crates/bramblewheel-bundle/src/error.rs
+++ b/crates/bramblewheel-bundle/src/error.rs
@@ -1,69 +1,69 @@
-//! What can be wrong with a bundle, each finding with its key and its place in the text.
+//! Validation errors of bundles, each with its key and, for text, its location.
 
 use bramblewheel_types::InvalidName;
 use std::fmt;
 use thiserror::Error;
 
-/// One thing that is wrong with a bundle.
+/// A rule that a bundle violates.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Problem {
     /// The text is not TOML.
     #[error("{0}")]
     Syntax(String),
-    /// The key is not one that a bundle has here.
+    /// The table does not have this key.
     #[error("unknown key; known here: {known}")]
     UnknownKey {
-        /// Keys that may stand here.
+        /// Keys of the table.
         known: String,
     },
-    /// A key without a default is absent.
+    /// A required key is absent.
     #[error("missing")]
     Missing,
-    /// The value has another type than the key.
+    /// The value has the wrong type.
     #[error("expected {expected}, found {found}")]
     WrongType {
-        /// Type of the key.
+        /// Type expected.
         expected: &'static str,
-        /// Type in the text.
+        /// Type found in the text.
         found: &'static str,
     },
     /// A number is outside its range.
     #[error("{value} is out of range: allowed are {min} to {max}")]
     OutOfRange {
-        /// Number as written.
+        /// Number as written in the text.
         value: String,
         /// Smallest allowed.
         min: u64,
         /// Largest allowed.
         max: u64,
     },
-    /// A name breaks the rules for names.
+    /// A name violates the rules for names.
     #[error("{0}")]
     InvalidName(#[from] InvalidName),
-    /// The text names no criticality class.
+    /// The text is not the name of a criticality class.
     #[error("unknown criticality `{0}`: expected sheddable, low, normal or critical")]
     UnknownCriticality(String),
     /// The text is not a usable Ed25519 public key.
     #[error("not an Ed25519 public key: expected 64 hexadecimal digits of a valid point")]
     InvalidPublicKey,
-    /// The name, key or prefix stands twice.
+    /// A name, key or prefix occurs twice.
     #[error("`{0}` stands twice")]
     Duplicate(String),
-    /// Two operators have one key, so that one of them could sign for both.
+    /// Two operators have the same key, so that one of them could sign for both.
     #[error("same public key as operator `{0}`")]
     SharedPublicKey(String),
-    /// A prefix is not the beginning of a path.
+    /// A prefix is not valid as the beginning of a path.
     #[error("not a path prefix: it must begin with `/` and hold only visible ASCII, no `?` or `#`")]
     InvalidPrefix,
-    /// The prefix is longer than allowed, in bytes.
+    /// A prefix is too long.
     #[error("prefix has {length} bytes, at most {limit} are allowed")]
     PrefixTooLong {
-        /// Length found.
+        /// Length found, in bytes.
         length: usize,
-        /// Length allowed.
+        /// Length allowed, in bytes.
         limit: usize,
     },
-    /// An earlier and shorter prefix takes all of this route's requests.
+    /// An earlier, shorter prefix matches every request of this route.
     #[error("never reached: `{hidden_by}` stands before it and matches the same paths")]
     UnreachableRoute {
         /// The earlier prefix.
@@ -87,17 +87,17 @@
         /// Keys listed.
         keys: usize,
     },
-    /// An operation key may be forgotten while its request can still run.
+    /// An operation key may be discarded while its request can still be executed.
     #[error("{retention} ms is shorter than the deadline {deadline} ms of {route}")]
     RetentionTooShort {
         /// Retention in milliseconds.
         retention: u64,
         /// Deadline in milliseconds.
         deadline: u64,
-        /// Service and prefix.
+        /// Service and path prefix.
         route: String,
     },
-    /// There are more items than allowed.
+    /// There are more entries than allowed.
     #[error("{count} entries, at most {limit} are allowed")]
     TooMany {
         /// Entries found.
@@ -110,9 +110,9 @@
 /// A problem and the key it concerns, such as `service.kassa.admission.min_concurrency`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Key in dotted form; a service stands with its name, a route with its index from 0.
+    /// Key in dotted form; services are identified by name, routes by their index from 0.
     pub key: String,
-    /// What is wrong.
+    /// The violated rule.
     pub problem: Problem,
 }
 
@@ -125,17 +125,17 @@
     }
 }
 
-/// A place in a text, both counted from 1.
+/// Location in a text; line and column are counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Location {
-    /// Line.
+    /// Line number.
     pub line: usize,
-    /// Column in characters.
+    /// Column number in characters.
     pub column: usize,
 }
 
 impl Location {
-    /// The place of a byte offset in a text.
+    /// Location of a byte offset in a text.
     pub fn of_offset(text: &str, offset: usize) -> Self {
         let before = text.get(..offset).unwrap_or(text);
         let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
@@ -146,16 +146,16 @@
     }
 }
 
-/// A finding and its place in the operator's text.
+/// A finding and its location in the operator's text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocatedFinding {
-    /// Where.
+    /// Location of the key or value.
     pub location: Location,
-    /// What.
+    /// The finding.
     pub finding: Finding,
 }
 
-/// A bundle's text is not acceptable; holds every finding, ordered by place.
+/// A bundle's text is invalid; lists all findings, ordered by location.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct BundleError {
     /// Name of the file, as given.
@@ -182,7 +182,7 @@
     }
 }
 
-/// A bundle that did not come as text breaks the rules; holds every finding.
+/// A bundle that was not parsed from text is invalid; lists all findings.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct InvalidBundle {
     /// All findings; at least one.
--- a/crates/bramblewheel-bundle/src/format.rs
+++ b/crates/bramblewheel-bundle/src/format.rs
@@ -1,9 +1,9 @@
-//! A bundle as the text an operator would write; reading it back gives the same bundle.
+//! Formats a bundle as TOML; parsing the text gives the same bundle.
 
 use crate::model::{Bundle, RoutePolicy, ServicePolicy};
 use bramblewheel_types::ServiceName;
 
-/// Writes a bundle as TOML with every value stated.
+/// Formats a bundle as TOML, with the defaults written out.
 pub fn to_toml(bundle: &Bundle) -> String {
     let limits = &bundle.limits;
     let mut text = format!(
--- a/crates/bramblewheel-bundle/src/key_file.rs
+++ b/crates/bramblewheel-bundle/src/key_file.rs
@@ -1,4 +1,4 @@
-//! Operator key files: a few lines of TOML with the operator's name and the secret key.
+//! Operator key files: TOML with the operator's name, secret key and public key.
 
 use crate::model::OperatorPublicKey;
 use crate::signature;
@@ -14,7 +14,7 @@
     /// The text is not a key file.
     #[error("not an operator key file: {0}")]
     Malformed(String),
-    /// The operator's name breaks the rules for names.
+    /// The operator's name violates the rules for names.
     #[error("name: {0}")]
     InvalidName(#[from] InvalidName),
     /// The secret key is not 32 bytes in hexadecimal.
@@ -43,7 +43,7 @@
 }
 
 impl fmt::Debug for OperatorKey {
-    /// Leaves the secret key out.
+    /// Omits the secret key.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
             .debug_struct("OperatorKey")
@@ -54,7 +54,7 @@
 }
 
 impl OperatorKey {
-    /// Draws a new key pair from the system's random source.
+    /// Generates a key pair from the system's random source.
     ///
     /// # Errors
     /// [`KeyFileError`] when the name is not acceptable or the random source fails.
@@ -64,7 +64,7 @@
         Self::from_secret(name, &secret)
     }
 
-    /// Builds the key pair of a secret key.
+    /// Derives the key pair from a secret key.
     ///
     /// # Errors
     /// [`KeyFileError::InvalidName`] when the name is not acceptable.
@@ -75,12 +75,12 @@
         Ok(Self { name, signing })
     }
 
-    /// Reads a key file.
+    /// Parses a key file.
     ///
     /// # Errors
-    /// [`KeyFileError`] saying which key is wrong; the secret key is never part of the text.
+    /// [`KeyFileError`] with the invalid key; its text never contains the secret key.
     pub fn parse(text: &str) -> Result<Self, KeyFileError> {
-        // The full error would quote the line, and with it possibly the secret key.
+        // The full error quotes the line, which may contain the secret key.
         let file: KeyFile =
             toml::from_str(text).map_err(|e| KeyFileError::Malformed(e.message().to_owned()))?;
         let mut secret = [0; 32];
@@ -93,7 +93,7 @@
         Ok(key)
     }
 
-    /// Writes the key file.
+    /// Formats the key file.
     pub fn to_text(&self) -> String {
         format!(
             "# bramblewheel operator key. Secret: readable by its operator alone.\n\
@@ -109,7 +109,7 @@
         &self.name
     }
 
-    /// Public key, as a bundle lists it.
+    /// Public key in the form used in bundles.
     pub fn public_key(&self) -> OperatorPublicKey {
         OperatorPublicKey(self.signing.verifying_key().to_bytes())
     }
--- a/crates/bramblewheel-bundle/src/lib.rs
+++ b/crates/bramblewheel-bundle/src/lib.rs
@@ -1,8 +1,7 @@
-//! Configuration bundles: model, checks, canonical bytes, digest and signatures.
+//! Configuration bundles: model, validation, canonical encoding, digest and signatures.
 //!
-//! Operators write TOML ([`parse()`]); every check is one function over the model
-//! ([`check::check`]), so that a bundle that arrives as bytes ([`canonical::decode`]) is held to
-//! the same rules as one that arrives as text.
+//! Operators write TOML ([`parse()`]). All validation is done on the model ([`check::check`]), so that
+//! a bundle decoded from bytes ([`canonical::decode`]) has to satisfy the same rules as one parsed from text.
 
 pub mod canonical;
 pub mod check;
--- a/crates/bramblewheel-bundle/src/model.rs
+++ b/crates/bramblewheel-bundle/src/model.rs
@@ -1,4 +1,4 @@
-//! The bundle as the system uses it: already checked, with defaults filled in.
+//! The configuration bundle after parsing, with defaults filled in.
 
 use crate::sections::Head;
 use bramblewheel_types::{BundleVersion, Criticality, Millis, ServiceName};
@@ -8,24 +8,24 @@
 /// One version of the configuration that operators sign and roll out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bundle {
-    /// Strictly rising version, chosen by the operators.
+    /// Version, chosen by the operators; strictly increasing.
     pub version: BundleVersion,
-    /// Deployment the bundle is for, such as `torgnett`.
+    /// Name of the deployment that the bundle belongs to, such as `torgnett`.
     pub deployment: String,
-    /// Who may sign the next bundle, and how many of them must.
+    /// Operators that may sign the next bundle, and the number of signatures it needs.
     pub operators: OperatorPolicy,
-    /// Limits that hold for every request tree.
+    /// Limits for every request tree.
     pub limits: RequestLimits,
     /// Policies by service.
     pub services: BTreeMap<ServiceName, ServicePolicy>,
 }
 
-/// Keys that may sign the next bundle.
+/// Operators that may sign the next bundle.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorPolicy {
-    /// Signatures by different keys that a bundle needs.
+    /// Number of signatures by different keys that a bundle needs.
     pub required_signatures: u32,
-    /// Operator name to Ed25519 public key.
+    /// Ed25519 public keys by operator name.
     pub keys: BTreeMap<String, OperatorPublicKey>,
 }
 
@@ -33,88 +33,88 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OperatorPublicKey(pub [u8; 32]);
 
-/// Limits that hold for every request tree.
+/// Limits for every request tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestLimits {
-    /// Extra attempts one original request may cause in its whole call tree.
+    /// Extra attempts that one root request may cause in its whole call tree.
     pub retry_tokens: u32,
-    /// Retries allowed per 100 first tries, per caller and per called service.
+    /// Retries allowed per 100 first attempts, per caller and called service.
     pub retry_ratio_percent: u32,
-    /// Deepest call accepted; the root call has depth 1.
+    /// Maximum call depth accepted; the root call has depth 1.
     pub max_depth: u8,
-    /// Free re-routes of one call after a refusal that cost nothing (draining, stale route).
+    /// Reroutes of one call that cost no retry token, after a refusal because of draining or a stale route.
     pub max_free_reroutes: u8,
-    /// Age beyond which an operation key is refused, so that it may be forgotten.
+    /// Age beyond which an operation key is refused, so that older keys need not be kept.
     pub operation_retention: Millis,
 }
 
 /// Policy of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServicePolicy {
-    /// Importance of a root request to this service where no route says otherwise.
+    /// Criticality of root requests to this service; a route may override it.
     pub criticality: Criticality,
-    /// Deadline of a root request where no route says otherwise.
+    /// Deadline of root requests to this service; a route may override it.
     pub deadline: Millis,
-    /// Admission control at the service's own daemons.
+    /// Admission control at the daemons of the service's endpoints.
     pub admission: AdmissionPolicy,
-    /// How callers choose among the service's endpoints.
+    /// Load balancing over the service's endpoints.
     pub routing: RoutingPolicy,
-    /// Routes in order; the first whose prefix matches applies.
+    /// Routes in order of precedence; the first whose prefix matches applies.
     pub routes: Vec<RoutePolicy>,
 }
 
 /// Admission control of one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmissionPolicy {
-    /// Calls that may wait per endpoint.
+    /// Maximum number of queued calls per endpoint.
     pub queue_length: u32,
-    /// Concurrency limit is never below this.
+    /// Lower bound of the concurrency limit.
     pub min_concurrency: u32,
-    /// Concurrency limit is never above this; normally the endpoint's slots.
+    /// Upper bound of the concurrency limit; normally the endpoint's number of slots.
     pub max_concurrency: u32,
-    /// Sessions an endpoint may hold open.
+    /// Maximum number of open sessions per endpoint.
     pub max_sessions: u32,
 }
 
-/// How callers choose among a service's endpoints.
+/// Load balancing over a service's endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingPolicy {
-    /// Calls leave the own zone once its endpoints' mean load passes this percentage.
+    /// Mean load of the endpoints in the caller's zone, in percent, above which calls go to other zones.
     pub spill_over_percent: u32,
-    /// Time over which a new or returning endpoint is brought to its full share.
+    /// Ramp-up time of a new or returning endpoint to its full share of the load.
     pub slow_start: Millis,
-    /// Share of a service's endpoints that may be ejected at one time.
+    /// Maximum percentage of a service's endpoints that may be ejected at the same time.
     pub max_ejected_percent: u32,
-    /// Connections a daemon keeps to one endpoint's daemon.
+    /// Maximum number of connections from a daemon to the daemon of one endpoint.
     pub max_connections: u32,
 }
 
 /// Policy of the paths that begin with `prefix`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutePolicy {
-    /// Path prefix, such as `/pay`.
+    /// Prefix of the path, such as `/pay`.
     pub prefix: String,
-    /// Importance of a root request to this route.
+    /// Criticality of root requests to this route; the service's one if absent.
     pub criticality: Option<Criticality>,
-    /// Deadline of a root request to this route.
+    /// Deadline of root requests to this route; the service's one if absent.
     pub deadline: Option<Millis>,
-    /// Whether the request may be run more than once.
+    /// Whether a request may be executed more than once.
     pub repeatable: bool,
 }
 
-/// What the bundle says of one request.
+/// Policy that applies to one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResolvedRoute {
-    /// Importance of a root request.
+    /// Criticality of a root request.
     pub criticality: Criticality,
     /// Deadline of a root request.
     pub deadline: Millis,
-    /// Whether the request may be run more than once.
+    /// Whether the request may be executed more than once.
     pub repeatable: bool,
 }
 
 impl Bundle {
-    /// First section: which bundle it is and who may sign the next one.
+    /// First section of the encoding: version, deployment and operators.
     pub fn head(&self) -> Head {
         Head {
             version: self.version,
@@ -123,12 +123,12 @@
         }
     }
 
-    /// Policy of a service, if the bundle knows the service.
+    /// Policy of a service, or `None` if the bundle does not list the service.
     pub fn service(&self, service: &ServiceName) -> Option<&ServicePolicy> {
         self.services.get(service)
     }
 
-    /// What the bundle says of a request to `path` of `service`.
+    /// Policy for a request to `path` of `service`, or `None` if the bundle does not list the service.
     pub fn resolve(&self, service: &ServiceName, path: &str) -> Option<ResolvedRoute> {
         let policy = self.service(service)?;
         let route = policy
--- a/crates/bramblewheel-bundle/src/operators.rs
+++ b/crates/bramblewheel-bundle/src/operators.rs
@@ -1,9 +1,9 @@
-//! Whose signatures count: the operators of the bundle in force, and from there, change by change,
-//! those of later bundles.
+//! Operators whose signatures are accepted: those of the bundle in force, or of a later bundle that is
+//! reached through a chain of signed operator changes.
 //!
-//! A daemon that was away while the operators' keys changed several times does not hold the keys
-//! that signed the newest bundle. It follows the changes one by one: each is the head of a bundle,
-//! signed by the operators before it.
+//! A daemon that was offline while the operators' keys changed several times does not have the keys
+//! that signed the latest bundle. It applies the changes one by one: each is the head of a bundle,
+//! signed by the previous operators.
 
 use crate::canonical::DecodeError;
 use crate::digest::digest_of_sections;
@@ -13,31 +13,31 @@
 use bramblewheel_types::{BundleDigest, BundleVersion};
 use thiserror::Error;
 
-/// A later bundle or change of the operators is not authorized.
+/// A later bundle or a change of the operators is not authorized.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ForwardError {
-    /// The version is not above the one whose operators are trusted.
+    /// The version is not above that of the bundle whose operators are trusted.
     #[error("version {offered} is not above version {trusted}")]
     NotNewer {
         /// Version offered.
         offered: BundleVersion,
-        /// Version whose operators are trusted.
+        /// Version of the bundle whose operators are trusted.
         trusted: BundleVersion,
     },
-    /// The trusted operators did not sign it.
+    /// Signatures of the trusted operators are invalid or missing.
     #[error("version {version}: {error}")]
     Unsigned {
         /// Version offered.
         version: BundleVersion,
-        /// What is missing.
+        /// Result of the verification.
         error: SignatureError,
     },
-    /// A change of the operators is not the head of a bundle.
+    /// A change of the operators is not a valid head of a bundle.
     #[error("change of the operators: {0}")]
     Malformed(#[from] DecodeError),
 }
 
-/// Operators whose signatures count for bundles above a version.
+/// Operators whose signatures are accepted for bundles above a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrustedOperators {
     version: BundleVersion,
@@ -45,7 +45,7 @@
 }
 
 impl TrustedOperators {
-    /// Trusts the operators of a bundle.
+    /// Trusts the operators that `bundle` names.
     pub fn of(bundle: &Bundle) -> Self {
         Self {
             version: bundle.version,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Version of the bundle that named the operators.
+    /// Version of the bundle that names the operators.
     pub fn version(&self) -> BundleVersion {
         self.version
     }
@@ -78,11 +78,11 @@
             .map_err(|error| ForwardError::Unsigned { version, error })
     }
 
-    /// Follows a change of the operators: from here on those named in `head` are trusted.
+    /// Applies a change of the operators: afterwards those named in `head` are trusted.
     ///
     /// # Errors
-    /// [`ForwardError`] when `head` is not that of a newer bundle which the operators trusted so
-    /// far signed; then those stay trusted.
+    /// [`ForwardError`] when `head` is not the head of a newer bundle that the currently trusted
+    /// operators signed; the trusted operators are then unchanged.
     pub fn follow<'a>(
         &mut self,
         head: &[u8],
--- a/crates/bramblewheel-bundle/src/parse.rs
+++ b/crates/bramblewheel-bundle/src/parse.rs
@@ -1,4 +1,4 @@
-//! From an operator's TOML to a checked bundle, with every finding at its place in the text.
+//! Parses and validates a bundle's TOML text and reports every finding with its location.
 
 mod section;
 
@@ -14,10 +14,10 @@
 use std::collections::BTreeMap;
 use toml::de::DeTable;
 
-/// Reads and checks a bundle's text. `file` only serves to name the text in errors.
+/// Parses and validates a bundle's text. `file` is the name used in errors.
 ///
 /// # Errors
-/// [`BundleError`] with every finding. A text that is not TOML gives only the syntax errors.
+/// [`BundleError`] with all findings. For text that is not TOML, only the syntax errors are reported.
 pub fn parse(file: &str, text: &str) -> Result<Bundle, BundleError> {
     let mut document = Document::default();
     let (root, errors) = DeTable::parse_recoverable(text);
--- a/crates/bramblewheel-bundle/src/parse/section.rs
+++ b/crates/bramblewheel-bundle/src/parse/section.rs
@@ -1,4 +1,4 @@
-//! Typed reading of one TOML table, collecting findings instead of stopping at the first.
+//! Typed access to a TOML table that collects findings instead of stopping at the first.
 
 use crate::error::{BundleError, Finding, LocatedFinding, Location, Problem};
 use bramblewheel_types::{Criticality, Millis};
@@ -6,7 +6,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// Findings so far, and where in the text each key stands.
+/// Findings so far, and the byte offset of each key in the text.
 #[derive(Default)]
 pub(super) struct Document {
     findings: Vec<(usize, Finding)>,
@@ -19,7 +19,7 @@
         self.findings.push((offset, Finding { key, problem }));
     }
 
-    /// Adds a finding at its key, or at the nearest table above if the key has no place.
+    /// Adds a finding at its key, or at the nearest enclosing table if the key's offset is not known.
     pub(super) fn add(&mut self, key: String, problem: Problem) {
         let offset = self.offset(&key);
         self.add_at(offset, key, problem);
@@ -30,7 +30,7 @@
         self.findings.is_empty()
     }
 
-    /// Turns the findings into an error, ordered by place.
+    /// Returns the findings, if any, as an error, ordered by location.
     pub(super) fn into_result(self, file: &str, text: &str) -> Result<(), BundleError> {
         if self.findings.is_empty() {
             return Ok(());
@@ -61,12 +61,12 @@
     }
 }
 
-/// One table of the text and the keys asked of it so far.
+/// A table of the text and the keys that have been read from it.
 pub(super) struct Section<'a, 'i> {
     path: String,
     offset: usize,
     table: &'a DeTable<'i>,
-    known: Vec<&'static str>,
+    known_keys: Vec<&'static str>,
 }
 
 impl<'a, 'i> Section<'a, 'i> {
@@ -75,11 +75,11 @@
             path,
             offset,
             table,
-            known: Vec::new(),
+            known_keys: Vec::new(),
         }
     }
 
-    /// Full key of one of the table's keys.
+    /// Full dotted key of one of the table's keys.
     pub(super) fn key(&self, name: &str) -> String {
         if self.path.is_empty() {
             return name.to_owned();
@@ -87,12 +87,12 @@
         format!("{}.{name}", self.path)
     }
 
-    /// Whether the table has a key.
+    /// Whether the table contains the key.
     pub(super) fn has(&self, name: &str) -> bool {
         self.table.contains_key(name)
     }
 
-    /// Goes on under another path, once the item's own name is known.
+    /// Changes the path used in findings, once the item's name has been read.
     pub(super) fn rename(&mut self, document: &mut Document, path: String) {
         document.offsets.insert(path.clone(), self.offset);
         if let Some(offset) = document.offsets.get(&self.key("name")).copied() {
@@ -101,12 +101,12 @@
         self.path = path;
     }
 
-    /// Reports the keys that nobody asked for.
+    /// Reports the keys that have not been read as unknown.
     pub(super) fn finish(self, document: &mut Document) {
         for key in self.table.keys() {
             let name = key.get_ref().as_ref();
-            if !self.known.contains(&name) {
-                let known = self.known.join(", ");
+            if !self.known_keys.contains(&name) {
+                let known = self.known_keys.join(", ");
                 let problem = Problem::UnknownKey { known };
                 document.add_at(key.span().start, self.key(name), problem);
             }
@@ -118,7 +118,7 @@
         document: &mut Document,
         name: &'static str,
     ) -> Option<&'a Spanned<DeValue<'i>>> {
-        self.known.push(name);
+        self.known_keys.push(name);
         let value = self.table.get(name)?;
         document.offsets.insert(self.key(name), value.span().start);
         Some(value)
@@ -176,7 +176,7 @@
         if !self.has(name) {
             self.missing(document, name);
         }
-        // Stands in after a finding, so that no second one follows from it.
+        // Valid placeholder, so that a missing or invalid value gives only one finding.
         self.number(document, name, 1)
     }
 
@@ -277,9 +277,9 @@
     }
 }
 
-/// Integer types and their largest value.
+/// Integer types with a known maximum.
 pub(super) trait Bounded {
-    /// Largest value.
+    /// Largest value of the type.
     const MAX: u64;
 }
 
--- a/crates/bramblewheel-bundle/src/sections.rs
+++ b/crates/bramblewheel-bundle/src/sections.rs
@@ -1,8 +1,8 @@
-//! The two sections of canonical bytes: the head says which bundle it is and who may sign the
-//! next one, the rest holds limits and services.
+//! The two sections of the canonical encoding: the head holds version, deployment and the operators
+//! that may sign the next bundle, the rest holds limits and services.
 //!
-//! A digest covers both by their own digests, so that a change of the operators can be shown by
-//! the head alone.
+//! The bundle digest is computed from the digests of both sections, so that a change of the operators
+//! can be verified from the head and the digest of the rest.
 
 use crate::canonical::DecodeError;
 use crate::check::check_head;
@@ -12,10 +12,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Stands in front of the head; the last byte is the version of the format.
+/// Prefix of the encoding; the last byte is the format version.
 const FORMAT_MARKER: &[u8] = b"bramblewheel-bundle\x02";
-/// Bytes of the head's length, most significant first.
-const LENGTH: usize = 4;
+/// Size in bytes of the head's length field, which is big-endian.
+const LENGTH_SIZE: usize = 4;
 
 /// First section of a bundle.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
     pub version: BundleVersion,
     /// Deployment the bundle is for.
     pub deployment: String,
-    /// Who may sign the next bundle.
+    /// Operators that may sign the next bundle.
     pub operators: OperatorPolicy,
 }
 
@@ -43,21 +43,21 @@
 /// Encodes a head: format marker, length, CBOR.
 pub fn encode_head(head: &Head) -> Vec<u8> {
     let mut bytes = FORMAT_MARKER.to_vec();
-    bytes.extend([0; LENGTH]);
+    bytes.extend([0; LENGTH_SIZE]);
     let start = bytes.len();
     write(head, &mut bytes);
-    let length = u32::try_from(bytes.len() - start).expect("checked heads are a few KB long");
-    bytes[start - LENGTH..start].copy_from_slice(&length.to_be_bytes());
+    let length = u32::try_from(bytes.len() - start).expect("a validated head is a few KB long");
+    bytes[start - LENGTH_SIZE..start].copy_from_slice(&length.to_be_bytes());
     bytes
 }
 
-/// Decodes a head that stands alone; every rule for it is checked.
+/// Decodes a single head and checks every rule that applies to it.
 ///
 /// # Errors
-/// [`DecodeError`] unless the bytes are the one encoding of an acceptable head.
+/// [`DecodeError`] unless the bytes are the canonical encoding of a valid head.
 pub fn decode_head(bytes: &[u8]) -> Result<Head, DecodeError> {
-    let (section, _) = split_strictly(bytes)?;
-    let head: Head = read(&section[FORMAT_MARKER.len() + LENGTH..])?;
+    let (section, _) = try_split(bytes)?;
+    let head: Head = read(&section[FORMAT_MARKER.len() + LENGTH_SIZE..])?;
     if encode_head(&head) != bytes {
         return Err(DecodeError::NotCanonical);
     }
@@ -75,10 +75,10 @@
     bytes
 }
 
-/// Decodes both sections and checks no rule.
+/// Decodes both sections without validating the bundle.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Bundle, DecodeError> {
-    let (section, rest) = split_strictly(bytes)?;
-    let head: Head = read(&section[FORMAT_MARKER.len() + LENGTH..])?;
+    let (section, rest) = try_split(bytes)?;
+    let head: Head = read(&section[FORMAT_MARKER.len() + LENGTH_SIZE..])?;
     let rest: OwnedRest = read(rest)?;
     Ok(Bundle {
         version: head.version,
@@ -89,26 +89,26 @@
     })
 }
 
-/// Head section and rest. Bytes without a head are all head, so that any two different byte
-/// strings differ in one of the two.
+/// Splits an encoding into head and rest. Bytes without a complete head are returned as head with an empty rest,
+/// so that different byte strings always differ in one of the two.
 pub fn split(bytes: &[u8]) -> (&[u8], &[u8]) {
-    split_strictly(bytes).unwrap_or((bytes, &[]))
+    try_split(bytes).unwrap_or((bytes, &[]))
 }
 
-fn split_strictly(bytes: &[u8]) -> Result<(&[u8], &[u8]), DecodeError> {
+fn try_split(bytes: &[u8]) -> Result<(&[u8], &[u8]), DecodeError> {
     let body = bytes
         .strip_prefix(FORMAT_MARKER)
         .ok_or(DecodeError::UnknownFormat)?;
-    let cut_short = || DecodeError::Malformed("cut short".to_owned());
-    let (length, _) = body.split_first_chunk().ok_or_else(cut_short)?;
+    let truncated = || DecodeError::Malformed("cut short".to_owned());
+    let (length, _) = body.split_first_chunk().ok_or_else(truncated)?;
     let length = u32::from_be_bytes(*length) as usize;
-    let end = FORMAT_MARKER.len() + LENGTH + length;
-    bytes.split_at_checked(end).ok_or_else(cut_short)
+    let end = FORMAT_MARKER.len() + LENGTH_SIZE + length;
+    bytes.split_at_checked(end).ok_or_else(truncated)
 }
 
 fn write(value: &impl Serialize, bytes: &mut Vec<u8>) {
     ciborium::into_writer(value, bytes)
-        .expect("a vector takes every write and the model has only types that CBOR has");
+        .expect("writes to a vector succeed and CBOR can represent every type of the model");
 }
 
 fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
--- a/crates/bramblewheel-bundle/src/signature.rs
+++ b/crates/bramblewheel-bundle/src/signature.rs
@@ -1,4 +1,4 @@
-//! Ed25519 signatures over a bundle's digest, and the rule of N different operators out of M.
+//! Ed25519 signatures over a bundle's digest, with a threshold of N out of M operators.
 
 use crate::model::{OperatorPolicy, OperatorPublicKey};
 use bramblewheel_types::{BundleDigest, ServiceName};
@@ -6,34 +6,34 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Most signatures looked at; more are refused unseen.
+/// Maximum number of signatures; a bundle with more is refused without checking the rest.
 pub const MAX_SIGNATURES: usize = 128;
-/// Length of a signature, in bytes.
+/// Length of a signature in bytes.
 pub const SIGNATURE_LENGTH: usize = ed25519_dalek::SIGNATURE_LENGTH;
 
-/// Keeps a signature over a bundle from being valid for anything else.
+/// Domain separation: a signature over a bundle is not valid for any other kind of data.
 const DOMAIN: &[u8] = b"bramblewheel bundle signature v1\0";
 
 /// The signatures don't authorize the bundle.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SignatureError {
-    /// An operator in the policy has a signature that does not hold.
+    /// A signature of an operator in the policy is invalid.
     #[error("wrong signature by operator {}", operators.join(", "))]
     Wrong {
         /// Names of the operators.
         operators: Vec<String>,
     },
-    /// Too few different operators of the policy signed.
+    /// Too few different operators in the policy signed.
     #[error("{valid} of {required} required signatures{}", unknown_note(unknown))]
     TooFew {
-        /// Different operators with a valid signature.
+        /// Number of different operators with a valid signature.
         valid: usize,
-        /// Signatures required.
+        /// Number of signatures required.
         required: u32,
-        /// Names that the policy does not list.
+        /// Names of signers that the policy does not list.
         unknown: Vec<String>,
     },
-    /// More signatures than are ever needed.
+    /// More than [`MAX_SIGNATURES`] signatures.
     #[error("more than {MAX_SIGNATURES} signatures")]
     TooMany,
 }
@@ -56,13 +56,13 @@
 
 /// Checks that enough different operators of `policy` signed `digest`.
 ///
-/// `signatures` are pairs of an operator's name and the signature's bytes. A signature by a name
-/// the policy does not list counts for nothing and does no harm: a bundle that admits a new
-/// operator may bear that operator's signature too. A listed operator's signature that does not
-/// hold is refused even when enough others do, since something was altered on the way.
+/// `signatures` are pairs of an operator's name and the signature's bytes. Signatures by names that the
+/// policy does not list are ignored: a bundle that adds an operator may carry that operator's signature
+/// too. An invalid signature of a listed operator is an error even when enough others are valid, since
+/// it means that the bundle or the signature was altered.
 ///
 /// # Errors
-/// [`SignatureError`] naming the operators concerned.
+/// [`SignatureError`] with the names of the operators concerned.
 pub fn verify<'a>(
     policy: &OperatorPolicy,
     digest: BundleDigest,
@@ -77,8 +77,8 @@
             return Err(SignatureError::TooMany);
         }
         match policy.keys.get(operator) {
-            None => unknown.insert(printable(operator)),
-            Some(key) if holds(key, &message, signature) => valid.insert(key),
+            None => unknown.insert(log_safe_name(operator)),
+            Some(key) if is_valid(key, &message, signature) => valid.insert(key),
             Some(_) => wrong.insert(operator.to_owned()),
         };
     }
@@ -96,15 +96,15 @@
     Ok(())
 }
 
-/// A name nobody checked yet, fit for logs.
-fn printable(name: &str) -> String {
+/// Makes an unvalidated name safe for logs.
+fn log_safe_name(name: &str) -> String {
     match ServiceName::new(name) {
         Ok(name) => name.to_string(),
         Err(_) => "(invalid name)".to_owned(),
     }
 }
 
-fn holds(key: &OperatorPublicKey, message: &[u8], signature: &[u8]) -> bool {
+fn is_valid(key: &OperatorPublicKey, message: &[u8], signature: &[u8]) -> bool {
     let Ok(key) = VerifyingKey::from_bytes(&key.0) else {
         return false;
     };
--- a/crates/bramblewheel-bundle/src/warning.rs
+++ b/crates/bramblewheel-bundle/src/warning.rs
@@ -1,44 +1,44 @@
-//! Changes of meaning between two bundles that can do harm if they were not meant.
+//! Semantic changes between two bundles that are dangerous if unintended.
 
 use crate::model::{Bundle, RequestLimits, ServicePolicy};
 use bramblewheel_types::{Criticality, ServiceName};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// A change of meaning that can do harm if it was not meant.
+/// A semantic change that is dangerous if unintended.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Warning {
-    /// Requests that ran at most once may now be repeated.
+    /// Requests that were executed at most once may now be executed again.
     BecomesRepeatable {
         /// Service and path prefix.
         route: String,
     },
     /// Requests will be shed earlier than before.
     CriticalityLowered {
-        /// Service, and path prefix where it concerns a route.
+        /// Service; for a route, service and path prefix.
         route: String,
         /// Class before.
         before: Criticality,
         /// Class after.
         after: Criticality,
     },
-    /// Other operators may sign the next bundle.
+    /// The operator keys that may sign the next bundle differ.
     OperatorsChanged,
-    /// Fewer operators suffice to sign the next bundle.
+    /// The next bundle needs fewer signatures.
     FewerSignatures {
         /// Required before.
         before: u32,
         /// Required after.
         after: u32,
     },
-    /// Operation keys are forgotten sooner.
+    /// Operation keys are discarded sooner.
     RetentionShortened {
         /// Milliseconds before.
         before: u64,
         /// Milliseconds after.
         after: u64,
     },
-    /// Retries may add more load.
+    /// A limit on retries was raised, so that retries may add more load.
     RetriesRaised {
         /// Key of the limit.
         limit: &'static str,
@@ -47,7 +47,7 @@
         /// Value after.
         after: u32,
     },
-    /// Calls to the service will be refused.
+    /// The service was removed, so that calls to it will be refused.
     ServiceRemoved(ServiceName),
     /// The bundle is for another deployment.
     DeploymentChanged,
@@ -90,10 +90,10 @@
     }
 }
 
-/// The dangerous changes of meaning between two bundles.
+/// Dangerous semantic changes between two bundles.
 ///
-/// Routes are compared by what each bundle says of a path, not by their text: a new route put in
-/// front of one that is not repeatable takes the mark away as much as editing that one does.
+/// Routes are compared by the policy that each bundle resolves for a path, not by their text: inserting
+/// a repeatable route before a non-repeatable one has the same effect as editing the latter.
 pub fn warnings(before: &Bundle, after: &Bundle) -> Vec<Warning> {
     let mut warnings = Vec::new();
     if before.deployment != after.deployment {
@@ -167,20 +167,21 @@
     let routes = old.routes.iter().chain(&new.routes);
     let prefixes: BTreeSet<&str> = routes.map(|route| route.prefix.as_str()).collect();
     for prefix in prefixes {
-        let (Some(was), Some(is)) = (before.resolve(name, prefix), after.resolve(name, prefix))
+        let (Some(old_route), Some(new_route)) =
+            (before.resolve(name, prefix), after.resolve(name, prefix))
         else {
             continue;
         };
         let route = format!("{name} {prefix}");
-        if !was.repeatable && is.repeatable {
+        if !old_route.repeatable && new_route.repeatable {
             let route = route.clone();
             warnings.push(Warning::BecomesRepeatable { route });
         }
-        if is.criticality < was.criticality {
+        if new_route.criticality < old_route.criticality {
             warnings.push(Warning::CriticalityLowered {
                 route,
-                before: was.criticality,
-                after: is.criticality,
+                before: old_route.criticality,
+                after: new_route.criticality,
             });
         }
     }
--- a/crates/bramblewheel-bundle/tests/canonical.rs
+++ b/crates/bramblewheel-bundle/tests/canonical.rs
@@ -1,16 +1,16 @@
-//! One bundle has one encoding, and altered bytes are refused.
+//! Every bundle has one encoding, and altered bytes are refused.
 
 mod support;
 
 use bramblewheel_bundle::{Bundle, DecodeError, canonical, digest, parse, to_toml};
 use bramblewheel_types::{BundleDigest, BundleVersion};
-use support::{arbitrary_bundle, bundle_of_the_size_to_come, for_seeds, torgnett};
+use support::{arbitrary_bundle, for_seeds, large_bundle, torgnett};
 
-/// Bundles drawn.
+/// Random bundles per property.
 const CASES: u64 = 300;
 
 #[test]
-fn bundles_survive_text_and_bytes() {
+fn bundles_survive_round_trips_as_text_and_as_bytes() {
     for_seeds(CASES, 500, |u| {
         let bundle = arbitrary_bundle(u)?;
         assert_eq!(parse("a.toml", &to_toml(&bundle)).as_ref(), Ok(&bundle));
@@ -22,9 +22,9 @@
     });
 }
 
-/// Changing the encoding changes the digest of every signed bundle: needs a new format version.
+/// A changed encoding changes the digest of every signed bundle and needs a new format version.
 #[test]
-fn the_encoding_of_a_known_bundle_stays_as_it_is() {
+fn the_encoding_of_the_test_bundle_is_unchanged() {
     let digest = digest(&canonical::encode(&torgnett()));
     assert_eq!(
         digest.to_string(),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn order_of_the_text_does_not_matter() {
+fn the_order_of_services_in_the_text_does_not_change_the_encoding() {
     let bundle = torgnett();
     let text = to_toml(&bundle);
     let (head, services) = text.split_once("\n[[service]]").expect("has services");
@@ -64,7 +64,7 @@
 #[test]
 fn another_encoding_of_the_same_bundle_is_refused() {
     let bytes = canonical::encode(&torgnett());
-    // The version 1 once more, in two bytes instead of one.
+    // Version 1, encoded in two bytes instead of one.
     let version = b"gversion\x01";
     let at = bytes
         .windows(version.len())
@@ -73,7 +73,7 @@
         + version.len()
         - 1;
     let mut wider = [&bytes[..at], &[0x18, 0x01], &bytes[at + 1..]].concat();
-    // The head is one byte longer; its length stands behind the marker.
+    // The head becomes one byte longer; its length follows the marker.
     let length = b"bramblewheel-bundle\x02".len();
     let field = &mut wider[length..length + 4];
     let head = u32::from_be_bytes(field.try_into().expect("four bytes")) + 1;
@@ -82,18 +82,18 @@
 }
 
 #[test]
-fn an_invalid_bundle_is_refused_as_bytes_too() {
+fn an_encoded_bundle_that_is_invalid_is_refused() {
     let mut bundle = torgnett();
     bundle.limits.max_depth = 0;
     let decoded = canonical::decode(&canonical::encode(&bundle));
     let Err(DecodeError::Invalid(invalid)) = decoded else {
-        panic!("accepted: {decoded:?}");
+        panic!("expected an invalid bundle, got {decoded:?}");
     };
     assert_eq!(invalid.findings[0].key, "limits.max_depth");
 }
 
 #[test]
-fn stated_version_and_digest_must_be_those_of_the_bytes() {
+fn a_wrong_stated_version_or_digest_and_too_long_bytes_are_refused() {
     let bundle = torgnett();
     let bytes = canonical::encode(&bundle);
     let version = BundleVersion(2);
@@ -113,8 +113,8 @@
 }
 
 #[test]
-fn a_bundle_of_the_size_to_come_fits_with_room() {
-    let bundle = bundle_of_the_size_to_come();
+fn a_large_bundle_takes_less_than_half_of_the_maximum_length() {
+    let bundle = large_bundle();
     let bytes = canonical::encode(&bundle);
     println!("{} bytes", bytes.len());
     assert!(bytes.len() < canonical::MAX_BUNDLE_LENGTH / 2);
--- a/crates/bramblewheel-bundle/tests/delta.rs
+++ b/crates/bramblewheel-bundle/tests/delta.rs
@@ -1,16 +1,16 @@
-//! A delta leads from one bundle to exactly one other.
+//! A delta produces exactly the bundle that it was computed for.
 
 mod support;
 
 use arbtest::arbitrary::{Result as Drawn, Unstructured};
 use bramblewheel_bundle::{Bundle, DecodeError, Delta, DeltaError, canonical, digest};
 use bramblewheel_types::{BundleVersion, Millis};
-use support::{arbitrary_bundle, bundle_of_the_size_to_come, for_seeds, service};
+use support::{arbitrary_bundle, for_seeds, large_bundle, service};
 
-/// Bundles drawn for each property.
+/// Random inputs for each property.
 const CASES: u64 = 300;
 
-/// Applies encoded bytes towards a target, as a daemon does.
+/// Decodes a delta and applies it to `older`, with the digest and version of `newer`, as a daemon does.
 fn apply(bytes: &[u8], older: &Bundle, newer: &Bundle) -> Result<Bundle, DeltaError> {
     let target = canonical::encode(newer);
     let delta = Delta::decode(bytes)?;
@@ -19,7 +19,7 @@
     Ok(bundle)
 }
 
-/// A bundle that has some parts of `older` and others of its own.
+/// A random bundle that shares some parts with `older`.
 fn arbitrary_successor(u: &mut Unstructured<'_>, older: &Bundle) -> Drawn<Bundle> {
     let mut newer = arbitrary_bundle(u)?;
     if u.arbitrary()? {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_delta_leads_to_the_newer_bundle() {
+fn a_delta_produces_the_newer_bundle() {
     for_seeds(CASES, 1_000, |u| {
         let older = arbitrary_bundle(u)?;
         let newer = arbitrary_successor(u, &older)?;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn deltas_one_after_the_other_are_one_delta() {
+fn combined_deltas_produce_the_last_bundle() {
     for_seeds(CASES, 1_000, |u| {
         let first = arbitrary_bundle(u)?;
         let second = arbitrary_successor(u, &first)?;
@@ -61,15 +61,15 @@
 }
 
 #[test]
-fn an_altered_delta_never_leads_elsewhere() {
+fn an_altered_delta_never_produces_another_bundle() {
     for_seeds(CASES, 1_000, |u| {
         let older = arbitrary_bundle(u)?;
         let newer = arbitrary_successor(u, &older)?;
         let mut delta = Delta::between(&older, &newer).encode();
         let index = u.choose_index(delta.len())?;
         delta[index] ^= u.int_in_range(1..=255)?;
-        // An altered byte may leave the meaning as it is, as that of a name that is removed and
-        // never was there; then the right bundle is reached.
+        // An altered byte need not change the result, such as one in the name of a removed service
+        // that `older` does not have.
         if let Ok(reached) = apply(&delta, &older, &newer) {
             assert_eq!(reached, newer);
         }
@@ -78,12 +78,15 @@
 }
 
 #[test]
-fn every_altered_value_is_refused() {
-    let older = bundle_of_the_size_to_come();
+fn a_delta_with_any_byte_of_a_deadline_altered_is_refused() {
+    let older = large_bundle();
     let mut newer = older.clone();
     newer.version = BundleVersion(2);
     let name = service("service-of-usual-name-7");
-    let policy = newer.services.get_mut(&name).expect("there");
+    let policy = newer
+        .services
+        .get_mut(&name)
+        .expect("the bundle has the service");
     policy.deadline = Millis(0x1234_5678);
     let delta = Delta::between(&older, &newer).encode();
     let at = delta
@@ -105,7 +108,10 @@
 fn other_deadline(bundle: &Bundle, bytes: &[u8]) -> Bundle {
     let mut other = bundle.clone();
     let name = service("service-of-usual-name-7");
-    let policy = other.services.get_mut(&name).expect("there");
+    let policy = other
+        .services
+        .get_mut(&name)
+        .expect("the bundle has the service");
     let deadline = bytes.first_chunk().expect("four bytes");
     policy.deadline = Millis(u32::from_be_bytes(*deadline).into());
     other
@@ -113,15 +119,15 @@
 
 #[test]
 fn a_delta_from_another_bundle_is_refused() {
-    let older = bundle_of_the_size_to_come();
+    let older = large_bundle();
     let mut newer = older.clone();
     newer.version = BundleVersion(3);
     newer.limits.max_depth += 1;
-    let mut strange = older.clone();
-    strange.services.pop_last();
+    let mut other = older.clone();
+    other.services.pop_last();
     let delta = Delta::between(&older, &newer).encode();
     assert!(apply(&delta, &older, &newer).is_ok());
-    let refused = apply(&delta, &strange, &newer);
+    let refused = apply(&delta, &other, &newer);
     assert!(
         matches!(
             refused,
@@ -132,12 +138,16 @@
 }
 
 #[test]
-fn a_change_of_one_service_costs_a_hundredth_of_the_bundle() {
-    let older = bundle_of_the_size_to_come();
+fn a_delta_of_one_service_is_under_a_hundredth_of_the_bundle() {
+    let older = large_bundle();
     let mut newer = older.clone();
     newer.version = BundleVersion(2);
     let name = service("service-of-usual-name-7");
-    newer.services.get_mut(&name).expect("there").deadline = Millis(700);
+    newer
+        .services
+        .get_mut(&name)
+        .expect("the bundle has the service")
+        .deadline = Millis(700);
     let whole = canonical::encode(&newer).len();
     let delta = Delta::between(&older, &newer).encode().len();
     println!("whole {whole} bytes, delta of one service {delta} bytes");
--- a/crates/bramblewheel-bundle/tests/diff.rs
+++ b/crates/bramblewheel-bundle/tests/diff.rs
@@ -1,4 +1,4 @@
-//! Changes are listed and the dangerous ones are warned of.
+//! Changes between bundles are listed, and dangerous ones give warnings.
 
 mod support;
 
@@ -9,17 +9,17 @@
 
 fn kassa(bundle: &mut Bundle) -> &mut ServicePolicy {
     let kassa = bundle.services.get_mut(&service("kassa"));
-    kassa.expect("example has kassa")
+    kassa.expect("the test bundle has kassa")
 }
 
-fn after(edit: impl FnOnce(&mut Bundle)) -> Bundle {
+fn edited(edit: impl FnOnce(&mut Bundle)) -> Bundle {
     let mut bundle = torgnett();
     edit(&mut bundle);
     bundle
 }
 
-fn warned(edit: impl FnOnce(&mut Bundle)) -> Vec<Warning> {
-    warnings(&torgnett(), &after(edit))
+fn warnings_of(edit: impl FnOnce(&mut Bundle)) -> Vec<Warning> {
+    warnings(&torgnett(), &edited(edit))
 }
 
 fn repeatable(prefix: &str) -> RoutePolicy {
@@ -34,12 +34,12 @@
 #[test]
 fn equal_bundles_have_no_changes() {
     assert_eq!(changes(&torgnett(), &torgnett()), []);
-    assert_eq!(warned(|_| ()), []);
+    assert_eq!(warnings_of(|_| ()), []);
 }
 
 #[test]
 fn changes_name_key_and_values() {
-    let after = after(|bundle| {
+    let after = edited(|bundle| {
         bundle.limits.retry_tokens = 2;
         kassa(bundle).routes[0].deadline = None;
         kassa(bundle).routes.push(repeatable("/quote"));
@@ -58,43 +58,47 @@
 }
 
 #[test]
-fn losing_the_not_repeatable_mark_is_warned_of_however_it_comes_about() {
+fn a_path_that_becomes_repeatable_gives_a_warning_for_every_kind_of_edit() {
     let expected = |prefix: &str| {
         let route = format!("kassa {prefix}");
         vec![Warning::BecomesRepeatable { route }]
     };
-    let edited = warned(|bundle| kassa(bundle).routes[0].repeatable = true);
-    assert_eq!(edited, expected("/pay"));
-    let removed = warned(|bundle| kassa(bundle).routes.clear());
+    let changed = warnings_of(|bundle| kassa(bundle).routes[0].repeatable = true);
+    assert_eq!(changed, expected("/pay"));
+    let removed = warnings_of(|bundle| kassa(bundle).routes.clear());
     assert_eq!(removed, expected("/pay"));
-    let shadowed = warned(|bundle| kassa(bundle).routes.insert(0, repeatable("/pay/card")));
+    let shadowed = warnings_of(|bundle| kassa(bundle).routes.insert(0, repeatable("/pay/card")));
     assert_eq!(shadowed, expected("/pay/card"));
-    let hidden = warned(|bundle| kassa(bundle).routes.insert(0, repeatable("/p")));
+    let hidden = warnings_of(|bundle| kassa(bundle).routes.insert(0, repeatable("/p")));
     assert_eq!(hidden, expected("/pay"));
 }
 
 #[test]
-fn lowered_criticality_is_warned_of_and_raised_is_not() {
-    let lowered = warned(|bundle| kassa(bundle).routes[0].criticality = Some(Criticality::Low));
+fn lowered_criticality_gives_a_warning_and_raised_criticality_does_not() {
+    let lowered =
+        warnings_of(|bundle| kassa(bundle).routes[0].criticality = Some(Criticality::Low));
     let expected = Warning::CriticalityLowered {
         route: "kassa /pay".to_owned(),
         before: Criticality::Critical,
         after: Criticality::Low,
     };
     assert_eq!(lowered, [expected]);
-    let service_default = warned(|bundle| kassa(bundle).criticality = Criticality::Normal);
+    let service_default = warnings_of(|bundle| kassa(bundle).criticality = Criticality::Normal);
     assert_eq!(service_default.len(), 1);
     let oppgjor = service("oppgjor");
-    let raised = warned(|bundle| {
-        let oppgjor = bundle.services.get_mut(&oppgjor).expect("in the example");
+    let raised = warnings_of(|bundle| {
+        let oppgjor = bundle
+            .services
+            .get_mut(&oppgjor)
+            .expect("the test bundle has oppgjor");
         oppgjor.criticality = Criticality::Critical;
     });
     assert_eq!(raised, []);
 }
 
 #[test]
-fn other_dangerous_changes_are_warned_of() {
-    let operators = warned(|bundle| {
+fn changed_operators_limits_services_and_deployment_give_warnings() {
+    let operators = warnings_of(|bundle| {
         let key = keys(1)[0].public_key();
         bundle.operators.keys.insert("trial-anna".to_owned(), key);
         bundle.operators.required_signatures = 1;
@@ -104,7 +108,7 @@
         after: 1,
     };
     assert_eq!(operators, [Warning::OperatorsChanged, fewer]);
-    let limits = warned(|bundle| {
+    let limits = warnings_of(|bundle| {
         bundle.limits.retry_tokens = 9;
         bundle.limits.operation_retention = Millis(60_000);
     });
@@ -118,10 +122,10 @@
         after: 9,
     };
     assert_eq!(limits, [retention, raised]);
-    let gone = warned(|bundle| {
+    let removal = warnings_of(|bundle| {
         bundle.services.remove(&service("oppgjor"));
         bundle.deployment = "museum".to_owned();
     });
     let removed = Warning::ServiceRemoved(service("oppgjor"));
-    assert_eq!(gone, [Warning::DeploymentChanged, removed]);
+    assert_eq!(removal, [Warning::DeploymentChanged, removed]);
 }
--- a/crates/bramblewheel-bundle/tests/examples.rs
+++ b/crates/bramblewheel-bundle/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example bundles are acceptable and signed by the example keys.
+//! The example bundles are valid and can be signed with the example keys.
 
 use bramblewheel_bundle::{OperatorKey, canonical, digest, parse, to_toml, verify};
 use bramblewheel_types::{Criticality, ServiceName};
@@ -23,7 +23,7 @@
 ];
 
 #[test]
-fn examples_are_valid_and_round_trip() {
+fn examples_are_valid_and_survive_a_round_trip() {
     for (file, text, _) in EXAMPLES {
         let bundle = parse(file, text).expect(file);
         assert_eq!(parse(file, &to_toml(&bundle)).as_ref(), Ok(&bundle));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn example_keys_sign_the_examples() {
+fn signatures_of_the_example_keys_authorize_the_examples() {
     for (file, text, keys) in EXAMPLES {
         let bundle = parse(file, text).expect(file);
         let digest = digest(&canonical::encode(&bundle));
--- a/crates/bramblewheel-bundle/tests/operators.rs
+++ b/crates/bramblewheel-bundle/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Changes of the operators are followed one by one, each signed by the operators before it.
+//! Changes of the operators are applied one by one; each must be signed by the previous operators.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use bramblewheel_types::BundleVersion;
 use support::{keys, policy, torgnett};
 
-/// A bundle that names `keys` as the operators after it; all of them must sign.
+/// A bundle whose next bundle must be signed by all of `keys`.
 fn bundle(version: u64, keys: &[OperatorKey]) -> Bundle {
     Bundle {
         version: BundleVersion(version),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn changes_are_followed_one_by_one() {
+fn consecutive_changes_are_applied_one_by_one() {
     let keys = keys(8);
     let mut trusted = TrustedOperators::of(&bundle(1, &keys[..2]));
     for change in 1..=3 {
@@ -53,13 +53,17 @@
         assert_eq!(trusted, TrustedOperators::of(&after));
     }
     let newest = canonical::encode(&bundle(31, &keys[..1]));
-    let by_last = signed(&newest, &keys[6..8]);
-    let authorized = trusted.authorize(BundleVersion(31), digest(&newest), pairs(&by_last));
+    let by_latest_operators = signed(&newest, &keys[6..8]);
+    let authorized = trusted.authorize(
+        BundleVersion(31),
+        digest(&newest),
+        pairs(&by_latest_operators),
+    );
     assert_eq!(authorized, Ok(()));
 }
 
 #[test]
-fn a_change_left_out_or_forged_is_refused_and_changes_nothing() {
+fn a_skipped_or_forged_change_is_refused_and_leaves_the_operators_unchanged() {
     let keys = keys(6);
     let first = TrustedOperators::of(&bundle(1, &keys[..2]));
     let too_few = |version| ForwardError::Unsigned {
@@ -71,14 +75,17 @@
         },
     };
     let mut trusted = first.clone();
-    let second_change = bundle(3, &keys[4..6]);
-    let refused = follow(&mut trusted, &second_change, &keys[2..4]);
+    let skipping_change = bundle(3, &keys[4..6]);
+    let refused = follow(&mut trusted, &skipping_change, &keys[2..4]);
     assert_eq!(refused, Err(too_few(3)));
     let forged = bundle(2, &keys[2..4]);
     let refused = follow(&mut trusted, &forged, &keys[2..4]);
     assert_eq!(refused, Err(too_few(2)));
-    let half = follow(&mut trusted, &forged, &keys[..1]);
-    assert!(matches!(half, Err(ForwardError::Unsigned { .. })));
+    let one_of_two_signatures = follow(&mut trusted, &forged, &keys[..1]);
+    assert!(matches!(
+        one_of_two_signatures,
+        Err(ForwardError::Unsigned { .. })
+    ));
     assert_eq!(trusted, first);
     assert_eq!(follow(&mut trusted, &forged, &keys[..2]), Ok(()));
 }
@@ -98,7 +105,7 @@
 }
 
 #[test]
-fn no_byte_of_a_change_can_be_altered() {
+fn a_change_with_any_byte_altered_is_refused() {
     let keys = keys(4);
     let mut trusted = TrustedOperators::of(&bundle(1, &keys[..2]));
     let bytes = canonical::encode(&bundle(2, &keys[2..]));
@@ -122,7 +129,7 @@
 }
 
 #[test]
-fn a_change_is_short() {
+fn a_change_of_5_operators_with_3_signatures_is_under_1_kib() {
     let keys = keys(5);
     let bytes = canonical::encode(&bundle(2, &keys));
     let (head, rest) = split(&bytes);
--- a/crates/bramblewheel-bundle/tests/parse.rs
+++ b/crates/bramblewheel-bundle/tests/parse.rs
@@ -1,13 +1,17 @@
-//! Every wrong text is refused with the line and the key.
+//! Every invalid text is refused with the line and the key of each finding.
 
 mod support;
 
 use bramblewheel_bundle::{BundleError, Problem, parse};
 use support::TORGNETT;
 
-/// The example with one text put for another, both unique in it.
+/// The test bundle with `from`, which must occur once, replaced by `to`, and the line of the change.
 fn altered(from: &str, to: &str) -> (String, usize) {
-    assert_eq!(TORGNETT.matches(from).count(), 1, "`{from}` is unique");
+    assert_eq!(
+        TORGNETT.matches(from).count(),
+        1,
+        "`{from}` must occur once"
+    );
     let line = TORGNETT[..TORGNETT.find(from).expect("found")]
         .matches('\n')
         .count();
@@ -15,7 +19,7 @@
 }
 
 fn refused(text: &str) -> BundleError {
-    parse("a.toml", text).expect_err("text is wrong")
+    parse("a.toml", text).expect_err("the text is invalid")
 }
 
 fn keys(error: &BundleError) -> Vec<&str> {
@@ -23,8 +27,8 @@
     findings.map(|located| &*located.finding.key).collect()
 }
 
-/// What stands in the example, what is put for it, the key of the finding, and its line counted
-/// from the altered one: a rule over two keys is reported at one, a second use at the later line.
+/// Text of the test bundle, its replacement, key of the finding, and its line relative to the altered one, which
+/// differs where a rule concerns two keys and is reported at the other one, or for a duplicate at the later one.
 const WRONG_VALUES: &str = r#"
 version = 1                  => version = 0                  @ version @ 0
 version = 1                  => version = -1                 @ version @ 0
@@ -50,11 +54,11 @@
 "#;
 
 #[test]
-fn one_wrong_value_is_found_at_its_line_and_key() {
+fn an_invalid_value_is_reported_with_its_line_and_key() {
     for case in WRONG_VALUES.trim().lines() {
         let parts: Vec<&str> = case.split(['@', '>']).map(str::trim).collect();
         let [from, to, key, offset] = parts[..] else {
-            panic!("{case}");
+            panic!("expected `FROM => TO @ KEY @ OFFSET`, got `{case}`");
         };
         let (text, line) = altered(from.trim_end_matches([' ', '=']), to);
         let error = refused(&text);
@@ -69,7 +73,7 @@
 }
 
 #[test]
-fn a_retention_below_a_deadline_that_must_run_once_is_refused() {
+fn a_retention_below_the_deadline_of_a_non_repeatable_route_is_refused() {
     let (text, line) = altered("retention_ms = 86400000", "retention_ms = 7999");
     let error = refused(&text);
     assert_eq!(keys(&error), ["limits.operation_retention_ms"]);
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn all_findings_are_reported_in_order_with_their_places() {
+fn all_findings_are_reported_in_order_with_their_locations() {
     let text = "version = 1\ndeployment = \"x\"\n[operators]\nsigners = 1\n[[service]]\n\
                 name = \"a\"\n  deadline_ms = true\n[service.admission]\nqueue = 1\n";
     assert_eq!(
@@ -90,7 +94,7 @@
 }
 
 #[test]
-fn missing_keys_are_found_at_their_table() {
+fn missing_keys_are_reported_at_their_table() {
     let error = refused("[operators]\n[[operators.key]]\n[[operators.key]]\n[[service]]\n");
     let expected = [
         ("version", 1),
@@ -110,7 +114,7 @@
 }
 
 #[test]
-fn hidden_and_repeated_routes_are_refused() {
+fn unreachable_and_duplicate_routes_are_refused() {
     for (second, duplicate) in [("/pay/card", false), ("/pay", true)] {
         let added = format!("repeatable = false\n[[service.route]]\nprefix = \"{second}\"\n");
         let (text, line) = altered("repeatable = false\n", &added);
@@ -128,7 +132,7 @@
 }
 
 #[test]
-fn operators_with_one_key_are_refused() {
+fn shared_and_weak_operator_keys_are_refused() {
     let key = "13ca59af3206c9eb00928a44e22f290573b37bba922e35bd508ee56a48e6f17b";
     let other = "abe64058ba9d38f27fe3815d4aad548dade62678d3bbc91a5c6bb203cdb2f055";
     let (text, line) = altered(other, key);
@@ -141,7 +145,7 @@
 }
 
 #[test]
-fn text_that_is_not_toml_is_refused_at_its_place() {
+fn text_that_is_not_toml_is_refused_with_the_lines_of_its_errors() {
     let error = refused("version = 1\nversion = 2\ndeployment = \n");
     let lines: Vec<usize> = error.findings.iter().map(|f| f.location.line).collect();
     assert_eq!(lines, [2, 3], "{error}");
--- a/crates/bramblewheel-bundle/tests/signature.rs
+++ b/crates/bramblewheel-bundle/tests/signature.rs
@@ -1,4 +1,4 @@
-//! N different operators out of M must sign.
+//! Signature threshold of N different operators out of M, and operator key files.
 
 mod support;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn enough_different_operators_suffice_and_fewer_do_not() {
+fn the_required_number_of_operators_suffices_and_fewer_do_not() {
     let keys = keys(4);
     let all: Vec<Signed> = keys.iter().map(|key| signed(key, DIGEST)).collect();
     for required in 1..=4 {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn one_operator_counts_once() {
+fn two_signatures_of_one_operator_count_once() {
     let keys = keys(2);
     let twice = [signed(&keys[0], DIGEST), signed(&keys[0], DIGEST)];
     let expected = SignatureError::TooFew {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn unknown_operators_are_named_and_count_for_nothing() {
+fn signatures_of_unknown_operators_are_named_and_not_counted() {
     let keys = keys(3);
     let by = [signed(&keys[0], DIGEST), signed(&keys[2], DIGEST)];
     let expected = SignatureError::TooFew {
@@ -55,8 +55,8 @@
     };
     assert_eq!(check(2, &keys[..2], &by), Err(expected));
     assert_eq!(check(1, &keys[..2], &by), Ok(()));
-    let unprintable = [("a\nresult=accepted".to_owned(), keys[0].sign(DIGEST))];
-    let error = check(1, &keys, &unprintable).expect_err("unknown");
+    let with_line_break = [("a\nresult=accepted".to_owned(), keys[0].sign(DIGEST))];
+    let error = check(1, &keys, &with_line_break).expect_err("the operator is unknown");
     assert!(
         error
             .to_string()
@@ -65,9 +65,9 @@
 }
 
 #[test]
-fn wrong_signatures_are_refused_by_name_even_beside_enough_good_ones() {
+fn an_invalid_signature_is_refused_by_name_even_if_enough_others_are_valid() {
     let keys = keys(3);
-    let good = signed(&keys[0], DIGEST);
+    let valid = signed(&keys[0], DIGEST);
     let of_another_digest = signed(&keys[1], BundleDigest([8; 32]));
     let by_another_key = ("operator-1".to_owned(), keys[2].sign(DIGEST));
     let mut altered = signed(&keys[1], DIGEST);
@@ -75,27 +75,27 @@
     for wrong in [of_another_digest, by_another_key, altered] {
         let operators = vec!["operator-1".to_owned()];
         let expected = SignatureError::Wrong { operators };
-        assert_eq!(check(1, &keys, &[good.clone(), wrong]), Err(expected));
+        assert_eq!(check(1, &keys, &[valid.clone(), wrong]), Err(expected));
     }
-    let short = [("operator-0", &good.1[..63])];
+    let short = [("operator-0", &valid.1[..63])];
     assert!(verify(&policy(1, &keys), DIGEST, short).is_err());
 }
 
 #[test]
-fn a_flood_of_signatures_is_refused() {
+fn more_than_the_maximum_number_of_signatures_is_refused() {
     let keys = keys(1);
-    let flood = vec![signed(&keys[0], DIGEST); MAX_SIGNATURES + 1];
-    assert_eq!(check(1, &keys, &flood), Err(SignatureError::TooMany));
+    let too_many = vec![signed(&keys[0], DIGEST); MAX_SIGNATURES + 1];
+    assert_eq!(check(1, &keys, &too_many), Err(SignatureError::TooMany));
 }
 
 #[test]
-fn key_files_round_trip_and_wrong_ones_are_refused() {
-    let key = OperatorKey::generate("anna").expect("random source works");
+fn key_files_survive_a_round_trip_and_invalid_ones_are_refused() {
+    let key = OperatorKey::generate("anna").expect("the random source works");
     let text = key.to_text();
-    let read = OperatorKey::parse(&text).expect("own text");
+    let read = OperatorKey::parse(&text).expect("a generated key file is valid");
     assert_eq!(read.public_key(), key.public_key());
     assert_eq!(read.name(), "anna");
-    let other = OperatorKey::generate("anna").expect("random source works");
+    let other = OperatorKey::generate("anna").expect("the random source works");
     let mixed = text.replace(&key.public_key_hex(), &other.public_key_hex());
     let error = OperatorKey::parse(&mixed);
     assert!(matches!(error, Err(KeyFileError::PublicKeyMismatch)));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn the_secret_key_is_not_shown() {
+fn debug_output_and_errors_do_not_contain_the_secret_key() {
     let key = &keys(1)[0];
     let secret = "01".repeat(32);
     assert!(key.to_text().contains(&secret));
--- a/crates/bramblewheel-bundle/tests/support/mod.rs
+++ b/crates/bramblewheel-bundle/tests/support/mod.rs
@@ -10,16 +10,16 @@
 use bramblewheel_types::{BundleVersion, Criticality, Millis, ServiceName};
 use std::collections::BTreeMap;
 
-/// A bundle with every kind of entry. It stays as it is, unlike the examples: tests count its
-/// lines and know its digest.
+/// A bundle with every kind of entry. Unlike the examples it must not change: tests rely on its line numbers
+/// and its digest.
 pub const TORGNETT: &str = include_str!("known.toml");
 
 pub fn torgnett() -> Bundle {
-    parse("torgnett.toml", TORGNETT).expect("example is valid")
+    parse("torgnett.toml", TORGNETT).expect("the test bundle is valid")
 }
 
-/// 460 services with 8 routes each: the size that `CONTRIBUTING.md` names.
-pub fn bundle_of_the_size_to_come() -> Bundle {
+/// A bundle at the size that the project is designed for: 460 services with 8 routes each.
+pub fn large_bundle() -> Bundle {
     const SERVICES: usize = 460;
     const ROUTES: usize = 8;
     let mut bundle = torgnett();
@@ -57,10 +57,10 @@
     }
 }
 
-/// Checks a property for `count` draws of `size` bytes each, the same ones at every run.
+/// Checks a property for `count` random inputs of `size` bytes each, the same ones in every run.
 ///
-/// A seed makes arbtest run the property once, with the size taken from the seed's lower half and
-/// the generator started from its upper half.
+/// With a seed, arbtest runs the property once; the seed's lower half is the size, its upper half seeds the
+/// generator.
 pub fn for_seeds(
     count: u64,
     size: u32,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Draws a valid bundle.
+/// Generates a valid bundle.
 pub fn arbitrary_bundle(u: &mut Unstructured<'_>) -> Result<Bundle> {
     let keys = keys(u.int_in_range(1..=4)?);
     let required = u.int_in_range(1..=keys.len() as u32)?;
