--- a/crates/bramblewheel-bundle/src/lib.rs
+++ b/crates/bramblewheel-bundle/src/lib.rs
@@ -30,7 +30,7 @@
     AdmissionPolicy, Bundle, OperatorPolicy, OperatorPublicKey, RequestLimits, ResolvedRoute,
     RoutePolicy, RoutingPolicy, ServicePolicy,
 };
-pub use operators::{ForwardError, TrustedOperators};
+pub use operators::{AuthorizationError, TrustedOperators};
 pub use parse::parse;
 pub use sections::Head;
 pub use signature::{SignatureError, verify};
--- a/crates/bramblewheel-bundle/src/operators.rs
+++ b/crates/bramblewheel-bundle/src/operators.rs
@@ -15,7 +15,7 @@
 
 /// A later bundle or a change of the operators is not authorized.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum ForwardError {
+pub enum AuthorizationError {
     /// The version is not above that of the bundle whose operators are trusted.
     #[error("version {offered} is not above version {trusted}")]
     NotNewer {
@@ -61,34 +61,34 @@
     /// Checks that the trusted operators signed the bundle with this version and digest.
     ///
     /// # Errors
-    /// [`ForwardError::NotNewer`] or [`ForwardError::Unsigned`].
+    /// [`AuthorizationError::NotNewer`] or [`AuthorizationError::Unsigned`].
     pub fn authorize<'a>(
         &self,
         version: BundleVersion,
         digest: BundleDigest,
         signatures: impl IntoIterator<Item = (&'a str, &'a [u8])>,
-    ) -> Result<(), ForwardError> {
+    ) -> Result<(), AuthorizationError> {
         if version <= self.version {
-            return Err(ForwardError::NotNewer {
+            return Err(AuthorizationError::NotNewer {
                 offered: version,
                 trusted: self.version,
             });
         }
         verify(&self.policy, digest, signatures)
-            .map_err(|error| ForwardError::Unsigned { version, error })
+            .map_err(|error| AuthorizationError::Unsigned { version, error })
     }
 
     /// Applies a change of the operators: afterwards those named in `head` are trusted.
     ///
     /// # Errors
-    /// [`ForwardError`] when `head` is not the head of a newer bundle that the currently trusted
+    /// [`AuthorizationError`] when `head` is not the head of a newer bundle that the currently trusted
     /// operators signed; the trusted operators are then unchanged.
-    pub fn follow<'a>(
+    pub fn apply_change<'a>(
         &mut self,
         head: &[u8],
         rest_digest: [u8; 32],
         signatures: impl IntoIterator<Item = (&'a str, &'a [u8])>,
-    ) -> Result<(), ForwardError> {
+    ) -> Result<(), AuthorizationError> {
         let digest = digest_of_sections(head, rest_digest);
         let head = decode_head(head)?;
         self.authorize(head.version, digest, signatures)?;
--- a/crates/bramblewheel-bundle/tests/operators.rs
+++ b/crates/bramblewheel-bundle/tests/operators.rs
@@ -4,8 +4,8 @@
 
 use bramblewheel_bundle::sections::split;
 use bramblewheel_bundle::{
-    Bundle, DecodeError, ForwardError, OperatorKey, SignatureError, TrustedOperators, canonical,
-    digest, digest::rest_digest,
+    AuthorizationError, Bundle, DecodeError, OperatorKey, SignatureError, TrustedOperators,
+    canonical, digest, digest::rest_digest,
 };
 use bramblewheel_types::BundleVersion;
 use support::{keys, policy, torgnett};
@@ -31,14 +31,14 @@
     signed.iter().map(|(name, bytes)| (&**name, &bytes[..]))
 }
 
-fn follow(
+fn apply_change(
     trusted: &mut TrustedOperators,
     bundle: &Bundle,
     signers: &[OperatorKey],
-) -> Result<(), ForwardError> {
+) -> Result<(), AuthorizationError> {
     let bytes = canonical::encode(bundle);
     let (head, rest) = split(&bytes);
-    trusted.follow(head, rest_digest(rest), pairs(&signed(&bytes, signers)))
+    trusted.apply_change(head, rest_digest(rest), pairs(&signed(&bytes, signers)))
 }
 
 #[test]
@@ -48,8 +48,8 @@
     for change in 1..=3 {
         let at = change * 2;
         let after = bundle(change as u64 * 10, &keys[at..at + 2]);
-        let followed = follow(&mut trusted, &after, &keys[at - 2..at]);
-        assert_eq!(followed, Ok(()));
+        let applied = apply_change(&mut trusted, &after, &keys[at - 2..at]);
+        assert_eq!(applied, Ok(()));
         assert_eq!(trusted, TrustedOperators::of(&after));
     }
     let newest = canonical::encode(&bundle(31, &keys[..1]));
@@ -66,7 +66,7 @@
 fn a_skipped_or_forged_change_is_refused_and_leaves_the_operators_unchanged() {
     let keys = keys(6);
     let first = TrustedOperators::of(&bundle(1, &keys[..2]));
-    let too_few = |version| ForwardError::Unsigned {
+    let too_few = |version| AuthorizationError::Unsigned {
         version: BundleVersion(version),
         error: SignatureError::TooFew {
             valid: 0,
@@ -76,18 +76,18 @@
     };
     let mut trusted = first.clone();
     let skipping_change = bundle(3, &keys[4..6]);
-    let refused = follow(&mut trusted, &skipping_change, &keys[2..4]);
+    let refused = apply_change(&mut trusted, &skipping_change, &keys[2..4]);
     assert_eq!(refused, Err(too_few(3)));
     let forged = bundle(2, &keys[2..4]);
-    let refused = follow(&mut trusted, &forged, &keys[2..4]);
+    let refused = apply_change(&mut trusted, &forged, &keys[2..4]);
     assert_eq!(refused, Err(too_few(2)));
-    let one_of_two_signatures = follow(&mut trusted, &forged, &keys[..1]);
+    let one_of_two_signatures = apply_change(&mut trusted, &forged, &keys[..1]);
     assert!(matches!(
         one_of_two_signatures,
-        Err(ForwardError::Unsigned { .. })
+        Err(AuthorizationError::Unsigned { .. })
     ));
     assert_eq!(trusted, first);
-    assert_eq!(follow(&mut trusted, &forged, &keys[..2]), Ok(()));
+    assert_eq!(apply_change(&mut trusted, &forged, &keys[..2]), Ok(()));
 }
 
 #[test]
@@ -95,8 +95,8 @@
     let keys = keys(2);
     let mut trusted = TrustedOperators::of(&bundle(5, &keys));
     for version in [4, 5] {
-        let refused = follow(&mut trusted, &bundle(version, &keys), &keys);
-        let expected = ForwardError::NotNewer {
+        let refused = apply_change(&mut trusted, &bundle(version, &keys), &keys);
+        let expected = AuthorizationError::NotNewer {
             offered: BundleVersion(version),
             trusted: BundleVersion(5),
         };
@@ -115,17 +115,20 @@
     for index in 0..head.len() {
         let mut altered = head.to_vec();
         altered[index] ^= 1;
-        let refused = trusted.follow(&altered, rest, pairs(&by_operators));
+        let refused = trusted.apply_change(&altered, rest, pairs(&by_operators));
         assert!(refused.is_err(), "byte {index}");
     }
     let mut other_rest = rest;
     other_rest[31] ^= 1;
-    let refused = trusted.follow(head, other_rest, pairs(&by_operators));
-    assert!(matches!(refused, Err(ForwardError::Unsigned { .. })));
-    let refused = trusted.follow(&bytes, rest, pairs(&by_operators));
-    let expected = ForwardError::Malformed(DecodeError::NotCanonical);
+    let refused = trusted.apply_change(head, other_rest, pairs(&by_operators));
+    assert!(matches!(refused, Err(AuthorizationError::Unsigned { .. })));
+    let refused = trusted.apply_change(&bytes, rest, pairs(&by_operators));
+    let expected = AuthorizationError::Malformed(DecodeError::NotCanonical);
     assert_eq!(refused, Err(expected));
-    assert_eq!(trusted.follow(head, rest, pairs(&by_operators)), Ok(()));
+    assert_eq!(
+        trusted.apply_change(head, rest, pairs(&by_operators)),
+        Ok(())
+    );
 }
 
 #[test]
--- a/crates/bramblewheel-control/tests/publishing.rs
+++ b/crates/bramblewheel-control/tests/publishing.rs
@@ -110,7 +110,8 @@
     let mut trusted = TrustedOperators::of(&bundle(1, &generations[0], 1));
     let mut seen = Vec::new();
     for change in &changes {
-        let verified = trusted.follow(&change.head, change.rest_digest, pairs(&change.signatures));
+        let verified =
+            trusted.apply_change(&change.head, change.rest_digest, pairs(&change.signatures));
         verified.expect("the change is signed by the previous operators");
         seen.push(trusted.version().0);
     }
--- a/crates/bramblewheel-daemon/src/control/verify.rs
+++ b/crates/bramblewheel-daemon/src/control/verify.rs
@@ -1,6 +1,8 @@
 //! Verification of bundles sent by a control replica, before they are saved or used.
 
-use bramblewheel_bundle::{Bundle, DecodeError, Delta, DeltaError, ForwardError, TrustedOperators};
+use bramblewheel_bundle::{
+    AuthorizationError, Bundle, DecodeError, Delta, DeltaError, TrustedOperators,
+};
 use bramblewheel_protocol::control::{
     BundleSignature, OperatorChange, SignedBundle, SignedBundleDelta,
 };
@@ -34,7 +36,7 @@
     },
     /// The bundle is not newer, or the trusted operators did not sign it.
     #[error(transparent)]
-    Unauthorized(#[from] ForwardError),
+    Unauthorized(#[from] AuthorizationError),
 }
 
 /// A verified bundle, decoded and in its signed form.
@@ -58,7 +60,7 @@
     let mut followed = operators.clone();
     for change in changes {
         let signatures = pairs(&change.signatures);
-        followed.follow(&change.head, change.rest_digest, signatures)?;
+        followed.apply_change(&change.head, change.rest_digest, signatures)?;
     }
     *operators = followed;
     Ok(())
