--- a/crates/bramblewheel-bundle/tests/canonical.rs
+++ b/crates/bramblewheel-bundle/tests/canonical.rs
@@ -36,11 +36,13 @@
 fn the_order_of_services_in_the_text_does_not_change_the_encoding() {
     let bundle = torgnett();
     let text = to_toml(&bundle);
-    let (head, services) = text.split_once("\n[[service]]").expect("has services");
+    let (head, services) = text
+        .split_once("\n[[service]]")
+        .expect("the text has services");
     let mut services: Vec<&str> = services.split("\n[[service]]").collect();
     services.reverse();
     let reversed = format!("{head}\n[[service]]{}", services.join("\n[[service]]"));
-    let read = parse("a.toml", &reversed).expect("still valid");
+    let read = parse("a.toml", &reversed).expect("the reordered text is valid");
     assert_eq!(canonical::encode(&read), canonical::encode(&bundle));
 }
 
--- a/crates/bramblewheel-bundle/tests/examples.rs
+++ b/crates/bramblewheel-bundle/tests/examples.rs
@@ -37,7 +37,7 @@
     for (file, text, keys) in EXAMPLES {
         let bundle = parse(file, text).expect(file);
         let digest = digest(&canonical::encode(&bundle));
-        let keys = keys.map(|text| OperatorKey::parse(text).expect("example key"));
+        let keys = keys.map(|text| OperatorKey::parse(text).expect("the example key is valid"));
         let signatures = keys.each_ref().map(|key| (key.name(), key.sign(digest)));
         let pairs = signatures.iter().map(|(name, bytes)| (*name, &bytes[..]));
         assert_eq!(verify(&bundle.operators, digest, pairs), Ok(()));
--- a/crates/bramblewheel-bundle/tests/parse.rs
+++ b/crates/bramblewheel-bundle/tests/parse.rs
@@ -12,7 +12,7 @@
         1,
         "`{from}` must occur once"
     );
-    let line = TORGNETT[..TORGNETT.find(from).expect("found")]
+    let line = TORGNETT[..TORGNETT.find(from).expect("the text was found")]
         .matches('\n')
         .count();
     (TORGNETT.replace(from, to), line + 1)
@@ -63,7 +63,7 @@
         let (text, line) = altered(from.trim_end_matches([' ', '=']), to);
         let error = refused(&text);
         assert_eq!(keys(&error), [key], "{case}: {error}");
-        let expected = line.checked_add_signed(offset.parse().expect("a number"));
+        let expected = line.checked_add_signed(offset.parse().expect("the offset is a number"));
         assert_eq!(
             Some(error.findings[0].location.line),
             expected,
--- a/crates/bramblewheel/src/commands.rs
+++ b/crates/bramblewheel/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands, one module for each group.
+//! Commands, one module per group.
 
 mod bundle;
 mod control;
@@ -19,12 +19,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Runs the command given; `words` are the command line, for errors.
+/// Runs the given command; `command_line` is used in error messages.
 ///
 /// # Errors
-/// [`CommandError`] of the command, or of the command line when it names none.
-pub fn run(arguments: Arguments, words: &[String]) -> Result<(), CommandError> {
-    let incomplete = || help::usage_error("no command given", words);
+/// [`CommandError`] of the command, or a usage error when the command line names no command.
+pub fn run(arguments: Arguments, command_line: &[String]) -> Result<(), CommandError> {
+    let incomplete = || help::usage_error("no command given", command_line);
     match arguments.command.ok_or_else(incomplete)? {
         Command::Bundle(group) => match group.command.ok_or_else(incomplete)? {
             BundleCommand::New(options) => bundle::new(options),
@@ -55,12 +55,14 @@
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|error| CommandError::Unreachable(format!("can't use the network: {error}")))?
+        .map_err(|error| {
+            CommandError::Unreachable(format!("can't start the async runtime: {error}"))
+        })?
         .block_on(command)
 }
 
-/// Asks the replicas in turn; a rejection is an error.
-async fn ask(
+/// Sends a request to the replicas in turn; a rejection is returned as an error.
+async fn send_request(
     addresses: &[SocketAddr],
     body: &RequestBody,
     timeout: Duration,
@@ -71,9 +73,9 @@
     }
 }
 
-/// A replica answered with another kind of reply than the request has.
+/// Error for a reply of a kind that does not belong to the request.
 fn unexpected_reply(request: &RequestBody) -> CommandError {
-    let text = "a replica gave an answer of the wrong kind".to_owned();
+    let text = "a replica sent an unexpected kind of reply".to_owned();
     if request.changes_state() {
         return CommandError::Undecided(text);
     }
--- a/crates/bramblewheel/src/commands/bundle.rs
+++ b/crates/bramblewheel/src/commands/bundle.rs
@@ -1,4 +1,4 @@
-//! `bundle`: what operators do with bundles before they publish them.
+//! `bundle new`, `check`, `diff` and `sign`: preparation of bundles.
 
 use crate::error::CommandError;
 use crate::files::{self, LoadedBundle};
@@ -46,7 +46,7 @@
 }
 
 pub fn check(options: &CheckBundle) -> Result<(), CommandError> {
-    // A wrong bundle is what the command looks for: its check failed, the input was usable.
+    // An invalid bundle is a failed check here, not a bad input file.
     let after = files::load(&options.file).map_err(|error| match error {
         CommandError::Bundle(error) => CommandError::Refused(error.to_string()),
         other => other,
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// Prints the warnings and says how many there are.
+/// Prints the warnings and returns their number.
 fn print_warnings(before: &LoadedBundle, after: &LoadedBundle) -> usize {
     let warnings = warnings(&before.bundle, &after.bundle);
     for warning in &warnings {
@@ -91,8 +91,8 @@
 pub fn sign(options: &SignBundle) -> Result<(), CommandError> {
     let key = files::load_key(&options.key)?;
     let LoadedBundle { bundle, mut signed } = files::load(&options.file)?;
-    keep_earlier_signatures(&options.out, &mut signed)?;
-    note_foreign_key(&bundle, &key);
+    add_existing_signatures(&options.out, &mut signed)?;
+    warn_of_unlisted_key(&bundle, &key);
     let signature = BundleSignature {
         operator: key.name().to_owned(),
         signature: key.sign(signed.digest).to_vec(),
@@ -112,12 +112,12 @@
     Ok(())
 }
 
-/// Takes the signatures of an existing output file over; refuses to overwrite another bundle.
-fn keep_earlier_signatures(out: &Path, signed: &mut SignedBundle) -> Result<(), CommandError> {
+/// Adds the signatures of an existing output file; refuses to overwrite another bundle.
+fn add_existing_signatures(out: &Path, signed: &mut SignedBundle) -> Result<(), CommandError> {
     if !out.exists() {
         return Ok(());
     }
-    let refused = |why: &str| CommandError::Refused(format!("{}: {why}", out.display()));
+    let refused = |reason: &str| CommandError::Refused(format!("{}: {reason}", out.display()));
     let earlier = files::load_signed(out)
         .map_err(|_| refused("exists and is not a signed bundle; not overwritten"))?;
     if earlier.signed.digest != signed.digest {
@@ -129,7 +129,7 @@
     Ok(())
 }
 
-/// Adds a signature; an operator's later one takes the place of the earlier.
+/// Adds a signature; it replaces an earlier one by the same operator.
 fn add_signature(signed: &mut SignedBundle, signature: BundleSignature) {
     signed
         .signatures
@@ -137,8 +137,9 @@
     signed.signatures.push(signature);
 }
 
-/// The bundle in force decides who may sign, not this one; yet a mix-up of keys is likely.
-fn note_foreign_key(bundle: &Bundle, key: &OperatorKey) {
+/// Warns if the bundle does not list the key. This is not an error, since the operators of the bundle in force
+/// decide who may sign, but it likely means that the wrong key was used.
+fn warn_of_unlisted_key(bundle: &Bundle, key: &OperatorKey) {
     match bundle.operators.keys.get(key.name()) {
         Some(listed) if *listed == key.public_key() => {}
         Some(_) => eprintln!(
--- a/crates/bramblewheel/src/commands/control.rs
+++ b/crates/bramblewheel/src/commands/control.rs
@@ -1,6 +1,6 @@
-//! `control`: the group of control replicas.
+//! `control status`, `bootstrap` and `replace`: the group of control replicas.
 
-use super::{ask, unexpected_reply};
+use super::{send_request, unexpected_reply};
 use crate::error::CommandError;
 use crate::files;
 use crate::options::{BootstrapGroup, ControlQuery, ReplaceReplica};
@@ -58,43 +58,43 @@
 
 fn role(status: &GroupStatus) -> &'static str {
     let own = status.replica.replica;
-    let holds = |replicas: &[ReplicaAddress]| replicas.iter().any(|r| r.replica == own);
+    let contains = |replicas: &[ReplicaAddress]| replicas.iter().any(|r| r.replica == own);
     if status.group.is_none() {
         "uninitialized"
     } else if status.leader == Some(own) {
         "leader"
-    } else if holds(&status.voters) {
+    } else if contains(&status.voters) {
         "voter"
-    } else if holds(&status.learners) {
+    } else if contains(&status.learners) {
         "learner"
     } else {
         "removed"
     }
 }
 
-/// Asks once: a replica that is down is news to show, not to wait for.
+/// Sends one request without retries: a replica that is down is shown as such.
 async fn group_status_once(address: SocketAddr, timeout: Duration) -> Result<GroupStatus, String> {
     let mut client = ControlClient::connect(address)
         .await
         .map_err(|error| error.to_string())?;
     match client.request(RequestBody::GroupStatus, timeout).await {
         Ok(ReplyBody::GroupStatus(status)) => Ok(status),
-        Ok(ReplyBody::Unavailable(why)) => Err(why.to_string()),
-        Ok(_) => Err("answer of the wrong kind".to_owned()),
+        Ok(ReplyBody::Unavailable(reason)) => Err(reason.to_string()),
+        Ok(_) => Err("unexpected kind of reply".to_owned()),
         Err(error) => Err(error.to_string()),
     }
 }
 
 async fn group_status(address: SocketAddr, timeout: Duration) -> Result<GroupStatus, CommandError> {
     let body = RequestBody::GroupStatus;
-    match ask(&[address], &body, timeout).await? {
+    match send_request(&[address], &body, timeout).await? {
         ReplyBody::GroupStatus(status) => Ok(status),
         _ => Err(unexpected_reply(&body)),
     }
 }
 
 pub async fn bootstrap(options: &BootstrapGroup) -> Result<(), CommandError> {
-    let bundle = own_signed_bundle(options)?;
+    let bundle = load_self_signed_bundle(options)?;
     let mut statuses = Vec::new();
     for address in &options.replica {
         statuses.push(group_status(*address, options.timeout.0).await?);
@@ -112,10 +112,10 @@
     }
     for address in &options.replica {
         let body = RequestBody::Bootstrap(request.clone());
-        match ask(&[*address], &body, options.timeout.0).await {
+        match send_request(&[*address], &body, options.timeout.0).await {
             Ok(ReplyBody::Done) => {}
             Ok(_) => return Err(unexpected_reply(&body)),
-            // Replicas before this one may hold the group already.
+            // Earlier replicas may already have joined the group.
             Err(CommandError::Unreachable(text)) => return Err(CommandError::Undecided(text)),
             Err(error) => return Err(error),
         }
@@ -130,8 +130,8 @@
     Ok(())
 }
 
-/// Reads the first bundle, which nobody can vouch for but its own operators.
-fn own_signed_bundle(options: &BootstrapGroup) -> Result<SignedBundle, CommandError> {
+/// Reads the first bundle. It is verified against its own operators, since no earlier bundle names any.
+fn load_self_signed_bundle(options: &BootstrapGroup) -> Result<SignedBundle, CommandError> {
     let loaded = files::load_signed(&options.bundle)?;
     let signed = loaded.signed;
     let pairs = signed.signatures.iter();
@@ -154,8 +154,8 @@
     Ok(())
 }
 
-/// The group's number follows from its voters' random identities and the signed bundle: the same
-/// command given again continues the same bootstrap, any other one is another group.
+/// Derives the group number from the voters' random identities and the signed bundle, so that repeating the
+/// command continues the same bootstrap and any other command starts another group.
 fn group_number(voters: &[ReplicaAddress], bundle: &SignedBundle) -> Result<u64, CommandError> {
     let bytes = encode(&(voters, bundle), MAX_CONTROL_FRAME)
         .map_err(|error| CommandError::BadInput(error.to_string()))?;
@@ -172,7 +172,7 @@
     match status.group {
         Some(other) if other != group => {
             let other = HexNumber(other);
-            let text = format!("refused: {address} belongs to group {other} already");
+            let text = format!("refused: {address} already belongs to group {other}");
             Err(CommandError::Refused(text))
         }
         _ => Ok(()),
@@ -184,7 +184,7 @@
     let address = options.with.ok_or_else(missing)?;
     let replacement = group_status(address, options.timeout.0).await?.replica;
     if replacement.replica == options.lost.0 {
-        let text = "refused: the replacement is the lost replica itself".to_owned();
+        let text = "refused: the replacement is the same as the lost replica".to_owned();
         return Err(CommandError::Refused(text));
     }
     let line = Line::default()
@@ -196,7 +196,7 @@
         lost: options.lost.0,
         replacement,
     });
-    match ask(&options.control.0, &body, options.timeout.0).await? {
+    match send_request(&options.control.0, &body, options.timeout.0).await? {
         ReplyBody::Done => line.print(),
         _ => return Err(unexpected_reply(&body)),
     }
--- a/crates/bramblewheel/src/commands/explain.rs
+++ b/crates/bramblewheel/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain` and `retry-bound`: what logs say of one request, and of the bound on repeats.
+//! `explain` and `retry-bound`: the timeline of one request and the use of the bound on retries, from logs.
 
 use crate::error::CommandError;
 use crate::explain::{LogLine, Timeline, gather, retry_bound};
@@ -8,22 +8,22 @@
 use std::path::PathBuf;
 
 pub fn explain(options: &ExplainRequest) -> Result<(), CommandError> {
-    let logs = read_all(&options.logs)?;
-    let named = logs
+    let logs = read_logs(&options.logs)?;
+    let named_logs = logs
         .iter()
         .map(|(name, text)| (name.as_str(), text.as_str()));
-    let timeline = gather(&options.request, named);
+    let timeline = gather(&options.request, named_logs);
     print(&describe(&options.request, &timeline));
     if timeline.lines.is_empty() {
-        let text = format!("no line speaks of request {}", options.request);
+        let text = format!("no log line mentions request {}", options.request);
         return Err(CommandError::Refused(text));
     }
     Ok(())
 }
 
-/// How much of the bound on repeats was used, from the logs of the daemons.
+/// Prints the use of the bound on retries, from the logs of the daemons.
 pub fn retry_bound(options: &RetryBoundLogs) -> Result<(), CommandError> {
-    let logs = read_all(&options.logs)?;
+    let logs = read_logs(&options.logs)?;
     let parsed = logs.iter().flat_map(|(name, text)| {
         let lines = text.lines();
         lines.filter_map(|line| LogLine::parse(name, line))
@@ -31,7 +31,7 @@
     let lines: Vec<LogLine> = parsed.collect();
     let peaks = retry_bound::peaks(&lines);
     if peaks.is_empty() {
-        let text = "no line tells of a repeat".to_owned();
+        let text = "the logs have no `retry bound` lines".to_owned();
         return Err(CommandError::Refused(text));
     }
     let described = peaks.iter().map(|peak| format!("{peak}\n"));
@@ -39,11 +39,11 @@
     Ok(())
 }
 
-fn read_all(paths: &[PathBuf]) -> Result<Vec<(String, String)>, CommandError> {
-    paths.iter().map(read).collect()
+fn read_logs(paths: &[PathBuf]) -> Result<Vec<(String, String)>, CommandError> {
+    paths.iter().map(read_log).collect()
 }
 
-fn read(path: &PathBuf) -> Result<(String, String), CommandError> {
+fn read_log(path: &PathBuf) -> Result<(String, String), CommandError> {
     let text = fs::read_to_string(path).map_err(|error| CommandError::file(path, error))?;
     let name = path.file_stem().unwrap_or_default();
     Ok((name.to_string_lossy().into_owned(), text))
@@ -53,13 +53,13 @@
     let first = timeline.lines.first().and_then(|line| line.at_millis());
     let mut text = String::new();
     for line in &timeline.lines {
-        let since = line.at_millis().zip(first);
-        let since = since.map_or(String::new(), |(at, first)| {
+        let times = line.at_millis().zip(first);
+        let elapsed = times.map_or(String::new(), |(at, first)| {
             format!("+{} ms", at.saturating_sub(first))
         });
         let (process, event, details) = (&line.process, line.event(), line.details());
-        text += &format!("{since:>10}  {process}  {event}  {details}\n");
+        text += &format!("{elapsed:>10}  {process}  {event}  {details}\n");
     }
-    let (cause, left_out) = (timeline.cause(), timeline.left_out);
-    text + &format!("request={request} cause=\"{cause}\" lines_left_out={left_out}\n")
+    let (cause, omitted_lines) = (timeline.cause(), timeline.omitted_lines);
+    text + &format!("request={request} cause=\"{cause}\" lines_left_out={omitted_lines}\n")
 }
--- a/crates/bramblewheel/src/commands/fleet.rs
+++ b/crates/bramblewheel/src/commands/fleet.rs
@@ -1,6 +1,6 @@
-//! `fleet`: the daemons as the control group knows them.
+//! `fleet status`: the daemons registered at the control group.
 
-use super::{ask, unexpected_reply};
+use super::{send_request, unexpected_reply};
 use crate::error::CommandError;
 use crate::options::ControlQuery;
 use crate::output::{HexNumber, Line};
@@ -8,7 +8,7 @@
 
 pub async fn status(query: &ControlQuery) -> Result<(), CommandError> {
     let body = RequestBody::FleetStatus;
-    let reply = ask(&query.control.0, &body, query.timeout.0).await?;
+    let reply = send_request(&query.control.0, &body, query.timeout.0).await?;
     let ReplyBody::FleetStatus(mut daemons) = reply else {
         return Err(unexpected_reply(&body));
     };
--- a/crates/bramblewheel/src/commands/keys.rs
+++ b/crates/bramblewheel/src/commands/keys.rs
@@ -1,4 +1,4 @@
-//! `keys`: operator keys.
+//! `keys new`: generates an operator key.
 
 use crate::error::CommandError;
 use crate::files;
--- a/crates/bramblewheel/src/commands/publish.rs
+++ b/crates/bramblewheel/src/commands/publish.rs
@@ -1,6 +1,6 @@
 //! `bundle publish` and `bundle status`.
 
-use super::{ask, unexpected_reply};
+use super::{send_request, unexpected_reply};
 use crate::error::CommandError;
 use crate::files;
 use crate::options::{ControlQuery, PublishBundle};
@@ -13,15 +13,15 @@
     if options.expected_parent.is_some() {
         signed.expected_parent = options.expected_parent;
     }
-    let described = describe(&signed);
+    let line = describe(&signed);
     let body = RequestBody::Publish(signed);
-    let reply = ask(&options.control.0, &body, options.timeout.0).await;
+    let reply = send_request(&options.control.0, &body, options.timeout.0).await;
     if matches!(reply, Err(CommandError::Undecided(_))) {
-        described.field("result", "undecided").print();
+        line.field("result", "undecided").print();
         return reply.map(drop);
     }
     match reply? {
-        ReplyBody::Publish(reply) => report(described, reply),
+        ReplyBody::Publish(reply) => report(line, reply),
         _ => Err(unexpected_reply(&body)),
     }
 }
@@ -43,7 +43,7 @@
         }
         PublishReply::Conflict { winner } => (
             line.field("result", "conflict").field("winner", winner),
-            "another bundle holds this version",
+            "another bundle has this version",
         ),
         PublishReply::Outdated { current } => (
             line.field("result", "outdated").field("current", current),
@@ -71,7 +71,7 @@
 
 pub async fn status(query: &ControlQuery) -> Result<(), CommandError> {
     let body = RequestBody::BundleStatus;
-    let reply = ask(&query.control.0, &body, query.timeout.0).await?;
+    let reply = send_request(&query.control.0, &body, query.timeout.0).await?;
     let ReplyBody::BundleStatus(signed) = reply else {
         return Err(unexpected_reply(&body));
     };
--- a/crates/bramblewheel/src/commands/replay.rs
+++ b/crates/bramblewheel/src/commands/replay.rs
@@ -1,4 +1,4 @@
-//! `replay`: a recorded trace against its stated outcomes.
+//! `replay`: replays a recorded trace and compares the outcomes with the stated ones.
 
 use crate::error::CommandError;
 use crate::options::ReplayTrace;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Files that a trace names stand relative to it.
+/// Reads a trace; the paths of files named in it are relative to its folder.
 fn load(path: &Path) -> Result<Trace, CommandError> {
     let text = fs::read_to_string(path).map_err(|error| CommandError::file(path, error))?;
     let folder = path.parent().unwrap_or(Path::new(""));
--- a/crates/bramblewheel/src/error.rs
+++ b/crates/bramblewheel/src/error.rs
@@ -1,4 +1,4 @@
-//! How a command can fail, and the exit status that says so to a script.
+//! Command errors and exit statuses.
 
 use bramblewheel_bundle::BundleError;
 use bramblewheel_protocol::RequestError;
@@ -6,18 +6,18 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Exit statuses; part of the program's interface, see `bramblewheel --help`.
+/// Exit statuses; they are part of the program's interface, see `bramblewheel --help`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     Success = 0,
-    /// Refused, or a check failed.
+    /// The command was refused, or a check failed.
     Refused = 1,
-    /// The command line or an input file is wrong.
+    /// The command line or an input file is invalid.
     BadInput = 2,
     /// No control replica could answer; nothing was changed.
     Unreachable = 3,
-    /// Whether the change was made is not known; the same command may be given again.
+    /// The change may have been made; the same command can be repeated.
     Undecided = 4,
 }
 
@@ -27,28 +27,28 @@
     }
 }
 
-/// A command failed; the text is for people, the status for scripts.
+/// Error of a command: the text is for operators, the exit status for scripts.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// Refused, or a check failed.
+    /// The command was refused, or a check failed.
     #[error("{0}")]
     Refused(String),
-    /// The command line or an input file is wrong.
+    /// The command line or an input file is invalid.
     #[error("{0}")]
     BadInput(String),
-    /// A bundle's text is wrong.
+    /// A bundle's text is invalid.
     #[error(transparent)]
     Bundle(#[from] BundleError),
     /// No control replica could answer; nothing was changed.
     #[error("{0}")]
     Unreachable(String),
-    /// Whether the change was made is not known.
+    /// The change may have been made.
     #[error("{0}; give the same command again")]
     Undecided(String),
 }
 
 impl CommandError {
-    /// The exit status for this error.
+    /// Exit status for this error.
     pub const fn status(&self) -> ExitStatus {
         match self {
             Self::Refused(_) => ExitStatus::Refused,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// An input or output file can't be used.
+    /// Error for an input or output file that can't be used.
     pub fn file(path: &Path, error: impl std::fmt::Display) -> Self {
         Self::BadInput(format!("{}: {error}", path.display()))
     }
--- a/crates/bramblewheel/src/explain/cause.rs
+++ b/crates/bramblewheel/src/explain/cause.rs
@@ -1,98 +1,98 @@
-//! The cause of a request's end, from its lines.
+//! Derives the cause of a request's outcome from its log lines.
 
 use super::{LogLine, Timeline};
 use std::fmt;
 
-/// Why a request ended as it did.
+/// Cause of a request's outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// No line speaks of it.
+    /// No log line shows the cause.
     Unknown,
-    /// Its daemon refused it before anything else, for this reason.
+    /// Its daemon refused it on arrival.
     NotReady {
-        /// The reason, such as that it knew no configuration yet.
+        /// The reason, such as that the daemon had no configuration yet.
         reason: String,
     },
-    /// It had no key that a tenant holds.
+    /// It had no key of a tenant.
     Unauthorized {
-        /// What was wrong with its key.
+        /// The problem with its key.
         reason: String,
-        /// Version of the table.
+        /// Version of the route table.
         table: String,
     },
     /// Its tenant had used up its quota.
     OverQuota {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
-        /// Requests a second that it may ask for.
+        /// Requests per second that the quota allows.
         rate: String,
-        /// Requests that all daemons had let in within the window.
-        let_in: String,
-        /// Part of its requests that was let in.
-        part: String,
+        /// Requests that all daemons had admitted within the window.
+        admitted: String,
+        /// Share of its requests that was admitted.
+        admitted_share: String,
     },
-    /// Endpoints ended under its content, so that it was kept from them.
+    /// Its content was quarantined, since endpoints had crashed while they ran it.
     Quarantined {
-        /// Its content.
+        /// Digest of the content.
         content: String,
-        /// Starts of endpoints that ended, as far as they are counted.
-        ends: String,
+        /// Number of endpoint incarnations that crashed, as far as they are counted.
+        crashes: String,
     },
-    /// Its daemon stops and refuses callers: refused before it ran.
+    /// Refused before it was executed, since its daemon was stopping.
     Stopping,
-    /// It was at an endpoint when its daemon had to end.
+    /// It was still running at an endpoint when its daemon had to exit.
     OutlastsStop,
-    /// The end of its daemon cut it off.
+    /// It was cut off when its daemon exited.
     CutOff {
-        /// How far it was.
+        /// Stage that the request had reached.
         stage: String,
-        /// How long it had been there, in milliseconds.
+        /// Time since its arrival, in milliseconds.
         after_ms: String,
     },
-    /// A run that is itself a repeat made it, and the bound on repeats was used up.
-    CallOfRepeat {
-        /// The service that it was for.
+    /// A retried run made it as a call, and the bound on retries was used up.
+    CallOfRetriedRun {
+        /// Service that was called.
         service: String,
     },
-    /// No route in force fits it.
+    /// No route in force matches it.
     NoRoute {
-        /// Version of the table.
+        /// Version of the route table.
         table: String,
     },
-    /// Its caller went away.
-    CallerLeft,
-    /// No endpoint had room: refused before it ran.
+    /// Its caller disconnected.
+    CallerDisconnected,
+    /// Refused before it was executed, since no endpoint had capacity.
     Overload {
-        /// Endpoint that refused last.
+        /// Endpoint of the last refusal.
         endpoint: String,
-        /// Its load, if its daemon said so.
+        /// Load of that endpoint, if its daemon logged it.
         load: Option<String>,
     },
-    /// Its caller's daemon refused it, since endpoints had no room for its like.
+    /// The caller's daemon refused it early, since endpoints lacked capacity for its class of requests.
     RefusedEarly {
-        /// Part of the route's requests that was refused so.
-        part: String,
-        /// Service deeper down that was short, if it was not the one that the request goes to.
-        short: Option<String>,
+        /// Share of the class's requests that was refused early.
+        refused_share: String,
+        /// Downstream service without capacity, if it is not the request's own service.
+        short_service: Option<String>,
     },
-    /// Endpoints were leaving, or not reached.
+    /// Endpoints were draining or could not be reached.
     NoEndpoint {
-        /// What the last attempt met.
+        /// Result of the last attempt.
         result: String,
     },
-    /// The endpoint may have run it, and its answer is lost.
+    /// The endpoint may have executed it, but the answer was lost.
     AnswerLost {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
-        /// What broke, if its daemon said so.
-        broken: Option<String>,
+        /// Part of the exchange that failed, if its daemon logged it.
+        failed_part: Option<String>,
     },
-    /// The endpoint answered with an error of its own.
+    /// The endpoint answered with an error.
     EndpointFailed {
-        /// Service that was short for a call that the endpoint made, if that was the reason.
-        short: Option<String>,
+        /// Service without capacity for a call that the endpoint made, if that was the reason.
+        short_service: Option<String>,
     },
-    /// The time was over.
+    /// Its time-out expired.
     TimedOut,
 }
 
@@ -100,7 +100,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unknown => formatter.write_str(
-                "no line tells: it was answered with success, was not read, or its lines are missing",
+                "no log line shows it: the request succeeded, was never read, or its lines are missing",
             ),
             Self::NotReady { reason } => write!(formatter, "refused at once: {reason}"),
             Self::Unauthorized { reason, table } => {
@@ -109,114 +109,118 @@
             Self::OverQuota {
                 tenant,
                 rate,
-                let_in,
-                part,
+                admitted,
+                admitted_share,
             } => write!(
                 formatter,
-                "over the quota of {tenant} ({rate} a second, {let_in} let in), {part} of its requests let in"
+                "over the quota of {tenant} ({rate} a second, {admitted} let in), \
+                 {admitted_share} of its requests let in"
             ),
-            Self::Quarantined { content, ends } => write!(
+            Self::Quarantined { content, crashes } => write!(
                 formatter,
-                "kept from endpoints: {ends} of them ended while they ran its content {content}"
+                "kept from endpoints: {crashes} of them ended while they ran its content {content}"
             ),
             Self::Stopping => formatter.write_str("refused at once: its daemon stops"),
             Self::OutlastsStop => {
-                formatter.write_str("an endpoint was at work on it when its daemon had to end")
+                formatter.write_str("an endpoint was still running it when its daemon had to exit")
             }
             Self::CutOff { stage, after_ms } => write!(
                 formatter,
-                "cut off by the end of its daemon after {after_ms} ms ({stage})"
+                "cut off after {after_ms} ms ({stage}) when its daemon exited"
             ),
-            Self::CallOfRepeat { service } => write!(
+            Self::CallOfRetriedRun { service } => write!(
                 formatter,
-                "a repeated run made it, and the bound on repeats at {service} was used up"
+                "a retried run made this call, and the bound on retries at {service} was used up"
             ),
             Self::NoRoute { table } => write!(formatter, "no route in table {table}"),
-            Self::CallerLeft => formatter.write_str("its caller went away"),
+            Self::CallerDisconnected => formatter.write_str("its caller disconnected"),
             Self::Overload { endpoint, load } => {
                 write!(formatter, "no room, last at {endpoint}")?;
                 load.iter().try_for_each(|load| write!(formatter, " ({load})"))
             }
-            Self::RefusedEarly { part, short } => {
+            Self::RefusedEarly { refused_share, short_service } => {
                 write!(formatter, "no room for its like")?;
-                short.iter().try_for_each(|short| write!(formatter, " at {short}"))?;
-                write!(formatter, ", {part} of them refused early")
+                short_service.iter().try_for_each(|service| write!(formatter, " at {service}"))?;
+                write!(formatter, ", {refused_share} of them refused early")
             }
             Self::NoEndpoint { result } => write!(formatter, "no endpoint took it: {result}"),
-            Self::AnswerLost { endpoint, broken } => {
+            Self::AnswerLost { endpoint, failed_part } => {
                 write!(formatter, "the answer of {endpoint} was lost")?;
-                broken.iter().try_for_each(|what| write!(formatter, " ({what})"))
+                failed_part.iter().try_for_each(|part| write!(formatter, " ({part})"))
             }
-            Self::EndpointFailed { short } => {
+            Self::EndpointFailed { short_service } => {
                 formatter.write_str("the endpoint answered with an error")?;
-                let no_room = |short| write!(formatter, ": a call found no room at {short}");
-                short.iter().try_for_each(no_room)
+                let write_service = |service| write!(formatter, ": a call found no room at {service}");
+                short_service.iter().try_for_each(write_service)
             }
-            Self::TimedOut => formatter.write_str("its time was over"),
+            Self::TimedOut => formatter.write_str("its time-out expired"),
         }
     }
 }
 
 impl Timeline {
-    /// Why the request ended as it did.
+    /// Cause of the request's outcome.
     pub fn cause(&self) -> Cause {
         let has = |event: &str| self.lines.iter().any(|line| line.event() == event);
         if let Some(line) = self.last("cut off by the stop") {
             return Cause::CutOff {
-                stage: text(line, "stage"),
-                after_ms: text(line, "after_ms"),
+                stage: value_or_unknown(line, "stage"),
+                after_ms: value_or_unknown(line, "after_ms"),
             };
         }
         if has("caller went away") {
-            return Cause::CallerLeft;
+            return Cause::CallerDisconnected;
         }
         if let Some(line) = self.last("request refused") {
-            let reason = text(line, "reason");
+            let reason = value_or_unknown(line, "reason");
             return Cause::NotReady { reason };
         }
         if let Some(line) = self.last("unauthorized") {
             return Cause::Unauthorized {
-                reason: text(line, "reason"),
-                table: text(line, "table"),
+                reason: value_or_unknown(line, "reason"),
+                table: value_or_unknown(line, "table"),
             };
         }
         if let Some(line) = self.last("over quota") {
             return Cause::OverQuota {
-                tenant: text(line, "tenant"),
-                rate: text(line, "rate"),
-                let_in: text(line, "let_in"),
-                part: text(line, "part"),
+                tenant: value_or_unknown(line, "tenant"),
+                rate: value_or_unknown(line, "rate"),
+                admitted: value_or_unknown(line, "let_in"),
+                admitted_share: value_or_unknown(line, "part"),
             };
         }
         if let Some(line) = self.last("quarantined") {
             return Cause::Quarantined {
-                content: text(line, "content"),
-                ends: text(line, "ends"),
+                content: value_or_unknown(line, "content"),
+                crashes: value_or_unknown(line, "ends"),
             };
         }
         if let Some(line) = self.last("call of a repeated run refused") {
-            let service = text(line, "service");
-            return Cause::CallOfRepeat { service };
+            let service = value_or_unknown(line, "service");
+            return Cause::CallOfRetriedRun { service };
         }
         if let Some(line) = self.last("no route") {
-            let table = text(line, "table");
+            let table = value_or_unknown(line, "table");
             return Cause::NoRoute { table };
         }
         if let Some(line) = self.last("refused early") {
-            let part = text(line, "refused_part");
-            let short = short_service(line);
-            return Cause::RefusedEarly { part, short };
+            let refused_share = value_or_unknown(line, "refused_part");
+            let short_service = short_service(line);
+            return Cause::RefusedEarly {
+                refused_share,
+                short_service,
+            };
         }
         let ended = self.last("request ended");
         match ended.and_then(|line| line.value("outcome")) {
             Some("failed") => {
-                let short = ended.and_then(short_service);
-                Cause::EndpointFailed { short }
+                let short_service = ended.and_then(short_service);
+                Cause::EndpointFailed { short_service }
             }
             Some("timed-out") => Cause::TimedOut,
             Some("stopping") => Cause::Stopping,
             Some("outlasts-stop") => Cause::OutlastsStop,
-            _ => self.cause_of_attempt(),
+            _ => self.cause_of_last_attempt(),
         }
     }
 
@@ -224,8 +228,8 @@
         self.lines.iter().rfind(|line| line.event() == event)
     }
 
-    /// The last attempt decides when no answer came.
-    fn cause_of_attempt(&self) -> Cause {
+    /// Cause from the last attempt, which determines the outcome when there was no answer.
+    fn cause_of_last_attempt(&self) -> Cause {
         let Some(attempt) = self.last("attempt failed") else {
             if self.last("no endpoint").is_some() {
                 let result = "none is known".to_owned();
@@ -233,21 +237,30 @@
             }
             return Cause::Unknown;
         };
-        let endpoint = text(attempt, "endpoint");
-        let at_endpoint = |event: &str| {
+        let endpoint = value_or_unknown(attempt, "endpoint");
+        let last_at_endpoint = |event: &str| {
             let mut lines = self.lines.iter();
             lines.rfind(|line| line.event() == event && line.value("endpoint") == Some(&endpoint))
         };
         match attempt.value("result").unwrap_or_default() {
-            "failed" => Cause::EndpointFailed { short: None },
+            "failed" => Cause::EndpointFailed {
+                short_service: None,
+            },
             "lost" | "silent" => {
-                let broken = at_endpoint("answer lost").map(|line| text(line, "broken"));
-                Cause::AnswerLost { endpoint, broken }
+                let failed_part =
+                    last_at_endpoint("answer lost").map(|line| value_or_unknown(line, "broken"));
+                Cause::AnswerLost {
+                    endpoint,
+                    failed_part,
+                }
             }
             "full" | "rejected" => {
-                let load = at_endpoint("not admitted").map(|line| {
-                    let limits = (text(line, "limit"), text(line, "route_limit"));
-                    let busy = text(line, "busy");
+                let load = last_at_endpoint("not admitted").map(|line| {
+                    let limits = (
+                        value_or_unknown(line, "limit"),
+                        value_or_unknown(line, "route_limit"),
+                    );
+                    let busy = value_or_unknown(line, "busy");
                     format!(
                         "busy {busy} of {}, its route limited to {}",
                         limits.0, limits.1
@@ -262,12 +275,13 @@
     }
 }
 
-/// The service that was short, if the line names one.
+/// Service without capacity, if the line names one.
 fn short_service(line: &LogLine) -> Option<String> {
-    let named = line.value("short").filter(|name| !name.is_empty());
-    named.map(str::to_owned)
+    let name = line.value("short").filter(|name| !name.is_empty());
+    name.map(str::to_owned)
 }
 
-fn text(line: &LogLine, key: &str) -> String {
+/// Value of a key, or `?` if the line does not have it.
+fn value_or_unknown(line: &LogLine, key: &str) -> String {
     line.value(key).unwrap_or("?").to_owned()
 }
--- a/crates/bramblewheel/src/explain/line.rs
+++ b/crates/bramblewheel/src/explain/line.rs
@@ -1,24 +1,24 @@
-//! One line of a log: key=value pairs.
+//! Parses log lines of key=value pairs.
 
-/// Marks the first pair of a line; what stands before it was put there by whoever gathered the log.
+/// Key of the first pair of a line. Text before it was added when the logs were collected.
 const FIRST_KEY: &str = "level=";
 
-/// One line of a log.
+/// A log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// Process that wrote it.
+    /// Process that wrote the line.
     pub process: String,
     pairs: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads a line; `None` if it is not one of the product's. The process is the word before the
-    /// line's own text, if there is one, and the log's name otherwise.
+    /// Parses a line; `None` if it is not a log line of bramblewheel. The process is the last word before the
+    /// first key, if there is one, and the name of the log otherwise.
     pub fn parse(log: &str, line: &str) -> Option<Self> {
         let start = line.find(FIRST_KEY)?;
-        let before = line[..start].split_whitespace().last();
+        let prefix = line[..start].split_whitespace().last();
         Some(Self {
-            process: before.unwrap_or(log).to_owned(),
+            process: prefix.unwrap_or(log).to_owned(),
             pairs: pairs(&line[start..]),
         })
     }
@@ -29,18 +29,18 @@
         pair.map(|(_, value)| value.as_str())
     }
 
-    /// What happened.
+    /// Message of the line.
     pub fn event(&self) -> &str {
         self.value("msg").unwrap_or_default()
     }
 
-    /// When it was written, in milliseconds since the Unix epoch.
+    /// Time of the line, in milliseconds since the Unix epoch.
     pub fn at_millis(&self) -> Option<u64> {
         self.value("at")?.parse().ok()
     }
 
-    /// Lines that the process says it left out.
-    pub fn left_out(&self) -> u64 {
+    /// Number of lines that the process omitted, if this line reports it, otherwise 0.
+    pub fn omitted_lines(&self) -> u64 {
         if self.event() != "lines left out" {
             return 0;
         }
@@ -48,7 +48,7 @@
         count.unwrap_or_default()
     }
 
-    /// The pairs but for the event, its time and the request's id, as they were written.
+    /// All pairs except level, message, time and the request's id, in their order.
     pub fn details(&self) -> String {
         let shown =
             |(key, _): &&(String, String)| !matches!(key.as_str(), "level" | "msg" | "at" | "id");
@@ -58,7 +58,7 @@
     }
 }
 
-/// Splits a line into pairs; values with blanks stand in quotes.
+/// Splits a line into pairs; values may be quoted.
 fn pairs(text: &str) -> Vec<(String, String)> {
     let mut pairs = Vec::new();
     let mut rest = text.trim();
@@ -76,7 +76,7 @@
     pairs
 }
 
-/// Reads up to the closing quote; returns the value and what follows.
+/// Reads up to the closing quote; returns the value and the remaining text.
 fn unquote(text: &str) -> (String, &str) {
     let mut value = String::new();
     let mut characters = text.char_indices();
--- a/crates/bramblewheel/src/explain/mod.rs
+++ b/crates/bramblewheel/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! From the logs of several processes to one request's timeline and its cause.
+//! Builds the timeline of one request from the logs of several processes and finds the cause of its outcome.
 
 mod cause;
 mod line;
@@ -6,28 +6,31 @@
 
 pub use line::LogLine;
 
-/// What the logs say of one request.
+/// Log lines of one request.
 #[derive(Debug)]
 pub struct Timeline {
-    /// The request's lines, in the order of their times.
+    /// The request's lines, ordered by time.
     pub lines: Vec<LogLine>,
-    /// Lines that the processes left out for their rate; some of the request's may be among them.
-    pub left_out: u64,
+    /// Lines of any request that the processes omitted because of rate limits; this request's may be among them.
+    pub omitted_lines: u64,
 }
 
-/// Gathers the lines of the request `id` from logs: name of the log, and its text.
+/// Collects the lines of the request `id` from `logs`, which are pairs of a log's name and text.
 pub fn gather<'a>(id: &str, logs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Timeline {
     let mut lines = Vec::new();
-    let mut left_out = 0;
+    let mut omitted_lines = 0;
     for (name, text) in logs {
         for line in text.lines().filter_map(|line| LogLine::parse(name, line)) {
-            left_out += line.left_out();
+            omitted_lines += line.omitted_lines();
             if line.value("id") == Some(id) {
                 lines.push(line);
             }
         }
     }
-    // Lines without a time stay in the order of their log.
+    // The sort is stable: lines without a time sort first, in the order of their log.
     lines.sort_by_key(|line| line.at_millis().unwrap_or_default());
-    Timeline { lines, left_out }
+    Timeline {
+        lines,
+        omitted_lines,
+    }
 }
--- a/crates/bramblewheel/src/files.rs
+++ b/crates/bramblewheel/src/files.rs
@@ -1,4 +1,4 @@
-//! Bundles, signed bundles and key files on disk.
+//! Reads and writes bundles, signed bundles and key files.
 
 use crate::error::CommandError;
 use crate::output::print;
@@ -10,23 +10,23 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// Largest signed bundle: the bundle with all signatures that are ever looked at.
+/// Maximum length of a signed bundle, in bytes.
 const MAX_SIGNED_LENGTH: usize = codec::MAX_CONTROL_FRAME;
-/// Permissions of a key file: its owner alone may read and write it.
+/// Permissions of a key file: only its owner may read and write it.
 const KEY_FILE_MODE: u32 = 0o600;
 
-/// A bundle with its signed form, which has no signatures if it was read from text.
+/// A bundle and its signed form, which has no signatures if the bundle was read from text.
 pub struct LoadedBundle {
-    /// The checked bundle.
+    /// The validated bundle.
     pub bundle: Bundle,
-    /// The bundle as it is published.
+    /// The bundle in the form in which it is published.
     pub signed: SignedBundle,
 }
 
-/// Reads a bundle, as an operator's text or signed.
+/// Reads a bundle, either as TOML or signed.
 ///
 /// # Errors
-/// [`CommandError::BadInput`] or [`CommandError::Bundle`] when the file is not an acceptable one.
+/// [`CommandError::BadInput`] or [`CommandError::Bundle`] when the file is not a valid bundle.
 pub fn load(path: &Path) -> Result<LoadedBundle, CommandError> {
     let bytes = fs::read(path).map_err(|error| CommandError::file(path, error))?;
     match codec::decode::<SignedBundle>(&bytes) {
@@ -38,7 +38,7 @@
 /// Reads a signed bundle.
 ///
 /// # Errors
-/// [`CommandError::BadInput`] when the file is not an acceptable one.
+/// [`CommandError::BadInput`] when the file is not a valid signed bundle.
 pub fn load_signed(path: &Path) -> Result<LoadedBundle, CommandError> {
     let bytes = fs::read(path).map_err(|error| CommandError::file(path, error))?;
     let signed = codec::decode::<SignedBundle>(&bytes)
@@ -54,7 +54,7 @@
 
 fn from_text(path: &Path, bytes: Vec<u8>) -> Result<LoadedBundle, CommandError> {
     let text = String::from_utf8(bytes)
-        .map_err(|_| CommandError::file(path, "neither a signed bundle nor text in UTF-8"))?;
+        .map_err(|_| CommandError::file(path, "neither a signed bundle nor UTF-8 text"))?;
     let bundle = parse(&path.display().to_string(), &text)?;
     let bytes = canonical::encode(&bundle);
     if bytes.len() > canonical::MAX_BUNDLE_LENGTH {
@@ -71,7 +71,7 @@
     Ok(LoadedBundle { bundle, signed })
 }
 
-/// Writes a signed bundle in one step: a reader finds the old file or the new one, whole.
+/// Writes a signed bundle atomically: a reader sees either the complete old file or the complete new one.
 ///
 /// # Errors
 /// [`CommandError::BadInput`] when the file can't be written.
@@ -92,7 +92,7 @@
     fs::rename(&temporary, path)
 }
 
-/// Writes text to a file that must not exist, or to standard output.
+/// Writes text to a file, which must not exist, or to standard output.
 ///
 /// # Errors
 /// [`CommandError::BadInput`] when the file exists or can't be written.
--- a/crates/bramblewheel/src/help.rs
+++ b/crates/bramblewheel/src/help.rs
@@ -1,4 +1,4 @@
-//! Help pages: usage, options, examples and exit statuses, for the program and each command.
+//! Help pages of the program and each command: usage, options, examples and exit statuses.
 
 use crate::error::CommandError;
 use crate::options::{
@@ -9,7 +9,7 @@
 use crate::output;
 use gumdrop::Options;
 
-/// Follows every page.
+/// Text at the end of every page.
 const EXIT_STATUS: &str = "\
 Exit status:
   0  done
@@ -20,17 +20,17 @@
 
 /// One help page.
 struct Page {
-    /// Words of the command.
+    /// Names of the command and its groups, such as `bundle sign`.
     path: &'static [&'static str],
-    /// Arguments after the words.
+    /// Arguments of the command.
     arguments: &'static str,
     /// What the command does.
     about: &'static str,
     /// Options, as gumdrop lists them.
     options: fn() -> &'static str,
-    /// Commands below, as gumdrop lists them.
+    /// Subcommands, as gumdrop lists them.
     commands: fn() -> Option<&'static str>,
-    /// Examples, one a line.
+    /// Example command lines.
     examples: &'static [&'static str],
 }
 
@@ -69,7 +69,7 @@
         NewBundle,
         ["bundle", "new"],
         "--deployment NAME --service NAME --operator NAME=KEY [OPTIONS]",
-        "Write a bundle to begin with: version 1, the default of every value, no routes.",
+        "Write an initial bundle: version 1, default values, no routes.",
         &[
             "bramblewheel bundle new --deployment torgnett --service kassa \\\n      \
            --operator anna=13ca...f17b --out torgnett.toml"
@@ -80,7 +80,7 @@
         ["bundle", "check"],
         "FILE [OPTIONS]",
         "Check a bundle. Prints every finding as FILE:LINE:COLUMN: KEY: PROBLEM, and with\n\
-         --against a warning for each dangerous change of meaning.",
+         --against a warning for each dangerous change.",
         &[
             "bramblewheel bundle check torgnett.toml",
             "bramblewheel bundle check new.toml --against old.signed --deny-warnings"
@@ -90,8 +90,8 @@
         DiffBundles,
         ["bundle", "diff"],
         "BEFORE AFTER",
-        "Show what differs between two bundles, one key a line: + new, - gone, ~ changed.\n\
-         Warnings of dangerous changes of meaning follow.",
+        "Show the differences between two bundles, one key per line: + new, - removed, ~ changed.\n\
+         Warnings of dangerous changes follow.",
         &["bramblewheel bundle diff old.signed new.toml"]
     ),
     page!(
@@ -99,7 +99,7 @@
         ["bundle", "sign"],
         "FILE --key FILE --out FILE",
         "Add an operator's signature to a bundle. Operators sign one after another, each adding\n\
-         to the same signed bundle; a signed bundle of other content is never overwritten.",
+         to the same signed bundle; a signed bundle with other content is never overwritten.",
         &[
             "bramblewheel bundle sign torgnett.toml --key anna.key --out torgnett.signed",
             "bramblewheel bundle sign torgnett.signed --key bjorn.key --out torgnett.signed"
@@ -109,8 +109,8 @@
         PublishBundle,
         ["bundle", "publish"],
         "SIGNED --control ADDR[,ADDR] [OPTIONS]",
-        "Roll a signed bundle out. Replicas are tried in turn and the bundle is sent again when\n\
-         an answer is lost; a bundle that was already accepted is accepted again.",
+        "Roll out a signed bundle. Replicas are tried in turn, and the bundle is sent again when a\n\
+         reply is lost; publishing a bundle that was already accepted succeeds.",
         &["bramblewheel bundle publish torgnett.signed --control 10.0.0.1:7100,10.0.0.2:7100"]
     ),
     page!(
@@ -124,51 +124,51 @@
         KeysArguments,
         ["keys"],
         "COMMAND",
-        "Make operator keys.",
+        "Generate operator keys.",
         &["bramblewheel keys new anna --out anna.key"]
     ),
     page!(
         NewKey,
         ["keys", "new"],
         "NAME --out FILE",
-        "Draw a new Ed25519 key pair. The key file is readable by its owner alone; the public\n\
-         key is printed, for the bundle's [[operators.key]].",
+        "Generate an Ed25519 key pair. Only the owner can read the key file; the public key is\n\
+         printed, for the bundle's [[operators.key]].",
         &["bramblewheel keys new anna --out anna.key"]
     ),
     page!(
         FleetArguments,
         ["fleet"],
         "COMMAND",
-        "Look at the daemons.",
+        "Show the daemons.",
         &["bramblewheel fleet status --control 10.0.0.1:7100"]
     ),
     page!(
         ControlQuery,
         ["fleet", "status"],
         "--control ADDR[,ADDR] [OPTIONS]",
-        "Show each registered daemon, the bundle it has in force and how long it was silent.",
+        "Show each registered daemon, its bundle version and the time since its last contact.",
         &["bramblewheel fleet status --control 10.0.0.1:7100"]
     ),
     page!(
         ControlArguments,
         ["control"],
         "COMMAND",
-        "Look at, start and repair the control group.",
+        "Show, start and repair the control group.",
         &["bramblewheel control status --control 10.0.0.1:7100,10.0.0.2:7100"]
     ),
     page!(
         ControlQuery,
         ["control", "status"],
         "--control ADDR[,ADDR] [OPTIONS]",
-        "Ask each replica listed for its view of the group, one line each.",
+        "Show the state of the group as each listed replica reports it, one line per replica.",
         &["bramblewheel control status --control 10.0.0.1:7100,10.0.0.2:7100"]
     ),
     page!(
         BootstrapGroup,
         ["control", "bootstrap"],
         "--replica ADDR --replica ADDR ... --bundle SIGNED [OPTIONS]",
-        "Start a control group from replicas with empty data folders. The first bundle fixes\n\
-         which operators may sign the next. Safe to give again after a failure; a replica that\n\
+        "Start a control group from replicas with empty data folders. The first bundle determines\n\
+         which operators may sign the next. Can be repeated after a failure; a replica that\n\
          belongs to another group is refused.",
         &[
             "bramblewheel control bootstrap --replica 10.0.0.1:7100 --replica 10.0.0.2:7100 \\\n      \
@@ -179,7 +179,7 @@
         ReplaceReplica,
         ["control", "replace"],
         "--control ADDR[,ADDR] --lost ID --with ADDR [OPTIONS]",
-        "Replace a lost replica by one with an empty data folder.",
+        "Replace a lost replica with one that has an empty data folder.",
         &[
             "bramblewheel control replace --control 10.0.0.1:7100,10.0.0.2:7100 \\\n      \
            --lost 00c0ffee00c0ffee --with 10.0.0.4:7100"
@@ -189,10 +189,10 @@
         ReplayTrace,
         ["replay"],
         "TRACE [OPTIONS]",
-        "Replay a recorded trace through the real engines under virtual time, and compare what\n\
-         happens with the outcomes that the trace states. Prints a line for each that differs,\n\
-         with the id of the request, then the verdict. The same trace gives the same verdict.\n\
-         A trace that can't be used is reported as FILE:LINE: FIELD: PROBLEM.",
+        "Replay a recorded trace through the real engines in virtual time, and compare the outcomes\n\
+         with those stated in the trace. Prints a line with the id of the request for each\n\
+         difference, then the verdict. The same trace always gives the same verdict.\n\
+         An invalid trace is reported as FILE:LINE: FIELD: PROBLEM.",
         &[
             "bramblewheel replay examples/traces/torgnett-surge.toml",
             "bramblewheel replay incident.toml --report verdict.txt"
@@ -202,9 +202,9 @@
         ExplainRequest,
         ["explain"],
         "REQUEST-ID FILE...",
-        "Gather what the logs of several processes say of one request into one timeline, and say\n\
-         why the request ended as it did. Requests that were answered with success are counted in\n\
-         the metrics and have no lines. Lines that processes left out for their rate are counted.",
+        "Merge the log lines of one request from several processes into one timeline, and show the\n\
+         cause of its outcome. Successful requests are counted in the metrics and have no log\n\
+         lines. Lines that processes left out because of rate limits are counted.",
         &[
             "bramblewheel explain 9c41d07be2a35f68 kassa-1.log gateway-1.log",
             "bramblewheel explain 9c41d07be2a35f68 all-machines.log"
@@ -214,9 +214,9 @@
         RetryBoundLogs,
         ["retry-bound"],
         "FILE...",
-        "Add up what all daemons used of the bound on repeats, for each service and second, and show\n\
-         for each service the moment at which the largest part was used, and by which processes.\n\
-         From 1.00 on the daemons' own parts are used up; the bound itself is somewhat wider.",
+        "Add up the use of the bound on retries over all daemons, by service and second, and show for\n\
+         each service the second with the highest use and the processes that used most. At 1.00\n\
+         the daemons' own shares are used up; the bound itself is somewhat higher.",
         &["bramblewheel retry-bound all-machines.log"]
     ),
 ];
@@ -251,38 +251,38 @@
     PAGES.iter().find(|page| page.path == path)
 }
 
-/// The command that `help` is asked for, as in `help bundle sign` or `bundle help sign`.
-pub fn path_asked_for(arguments: &[String]) -> Option<Vec<String>> {
+/// Path of the command whose help is requested, as in `help bundle sign` or `bundle help sign`.
+pub fn requested_path(arguments: &[String]) -> Option<Vec<String>> {
     let position = arguments.iter().position(|word| word == "help")?;
     let (before, after) = (&arguments[..position], &arguments[position + 1..]);
-    let below_commands = page(before).is_some_and(|page| (page.commands)().is_some());
-    below_commands.then(|| [before, after].concat())
+    let has_subcommands = page(before).is_some_and(|page| (page.commands)().is_some());
+    has_subcommands.then(|| [before, after].concat())
 }
 
-/// Words of the command that the command line begins with.
-pub fn path_of(arguments: &[String]) -> Vec<String> {
+/// Path of the command at the beginning of the command line; empty if there is none.
+pub fn command_path(arguments: &[String]) -> Vec<String> {
     let lengths = (0..=arguments.len()).rev();
     let mut paths = lengths.map(|length| &arguments[..length]);
     let path = paths.find(|path| page(path).is_some());
     path.unwrap_or_default().to_vec()
 }
 
-/// Prints the page of a command.
+/// Prints the help page of a command.
 ///
 /// # Errors
 /// [`CommandError::BadInput`] when there is no such command.
 pub fn print(path: &[String]) -> Result<(), CommandError> {
     let Some(page) = page(path) else {
-        let text = format!("bramblewheel: no command `{}`", path.join(" "));
+        let text = format!("bramblewheel: unknown command `{}`", path.join(" "));
         return Err(CommandError::BadInput(text));
     };
     output::print(&page.text());
     Ok(())
 }
 
-/// An error in the command line, with the usage of the command it concerns.
+/// Error for an invalid command line, with the usage of the command.
 pub fn usage_error(error: &str, arguments: &[String]) -> CommandError {
-    let page = page(&path_of(arguments)).unwrap_or(&PAGES[0]);
+    let page = page(&command_path(arguments)).unwrap_or(&PAGES[0]);
     let (words, usage) = (page.words(), page.arguments);
     CommandError::BadInput(format!(
         "bramblewheel: {error}\nUsage: {words} {usage}\nSee `{words} --help`."
--- a/crates/bramblewheel/src/main.rs
+++ b/crates/bramblewheel/src/main.rs
@@ -1,4 +1,4 @@
-//! The operator's command line.
+//! Command-line tool for operators.
 
 mod commands;
 mod error;
@@ -26,13 +26,13 @@
 }
 
 fn run(arguments: &[String]) -> Result<(), CommandError> {
-    if let Some(path) = help::path_asked_for(arguments) {
+    if let Some(path) = help::requested_path(arguments) {
         return help::print(&path);
     }
     let parsed = Arguments::parse_args(arguments, ParsingStyle::AllOptions)
         .map_err(|error| help::usage_error(&error.to_string(), arguments))?;
     if parsed.help_requested() {
-        return help::print(&help::path_of(arguments));
+        return help::print(&help::command_path(arguments));
     }
     if parsed.version {
         output::print(concat!("bramblewheel ", env!("CARGO_PKG_VERSION"), "\n"));
--- a/crates/bramblewheel/src/options.rs
+++ b/crates/bramblewheel/src/options.rs
@@ -1,5 +1,5 @@
-//! The command line's arguments. What each command does stands in [`crate::help`], hence the empty
-//! descriptions here.
+//! Command-line arguments. The descriptions are empty here, since [`crate::help`] describes each
+//! command.
 
 use crate::values::{Addresses, NamedKey, ReplicaId, Seconds};
 use bramblewheel_types::{BundleDigest, ServiceName};
@@ -24,17 +24,17 @@
 pub enum Command {
     #[options(help = "write, check, sign and publish configuration bundles")]
     Bundle(BundleArguments),
-    #[options(help = "make operator keys")]
+    #[options(help = "generate operator keys")]
     Keys(KeysArguments),
-    #[options(help = "look at the daemons")]
+    #[options(help = "show the daemons")]
     Fleet(FleetArguments),
-    #[options(help = "look at, start and repair the control group")]
+    #[options(help = "show, start and repair the control group")]
     Control(ControlArguments),
-    #[options(help = "replay a recorded trace against its stated outcomes")]
+    #[options(help = "replay a recorded trace and compare the outcomes")]
     Replay(ReplayTrace),
-    #[options(help = "show what logs say of one request, and why it ended so")]
+    #[options(help = "show the log lines of one request and the cause of its outcome")]
     Explain(ExplainRequest),
-    #[options(help = "show how much of the bound on repeats a fleet used, by service, from logs")]
+    #[options(help = "show from logs how much of the bound on retries a fleet used, by service")]
     RetryBound(RetryBoundLogs),
 }
 
@@ -51,15 +51,15 @@
 /// Commands of `bundle`.
 #[derive(Debug, Options)]
 pub enum BundleCommand {
-    #[options(help = "write a bundle to begin with")]
+    #[options(help = "write an initial bundle")]
     New(NewBundle),
     #[options(help = "check a bundle and warn of dangerous changes")]
     Check(CheckBundle),
-    #[options(help = "show what differs between two bundles")]
+    #[options(help = "show the differences between two bundles")]
     Diff(DiffBundles),
     #[options(help = "add an operator's signature")]
     Sign(SignBundle),
-    #[options(help = "roll a signed bundle out")]
+    #[options(help = "roll out a signed bundle")]
     Publish(PublishBundle),
     #[options(help = "show the bundle in force")]
     Status(ControlQuery),
@@ -71,14 +71,14 @@
 pub struct NewBundle {
     #[options(help = "print help")]
     pub help: bool,
-    #[options(required, meta = "NAME", help = "deployment that the bundle is for")]
+    #[options(required, meta = "NAME", help = "name of the deployment")]
     pub deployment: String,
-    #[options(no_short, meta = "NAME", help = "service; give one for each")]
+    #[options(no_short, meta = "NAME", help = "service; can be repeated")]
     pub service: Vec<ServiceName>,
     #[options(
         no_short,
         meta = "NAME=KEY",
-        help = "operator and public key; give one for each"
+        help = "operator and public key; can be repeated"
     )]
     pub operator: Vec<NamedKey>,
     #[options(
@@ -103,7 +103,7 @@
     #[options(
         no_short,
         meta = "FILE",
-        help = "bundle before it, to warn of dangerous changes"
+        help = "previous bundle, to warn of dangerous changes"
     )]
     pub against: Option<PathBuf>,
     #[options(no_short, help = "fail if there is a warning")]
@@ -116,9 +116,9 @@
 pub struct DiffBundles {
     #[options(help = "print help")]
     pub help: bool,
-    #[options(free, required, help = "bundle before, as text or signed")]
+    #[options(free, required, help = "older bundle, as text or signed")]
     pub before: PathBuf,
-    #[options(free, required, help = "bundle after, as text or signed")]
+    #[options(free, required, help = "newer bundle, as text or signed")]
     pub after: PathBuf,
 }
 
@@ -128,7 +128,7 @@
 pub struct SignBundle {
     #[options(help = "print help")]
     pub help: bool,
-    #[options(free, required, help = "bundle, as text or signed by others")]
+    #[options(free, required, help = "bundle, as text or with signatures of others")]
     pub file: PathBuf,
     #[options(required, meta = "FILE", help = "operator's key file")]
     pub key: PathBuf,
@@ -159,12 +159,12 @@
     #[options(
         meta = "SECONDS",
         default = "20",
-        help = "longest time for all tries together"
+        help = "time-out for all attempts together"
     )]
     pub timeout: Seconds,
 }
 
-/// Arguments of the commands that ask the control group.
+/// Arguments of the commands that query the control group.
 #[derive(Debug, Options)]
 #[options(help = "")]
 pub struct ControlQuery {
@@ -179,7 +179,7 @@
     #[options(
         meta = "SECONDS",
         default = "10",
-        help = "longest time for all tries together"
+        help = "time-out for all attempts together"
     )]
     pub timeout: Seconds,
 }
@@ -197,7 +197,7 @@
 /// Commands of `keys`.
 #[derive(Debug, Options)]
 pub enum KeysCommand {
-    #[options(help = "draw a new key pair")]
+    #[options(help = "generate a key pair")]
     New(NewKey),
 }
 
@@ -243,7 +243,7 @@
 /// Commands of `control`.
 #[derive(Debug, Options)]
 pub enum ControlCommand {
-    #[options(help = "show each replica asked")]
+    #[options(help = "show the state of each replica")]
     Status(ControlQuery),
     #[options(help = "start a group from replicas with empty data folders")]
     Bootstrap(BootstrapGroup),
@@ -260,7 +260,7 @@
     #[options(
         no_short,
         meta = "ADDR",
-        help = "service address of a replica; give one for each"
+        help = "service address of a replica; can be repeated"
     )]
     pub replica: Vec<SocketAddr>,
     #[options(
@@ -270,11 +270,7 @@
         help = "first bundle, signed by its own operators"
     )]
     pub bundle: PathBuf,
-    #[options(
-        meta = "SECONDS",
-        default = "20",
-        help = "longest time for each replica"
-    )]
+    #[options(meta = "SECONDS", default = "20", help = "time-out for each replica")]
     pub timeout: Seconds,
 }
 
@@ -307,7 +303,7 @@
     #[options(
         meta = "SECONDS",
         default = "60",
-        help = "longest time for all tries together"
+        help = "time-out for all attempts together"
     )]
     pub timeout: Seconds,
 }
@@ -320,11 +316,7 @@
     pub help: bool,
     #[options(free, required, help = "trace, see docs/TRACES.md")]
     pub trace: PathBuf,
-    #[options(
-        no_short,
-        meta = "FILE",
-        help = "write what is printed to a file as well"
-    )]
+    #[options(no_short, meta = "FILE", help = "also write the output to a file")]
     pub report: Option<PathBuf>,
 }
 
@@ -336,7 +328,7 @@
     pub help: bool,
     #[options(free, required, help = "id of the request")]
     pub request: String,
-    #[options(free, help = "logs of the processes that it passed")]
+    #[options(free, help = "logs of the processes that handled it")]
     pub logs: Vec<PathBuf>,
 }
 
--- a/crates/bramblewheel/src/output.rs
+++ b/crates/bramblewheel/src/output.rs
@@ -1,9 +1,9 @@
-//! Lines of `key=value` pairs, for people and for scripts.
+//! Output in lines of `key=value` pairs, readable by operators and by scripts.
 
 use std::fmt::{self, Display, Write as _};
 use std::io::{self, Write as _};
 
-/// Writes text to standard output. A reader that has left, as `head` does, is no error.
+/// Writes text to standard output. A closed pipe is not an error, since `head` closes it early.
 pub fn print(text: &str) {
     let mut out = io::stdout().lock();
     let written = out.write_all(text.as_bytes()).and_then(|()| out.flush());
@@ -19,24 +19,25 @@
 pub struct Line(String);
 
 impl Line {
-    /// Adds a pair. A value that is empty or holds a space, a quote, `=` or a control character is
-    /// quoted.
+    /// Adds a pair. The value is quoted if it is empty or contains white space, `"`, `=`, `\\` or a control
+    /// character.
     pub fn field(mut self, key: &str, value: impl Display) -> Self {
         if !self.0.is_empty() {
             self.0.push(' ');
         }
         let value = value.to_string();
-        let plain = |c: char| !c.is_whitespace() && !c.is_control() && !"\"=\\".contains(c);
-        let written = if !value.is_empty() && value.chars().all(plain) {
+        let needs_no_quotes =
+            |c: char| !c.is_whitespace() && !c.is_control() && !"\"=\\".contains(c);
+        let written = if !value.is_empty() && value.chars().all(needs_no_quotes) {
             write!(self.0, "{key}={value}")
         } else {
             write!(self.0, "{key}={value:?}")
         };
-        written.expect("a string takes every write");
+        written.expect("writing to a string does not fail");
         self
     }
 
-    /// Adds a pair whose value may be absent; absent is `-`.
+    /// Adds a pair with an optional value; `None` is written as `-`.
     pub fn optional(self, key: &str, value: Option<impl Display>) -> Self {
         match value {
             Some(value) => self.field(key, value),
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The line with its end.
+    /// Text of the line with a line break.
     pub fn into_text(self) -> String {
         self.0 + "\n"
     }
@@ -55,7 +56,7 @@
     }
 }
 
-/// Values in one field, with commas between them; `-` if there are none.
+/// Joins the values of one field with commas; `-` if there are none.
 pub fn list(values: impl IntoIterator<Item = impl Display>) -> String {
     let values: Vec<String> = values.into_iter().map(|value| value.to_string()).collect();
     if values.is_empty() {
@@ -64,7 +65,7 @@
     values.join(",")
 }
 
-/// A group, replica or incarnation number, as 16 hexadecimal digits.
+/// A group, replica or incarnation number, written as 16 hexadecimal digits.
 pub struct HexNumber(pub u64);
 
 impl Display for HexNumber {
--- a/crates/bramblewheel/src/values.rs
+++ b/crates/bramblewheel/src/values.rs
@@ -1,11 +1,11 @@
-//! Values of options, read from text.
+//! Types of option values and their parsing.
 
 use bramblewheel_bundle::OperatorPublicKey;
 use std::net::SocketAddr;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Addresses with commas between them.
+/// Comma-separated list of addresses.
 #[derive(Clone, Debug, Default)]
 pub struct Addresses(pub Vec<SocketAddr>);
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// A time span of whole seconds, at least one.
+/// A duration of at least one second, in whole seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Seconds(pub Duration);
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A replica's identity, 16 hexadecimal digits.
+/// A replica's id, written as 16 hexadecimal digits.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReplicaId(pub u64);
 
@@ -47,8 +47,8 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-        let parsed = u64::from_str_radix(text, 16).ok().filter(|_| digits);
+        let is_16_digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+        let parsed = u64::from_str_radix(text, 16).ok().filter(|_| is_16_digits);
         parsed
             .map(Self)
             .ok_or_else(|| format!("`{text}` is not a replica id of 16 hexadecimal digits"))
@@ -68,10 +68,10 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = || format!("`{text}` is not NAME=KEY with a key of 64 hexadecimal digits");
-        let (name, key) = text.split_once('=').ok_or_else(wrong)?;
+        let invalid = || format!("`{text}` is not NAME=KEY with a key of 64 hexadecimal digits");
+        let (name, key) = text.split_once('=').ok_or_else(invalid)?;
         let mut bytes = [0; 32];
-        hex::decode_to_slice(key, &mut bytes).map_err(|_| wrong())?;
+        hex::decode_to_slice(key, &mut bytes).map_err(|_| invalid())?;
         Ok(Self {
             name: name.to_owned(),
             key: OperatorPublicKey(bytes),
--- a/crates/bramblewheel/tests/bundle.rs
+++ b/crates/bramblewheel/tests/bundle.rs
@@ -1,4 +1,4 @@
-//! `bundle new|check|diff|sign`, `keys new`, help and exit statuses.
+//! `bundle new`, `check`, `diff` and `sign`, `keys new`, help pages and exit statuses.
 
 mod support;
 
@@ -7,10 +7,10 @@
 use std::path::Path;
 use support::{example, run_in, signed_example};
 
-fn replace_in(folder: &Path, from: &str, to: &str, name: &str) {
-    let text = fs::read_to_string(folder.join("torgnett.toml")).expect("example");
+fn write_edited(folder: &Path, from: &str, to: &str, name: &str) {
+    let text = fs::read_to_string(folder.join("torgnett.toml")).expect("the example can be read");
     assert!(text.contains(from));
-    fs::write(folder.join(name), text.replace(from, to)).expect("writable");
+    fs::write(folder.join(name), text.replace(from, to)).expect("the file can be written");
 }
 
 #[test]
@@ -27,10 +27,10 @@
 }
 
 #[test]
-fn check_names_file_line_and_key_of_every_finding() {
+fn check_prints_file_line_and_key_of_every_finding() {
     let folder = signed_example();
     let from = "max_depth = 16\nmax_free_reroutes = 2";
-    replace_in(
+    write_edited(
         folder.path(),
         from,
         "max_depth = 0\nmax_free_reroutes = 99",
@@ -51,9 +51,9 @@
 }
 
 #[test]
-fn check_and_diff_warn_of_a_lost_mark() {
+fn check_and_diff_warn_of_a_route_that_becomes_repeatable() {
     let folder = signed_example();
-    replace_in(folder.path(), "repeatable = false", "", "new.toml");
+    write_edited(folder.path(), "repeatable = false", "", "new.toml");
     let warning = "warning: kassa /pay: was run at most once, may now be repeated";
     let against = [
         "bundle",
@@ -82,32 +82,32 @@
 }
 
 #[test]
-fn operators_sign_one_after_another_and_overwrite_nothing() {
+fn signatures_are_added_one_by_one_and_other_files_are_not_overwritten() {
     let folder = signed_example();
     let sign = |file: &str, key: &str, out: &str| {
         let arguments = ["bundle", "sign", file, "--key", key, "--out", out];
         run_in(folder.path(), &arguments)
     };
-    let again = sign("torgnett.signed", "anna.key", "torgnett.signed");
-    assert_eq!(again.status, 0);
+    let signed_again = sign("torgnett.signed", "anna.key", "torgnett.signed");
+    assert_eq!(signed_again.status, 0);
     let signers = "signed_by=trial-bjorn,trial-anna";
-    assert!(again.out.contains(signers), "{}", again.out);
-    replace_in(folder.path(), "version = 1", "version = 2", "two.toml");
-    let other = sign("two.toml", "anna.key", "torgnett.signed");
-    assert_eq!(other.status, 1, "{}", other.err);
-    let text = sign("two.toml", "anna.key", "anna.key");
-    assert_eq!(text.status, 1, "{}", text.err);
+    assert!(signed_again.out.contains(signers), "{}", signed_again.out);
+    write_edited(folder.path(), "version = 1", "version = 2", "two.toml");
+    let over_other_bundle = sign("two.toml", "anna.key", "torgnett.signed");
+    assert_eq!(over_other_bundle.status, 1, "{}", over_other_bundle.err);
+    let over_key_file = sign("two.toml", "anna.key", "anna.key");
+    assert_eq!(over_key_file.status, 1, "{}", over_key_file.err);
     assert_eq!(sign("two.toml", "two.toml", "two.signed").status, 2);
 }
 
 #[test]
-fn an_altered_signed_bundle_is_refused() {
+fn a_signed_bundle_with_an_altered_byte_is_refused() {
     let folder = signed_example();
     let path = folder.path().join("torgnett.signed");
-    let mut bytes = fs::read(&path).expect("signed");
+    let mut bytes = fs::read(&path).expect("the signed bundle exists");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
-    fs::write(&path, bytes).expect("writable");
+    fs::write(&path, bytes).expect("the file can be written");
     let run = run_in(folder.path(), &["bundle", "check", "torgnett.signed"]);
     assert_eq!(run.status, 2);
     assert!(
@@ -118,16 +118,25 @@
 }
 
 #[test]
-fn new_key_and_new_bundle_work_together() {
+fn a_new_key_can_sign_a_new_bundle_that_lists_it() {
     let folder = signed_example();
     let keys = run_in(folder.path(), &["keys", "new", "carl", "--out", "carl.key"]);
     assert_eq!(keys.status, 0, "{}", keys.err);
-    let metadata = fs::metadata(folder.path().join("carl.key")).expect("written");
+    let metadata = fs::metadata(folder.path().join("carl.key")).expect("the key file was written");
     assert_eq!(metadata.permissions().mode() & 0o777, 0o600);
     let again = run_in(folder.path(), &["keys", "new", "carl", "--out", "carl.key"]);
     assert_eq!(again.status, 2);
-    let key = keys.out.split("public_key=").nth(1).expect("shown");
-    let operator = format!("carl={}", key.split_whitespace().next().expect("shown"));
+    let key = keys
+        .out
+        .split("public_key=")
+        .nth(1)
+        .expect("the public key is printed");
+    let operator = format!(
+        "carl={}",
+        key.split_whitespace()
+            .next()
+            .expect("the public key is printed")
+    );
     let new = [
         "bundle",
         "new",
@@ -150,15 +159,15 @@
     ];
     let run = run_in(folder.path(), &sign);
     assert_eq!((run.status, &*run.err), (0, ""));
-    let none = run_in(folder.path(), &new);
+    let without_operator = run_in(folder.path(), &new);
     assert_eq!(
-        none.status, 2,
-        "a bundle without operators can't be followed by another"
+        without_operator.status, 2,
+        "a bundle without operators must be refused, since nobody could sign the next one"
     );
 }
 
 #[test]
-fn every_level_has_help_and_its_flag_and_command_agree() {
+fn every_command_has_a_help_page_and_flag_and_help_command_print_the_same() {
     let paths: [&[&str]; 17] = [
         &[],
         &["bundle"],
@@ -196,7 +205,7 @@
 }
 
 #[test]
-fn a_wrong_command_line_is_status_2_with_usage() {
+fn an_invalid_command_line_exits_with_status_2_and_prints_the_usage() {
     let lines: [&[&str]; 8] = [
         &[],
         &["bundle"],
--- a/crates/bramblewheel/tests/control.rs
+++ b/crates/bramblewheel/tests/control.rs
@@ -1,4 +1,4 @@
-//! Commands that talk to control replicas, against stand-ins.
+//! Commands that send requests to control replicas, run against fake replicas.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use bramblewheel_types::{BundleDigest, BundleVersion, DaemonId, Millis, RegionName, ZoneName};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
-use support::{Run, replica, run_in, runtime, signed_example};
+use support::{Run, fake_replica, run_in, runtime, signed_example};
 use tokio::runtime::Runtime;
 
 fn publish(control: &str, timeout: &str) -> Run {
@@ -21,8 +21,8 @@
     )
 }
 
-fn publishing(runtime: &Runtime, reply: PublishReply) -> SocketAddr {
-    replica(runtime, move |body| {
+fn replica_with_publish_reply(runtime: &Runtime, reply: PublishReply) -> SocketAddr {
+    fake_replica(runtime, move |body| {
         assert!(matches!(body, RequestBody::Publish(_)));
         Some(ReplyBody::Publish(reply.clone()))
     })
@@ -35,22 +35,22 @@
 }
 
 #[test]
-fn publish_follows_the_leader_and_sends_again_after_a_lost_answer() {
+fn publish_goes_to_the_leader_and_is_sent_again_after_a_lost_reply() {
     let runtime = runtime();
     let received: Arc<Mutex<Vec<SignedBundle>>> = Arc::default();
     let seen = Arc::clone(&received);
-    let leader = replica(&runtime, move |body| {
+    let leader = fake_replica(&runtime, move |body| {
         let RequestBody::Publish(signed) = body else {
             return None;
         };
         let mut seen = seen.lock().expect("not poisoned");
         seen.push(signed);
-        // The first answer is lost.
+        // The first reply is lost.
         (seen.len() > 1).then(|| ReplyBody::Publish(accepted()))
     });
-    let follower = replica(&runtime, move |_| {
-        let why = Unavailable::NotLeader(Some(leader));
-        Some(ReplyBody::Unavailable(why))
+    let follower = fake_replica(&runtime, move |_| {
+        let reason = Unavailable::NotLeader(Some(leader));
+        Some(ReplyBody::Unavailable(reason))
     });
     let run = publish(&follower.to_string(), "30");
     assert_eq!(run.status, 0, "{}", run.err);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn refusals_are_status_1_with_the_reason() {
+fn a_refused_publish_exits_with_status_1_and_prints_the_reason() {
     let winner = BundleDigest([7; 32]);
     let current = BundleVersion(5);
     let cases = [
@@ -92,7 +92,7 @@
     ];
     let runtime = runtime();
     for (reply, expected) in cases {
-        let address = publishing(&runtime, reply);
+        let address = replica_with_publish_reply(&runtime, reply);
         let run = publish(&address.to_string(), "30");
         assert_eq!(run.status, 1, "{}", run.err);
         assert!(run.out.trim_end().ends_with(&expected), "{}", run.out);
@@ -100,13 +100,13 @@
 }
 
 #[test]
-fn no_replica_is_status_3_and_a_lost_answer_status_4() {
+fn publish_exits_with_status_3_without_a_quorum_and_4_after_lost_replies() {
     let runtime = runtime();
-    let gone = replica(&runtime, |_| None);
-    let undecided = publish(&gone.to_string(), "1");
+    let closes_connections = fake_replica(&runtime, |_| None);
+    let undecided = publish(&closes_connections.to_string(), "1");
     assert_eq!(undecided.status, 4, "{}", undecided.err);
     assert!(undecided.out.contains("result=undecided"));
-    let no_quorum = replica(&runtime, |_| {
+    let no_quorum = fake_replica(&runtime, |_| {
         Some(ReplyBody::Unavailable(Unavailable::NoQuorum))
     });
     let unreachable = publish(&no_quorum.to_string(), "1");
@@ -115,24 +115,24 @@
 }
 
 #[test]
-fn status_commands_print_one_line_for_each_item() {
+fn status_commands_print_one_line_per_item() {
     let runtime = runtime();
     let daemon = |name: &str| DaemonStatus {
         registration: Registration {
-            daemon: DaemonId::new(name).expect("valid"),
+            daemon: DaemonId::new(name).expect("valid name"),
             incarnation: 0xab,
-            zone: ZoneName::new("bergen-hall").expect("valid"),
-            region: RegionName::new("vestkyst").expect("valid"),
+            zone: ZoneName::new("bergen-hall").expect("valid name"),
+            region: RegionName::new("vestkyst").expect("valid name"),
             endpoint: None,
         },
         bundle_version: BundleVersion(4),
         silent_for: Millis(120),
     };
     let daemons = vec![daemon("b"), daemon("a")];
-    let address = replica(&runtime, move |body| match body {
+    let address = fake_replica(&runtime, move |body| match body {
         RequestBody::FleetStatus => Some(ReplyBody::FleetStatus(daemons.clone())),
         RequestBody::BundleStatus => Some(ReplyBody::BundleStatus(None)),
-        RequestBody::GroupStatus => Some(ReplyBody::GroupStatus(member(1, None))),
+        RequestBody::GroupStatus => Some(ReplyBody::GroupStatus(status_of(1, None))),
         _ => None,
     });
     let folder = signed_example();
@@ -154,8 +154,8 @@
     );
 }
 
-fn member(id: u64, group: Option<u64>) -> GroupStatus {
-    let port = u16::try_from(id).expect("small");
+fn status_of(id: u64, group: Option<u64>) -> GroupStatus {
+    let port = u16::try_from(id).expect("the id fits in a port number");
     GroupStatus {
         replica: ReplicaAddress {
             replica: id,
@@ -173,18 +173,18 @@
     }
 }
 
-/// A stand-in that can be bootstrapped, and what it was sent.
-fn bootstrappable(
+/// A fake replica that can be bootstrapped, and the bootstrap requests that it received.
+fn bootstrappable_replica(
     runtime: &Runtime,
     id: u64,
     group: Option<u64>,
 ) -> (SocketAddr, Arc<Mutex<Vec<BootstrapRequest>>>) {
     let sent: Arc<Mutex<Vec<BootstrapRequest>>> = Arc::default();
     let seen = Arc::clone(&sent);
-    let address = replica(runtime, move |body| match body {
+    let address = fake_replica(runtime, move |body| match body {
         RequestBody::GroupStatus => {
             let joined = seen.lock().expect("not poisoned").first().map(|r| r.group);
-            Some(ReplyBody::GroupStatus(member(id, joined.or(group))))
+            Some(ReplyBody::GroupStatus(status_of(id, joined.or(group))))
         }
         RequestBody::Bootstrap(request) => {
             seen.lock().expect("not poisoned").push(request);
@@ -207,9 +207,9 @@
 }
 
 #[test]
-fn bootstrap_sends_the_same_group_to_all_and_can_be_repeated() {
+fn bootstrap_sends_the_same_request_to_all_replicas_and_can_be_repeated() {
     let runtime = runtime();
-    let replicas = [1, 2, 3].map(|id| bootstrappable(&runtime, id, None));
+    let replicas = [1, 2, 3].map(|id| bootstrappable_replica(&runtime, id, None));
     let mut addresses: Vec<SocketAddr> = replicas.iter().map(|(address, _)| *address).collect();
     for _ in 0..2 {
         let run = bootstrap(&addresses, "torgnett.signed");
@@ -227,28 +227,31 @@
 }
 
 #[test]
-fn bootstrap_refuses_members_of_other_groups_twins_and_unsigned_bundles() {
+fn bootstrap_refuses_members_of_other_groups_duplicate_replicas_and_unsigned_bundles() {
     let runtime = runtime();
-    let (fresh, sent) = bootstrappable(&runtime, 1, None);
-    let (taken, _) = bootstrappable(&runtime, 2, Some(77));
-    let (twin, _) = bootstrappable(&runtime, 1, None);
-    assert_eq!(bootstrap(&[fresh, taken], "torgnett.signed").status, 1);
-    assert_eq!(bootstrap(&[fresh, twin], "torgnett.signed").status, 1);
+    let (fresh, sent) = bootstrappable_replica(&runtime, 1, None);
+    let (in_other_group, _) = bootstrappable_replica(&runtime, 2, Some(77));
+    let (duplicate, _) = bootstrappable_replica(&runtime, 1, None);
+    assert_eq!(
+        bootstrap(&[fresh, in_other_group], "torgnett.signed").status,
+        1
+    );
+    assert_eq!(bootstrap(&[fresh, duplicate], "torgnett.signed").status, 1);
     assert_eq!(bootstrap(&[], "torgnett.signed").status, 2);
     assert_eq!(bootstrap(&[fresh], "torgnett.toml").status, 2);
     assert!(sent.lock().expect("not poisoned").is_empty());
 }
 
 #[test]
-fn replace_names_the_lost_and_the_new_replica() {
+fn replace_prints_the_lost_and_the_new_replica_and_refuses_wrong_ids() {
     let runtime = runtime();
-    let (spare, _) = bootstrappable(&runtime, 4, None);
-    let leader = replica(&runtime, |body| match body {
+    let (spare, _) = bootstrappable_replica(&runtime, 4, None);
+    let leader = fake_replica(&runtime, |body| match body {
         RequestBody::Replace(request) if request.lost != 2 => {
             Some(ReplyBody::Rejected("not a member".to_owned()))
         }
         RequestBody::Replace(request) => {
-            assert_eq!(request.replacement, member(4, None).replica);
+            assert_eq!(request.replacement, status_of(4, None).replica);
             Some(ReplyBody::Done)
         }
         _ => None,
--- a/crates/bramblewheel/tests/explain.rs
+++ b/crates/bramblewheel/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: timelines and causes from logs of the bench, kept as test data.
+//! `explain` and `retry-bound`: timelines, causes and sums from recorded logs.
 
 mod support;
 
@@ -6,27 +6,27 @@
 use support::run_in;
 use tempfile::TempDir;
 
-/// Logs of the incident of docs/incidents/, as the bench gathered them from all machines.
+/// Logs of all machines in the incident described in docs/incidents/.
 const LOG: &str = "incident-torgnett.txt";
 
-/// Lines of a deployment with tenants.
+/// Log lines of a deployment with tenants.
 const TENANTS_LOG: &str = "tenants.txt";
 
-fn explained(request: &str) -> (i32, String) {
-    explained_from(LOG, request)
+fn explain(request: &str) -> (i32, String) {
+    explain_from(LOG, request)
 }
 
-fn explained_from(log: &str, request: &str) -> (i32, String) {
+fn explain_from(log: &str, request: &str) -> (i32, String) {
     let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
     let log = data.join(log).display().to_string();
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let run = run_in(folder.path(), &["explain", request, &log]);
     (run.status, run.out + &run.err)
 }
 
 #[test]
-fn a_request_refused_for_want_of_room_leads_to_the_daemons_that_refused() {
-    let (status, text) = explained("e7e71d1c0af94618");
+fn a_request_refused_for_lack_of_capacity_shows_the_refusing_daemons() {
+    let (status, text) = explain("e7e71d1c0af94618");
     assert_eq!(status, 0, "{text}");
     assert_eq!(text.matches("not admitted").count(), 3, "{text}");
     assert!(
@@ -36,45 +36,45 @@
 }
 
 #[test]
-fn a_request_of_unknown_end_leads_to_the_endpoint_whose_answer_was_lost() {
-    let (status, text) = explained("9b5d824b2d3bd864");
+fn a_request_with_unknown_outcome_shows_the_endpoint_whose_answer_was_lost() {
+    let (status, text) = explain("9b5d824b2d3bd864");
     assert_eq!(status, 0, "{text}");
     let cause = "cause=\"the answer of i-9b87bbb184 was lost (connection)\"";
     assert!(text.contains(cause), "{text}");
 }
 
-/// The lines of two processes stand in the order of their times.
+/// Lines of different processes are ordered by time.
 #[test]
-fn a_request_sent_on_from_a_stopping_daemon_shows_both() {
-    let (status, text) = explained("960bc8d47075828d");
+fn a_request_rerouted_from_a_stopping_daemon_shows_refusal_and_attempt_in_order() {
+    let (status, text) = explain("960bc8d47075828d");
     assert_eq!(status, 0, "{text}");
     let refused = text
         .find("sidecar-molde-hall-4  not admitted")
-        .expect("the refusal");
-    let sent_on = text
+        .expect("the refusal is shown");
+    let attempt = text
         .find("sidecar-molde-hall-2  attempt failed")
-        .expect("the attempt");
-    assert!(refused < sent_on, "{text}");
+        .expect("the attempt is shown");
+    assert!(refused < attempt, "{text}");
     assert!(
         text.contains("cause=\"the endpoint answered with an error\""),
         "{text}"
     );
 }
 
-/// What is told of the request `r-1` by a log of these lines.
-fn explained_by(lines: &str) -> String {
-    let folder = TempDir::new().expect("a folder");
+/// Output of `explain` for the request `r-1` and a log with these lines.
+fn explain_lines(lines: &str) -> String {
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let log = folder.path().join("daemon.txt");
-    std::fs::write(&log, lines).expect("a log");
+    std::fs::write(&log, lines).expect("the log can be written");
     let log = log.display().to_string();
     let run = run_in(folder.path(), &["explain", "r-1", &log]);
     run.out + &run.err
 }
 
-/// The line of the end may be left out under load; the attempt's line says the same.
+/// The `request ended` line may be omitted under load; the line of the attempt shows the same cause.
 #[test]
-fn an_attempt_that_the_endpoint_failed_is_told_without_the_line_of_the_end() {
-    let text = explained_by(
+fn an_attempt_failed_by_the_endpoint_is_the_cause_without_a_request_ended_line() {
+    let text = explain_lines(
         "level=INFO msg=\"attempt failed\" at=1779151084422 left_ms=900 again=false attempt=2 \
          result=failed endpoint=e-1 service=kassa id=r-1\n",
     );
@@ -85,8 +85,8 @@
 }
 
 #[test]
-fn a_request_that_is_kept_from_endpoints_is_told_with_its_content() {
-    let text = explained_by(
+fn a_quarantined_request_shows_its_content() {
+    let text = explain_lines(
         "level=INFO msg=quarantined at=1779151084422 revision=4 ends=3 content=0a1b id=r-1\n\
          level=INFO msg=\"request ended\" at=1779151084422 after_ms=0 outcome=quarantined id=r-1\n",
     );
@@ -95,8 +95,8 @@
 }
 
 #[test]
-fn a_request_refused_by_its_callers_daemon_is_told_so() {
-    let text = explained_by(
+fn an_early_refusal_shows_the_refused_share() {
+    let text = explain_lines(
         "level=INFO msg=\"refused early\" at=1779151084422 refused_part=0.31 route=r-a id=r-1\n\
          level=INFO msg=\"request ended\" at=1779151084422 after_ms=0 outcome=not-run table=5 \
          route=r-a id=r-1\n",
@@ -108,14 +108,14 @@
 }
 
 #[test]
-fn the_service_that_was_short_is_named() {
-    let refused = explained_by(
+fn a_downstream_service_without_capacity_is_named() {
+    let refused = explain_lines(
         "level=INFO msg=\"refused early\" at=1779151084422 short=registry refused_part=0.31 rank=2 \
          route=r-a id=r-1\n",
     );
     let expected = "cause=\"no room for its like at registry, 0.31 of them refused early\"";
     assert!(refused.contains(expected), "{refused}");
-    let failed = explained_by(
+    let failed = explain_lines(
         "level=INFO msg=\"request ended\" at=1779151084422 short=registry after_ms=280 outcome=failed \
          table=5 route=r-a id=r-1\n",
     );
@@ -124,17 +124,17 @@
 }
 
 #[test]
-fn a_request_that_no_line_speaks_of_is_said_to_be_unknown() {
-    let (status, text) = explained("0000000000000000");
+fn a_request_without_log_lines_exits_with_status_1() {
+    let (status, text) = explain("0000000000000000");
     assert_eq!(status, 1, "{text}");
     assert!(
-        text.contains("no line speaks of request 0000000000000000"),
+        text.contains("no log line mentions request 0000000000000000"),
         "{text}"
     );
 }
 
 #[test]
-fn requests_of_tenants_that_are_refused_lead_to_key_quota_or_lease() {
+fn refused_requests_of_tenants_show_key_quota_or_lease_as_cause() {
     let causes = [
         (
             "7bcab5900d900d26",
@@ -150,21 +150,21 @@
         ),
     ];
     for (request, cause) in causes {
-        let (status, text) = explained_from(TENANTS_LOG, request);
+        let (status, text) = explain_from(TENANTS_LOG, request);
         assert_eq!(status, 0, "{text}");
         assert!(text.contains(&format!("cause=\"{cause}\"")), "{text}");
     }
 }
 
-/// Lines of two daemons that use up the bound on repeats.
+/// Log lines of two daemons that use up the bound on retries.
 const RETRY_BOUND_LOG: &str = "retry-bound.txt";
 
-/// The daemons' parts are added up, each by its last line that is fresh: 9 and 21.5 of 42 in the second look.
+/// Each daemon counts with its last line that is not too old: 9 and 21.5 of 42 in the second with the highest use.
 #[test]
-fn the_bound_on_repeats_is_added_up_over_the_fleet() {
+fn retry_bound_adds_up_the_use_of_all_daemons() {
     let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
     let log = data.join(RETRY_BOUND_LOG).display().to_string();
-    let folder = TempDir::new().expect("a folder");
+    let folder = TempDir::new().expect("a temporary folder can be created");
     let run = run_in(folder.path(), &["retry-bound", &log]);
     assert_eq!(run.status, 0, "{}", run.err);
     let lines: Vec<&str> = run.out.lines().collect();
@@ -175,8 +175,8 @@
 }
 
 #[test]
-fn a_repeat_that_the_bound_forbade_shows_what_was_used() {
-    let (status, text) = explained_from(RETRY_BOUND_LOG, "1f2e");
+fn a_retry_refused_by_the_bound_shows_the_use_downstream() {
+    let (status, text) = explain_from(RETRY_BOUND_LOG, "1f2e");
     assert_eq!(status, 0, "{text}");
     assert!(text.contains("repeat refused  used_below=0.74"), "{text}");
     let cause = "cause=\"the answer of i-a70f233120 was lost\"";
@@ -184,36 +184,37 @@
 }
 
 #[test]
-fn a_call_of_a_repeated_run_leads_to_the_bound() {
-    let (status, text) = explained_from(RETRY_BOUND_LOG, "3b4c");
+fn a_refused_call_of_a_retried_run_shows_the_bound_as_cause() {
+    let (status, text) = explain_from(RETRY_BOUND_LOG, "3b4c");
     assert_eq!(status, 0, "{text}");
-    let cause = "cause=\"a repeated run made it, and the bound on repeats at stock was used up\"";
+    let cause =
+        "cause=\"a retried run made this call, and the bound on retries at stock was used up\"";
     assert!(text.contains(cause), "{text}");
 }
 
 #[test]
-fn a_caller_refused_by_a_stopping_daemon_is_told_from_a_want_of_room() {
-    let (status, text) = explained_from(RETRY_BOUND_LOG, "5d6e");
+fn a_refusal_by_a_stopping_daemon_is_not_shown_as_lack_of_capacity() {
+    let (status, text) = explain_from(RETRY_BOUND_LOG, "5d6e");
     assert_eq!(status, 0, "{text}");
     let cause = "cause=\"refused at once: its daemon stops\"";
     assert!(text.contains(cause), "{text}");
 }
 
-/// Lines of a daemon that was told to stop.
+/// The log of a daemon during a planned stop.
 #[test]
-fn what_a_planned_stop_does_to_requests_is_told_from_its_log() {
+fn a_planned_stop_is_shown_as_the_cause_of_refused_unfinished_and_cut_off_requests() {
     for (request, cause) in [
         ("r-refused", "refused at once: its daemon stops"),
         (
             "r-at-work",
-            "an endpoint was at work on it when its daemon had to end",
+            "an endpoint was still running it when its daemon had to exit",
         ),
         (
             "r-slow",
-            "cut off by the end of its daemon after 4100 ms (answering)",
+            "cut off after 4100 ms (answering) when its daemon exited",
         ),
     ] {
-        let (status, text) = explained_from("planned-stop.txt", request);
+        let (status, text) = explain_from("planned-stop.txt", request);
         assert_eq!(status, 0, "{text}");
         assert!(text.contains(cause), "{text}");
     }
--- a/crates/bramblewheel/tests/log_lines.rs
+++ b/crates/bramblewheel/tests/log_lines.rs
@@ -1,14 +1,14 @@
-//! Messages and keys of log lines stay as they are: `explain` and the users' tools read them. Lines and keys may be
-//! added.
+//! Messages and keys of log lines must not change, since `explain` and users' tools read them. New lines and keys may
+//! be added.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Lines recorded: level, message, a colon, and the keys.
-const RECORDED: &str = include_str!("data/log_lines.txt");
+/// Expected lines: level, message, a colon, and the keys.
+const EXPECTED: &str = include_str!("data/log_lines.txt");
 
-/// Sources of the programs that write logs, from the root of the repository.
+/// Source folders of the programs that write logs, relative to the root of the repository.
 const SOURCES: [&str; 6] = [
     "crates/bramblewheel-control/src",
     "crates/bramblewheel-daemon/src",
@@ -21,30 +21,30 @@
 /// Keys by level and message.
 type Lines = BTreeMap<String, BTreeSet<String>>;
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+fn find_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).expect("the folder can be read") {
         let path = entry.expect("the entry can be read").path();
         if path.is_dir() {
-            sources(&path, found);
+            find_sources(&path, found);
         } else if path.extension().is_some_and(|ending| ending == "rs") {
             found.push(path);
         }
     }
 }
 
-/// The text of a macro call up to the parenthesis that closes it, and its string literals with what follows them.
+/// String literals of a macro call up to its closing parenthesis, and whether each is a key, followed by `=>`.
 fn literals(call: &str) -> Vec<(String, bool)> {
     let mut found = Vec::new();
     let mut depth = 1;
     let mut rest = call;
     while let Some(at) = rest.find(['(', ')', '"']) {
-        let sign = rest.as_bytes()[at];
+        let delimiter = rest.as_bytes()[at];
         rest = &rest[at + 1..];
-        match sign {
+        match delimiter {
             b'(' => depth += 1,
             b')' => depth -= 1,
             _ => {
-                let (literal, after) = rest.split_once('"').expect("literals end");
+                let (literal, after) = rest.split_once('"').expect("the literal is closed");
                 rest = after;
                 let is_key = after.trim_start().starts_with("=>");
                 found.push((literal.to_owned(), is_key));
@@ -57,7 +57,7 @@
     found
 }
 
-/// Adds the log lines of one source.
+/// Adds the log lines in the text of one source file.
 fn add_lines(source: &str, lines: &mut Lines) {
     for call in source.split("slog::").skip(1) {
         let Some((level, call)) = call.split_once("!(") else {
@@ -75,34 +75,40 @@
     }
 }
 
-fn written() -> Lines {
+fn lines_in_sources() -> Lines {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let mut files = Vec::new();
     for folder in SOURCES {
-        sources(&root.join(folder), &mut files);
+        find_sources(&root.join(folder), &mut files);
     }
     let mut lines = Lines::new();
     for file in files {
-        let text = fs::read_to_string(&file).expect("sources are text");
+        let text = fs::read_to_string(&file).expect("the source can be read");
         add_lines(&text, &mut lines);
     }
     lines
 }
 
 #[test]
-fn messages_and_keys_of_log_lines_stay() {
-    let written = written();
+fn every_expected_log_message_and_key_is_in_the_sources() {
+    let found = lines_in_sources();
     let mut missing = Vec::new();
-    for line in RECORDED.lines() {
+    for line in EXPECTED.lines() {
         let (message, keys) = line.split_once(':').expect("a colon after the message");
-        let Some(known) = written.get(message) else {
+        let Some(found_keys) = found.get(message) else {
             missing.push(line.to_owned());
             continue;
         };
-        for key in keys.split_whitespace().filter(|key| !known.contains(*key)) {
+        for key in keys
+            .split_whitespace()
+            .filter(|key| !found_keys.contains(*key))
+        {
             missing.push(format!("{message}: {key}"));
         }
     }
-    assert!(missing.is_empty(), "{missing:#?}");
-    assert!(RECORDED.lines().count() > 60, "the lines are recorded");
+    assert!(missing.is_empty(), "missing from the sources: {missing:#?}");
+    assert!(
+        EXPECTED.lines().count() > 60,
+        "expected more than 60 recorded lines"
+    );
 }
--- a/crates/bramblewheel/tests/support/mod.rs
+++ b/crates/bramblewheel/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the program and stands in for control replicas.
+//! Runs the program and provides fake control replicas.
 
 #![allow(dead_code, reason = "each test program uses its own part")]
 
@@ -13,7 +13,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::runtime::Runtime;
 
-/// What one run of the program gave.
+/// Exit status and output of a run of the program.
 pub struct Run {
     pub status: i32,
     pub out: String,
@@ -26,30 +26,30 @@
         .current_dir(folder)
         .args(arguments)
         .output()
-        .expect("program runs");
+        .expect("the program can be started");
     Run {
-        status: output.status.code().expect("exits"),
-        out: String::from_utf8(output.stdout).expect("UTF-8"),
-        err: String::from_utf8(output.stderr).expect("UTF-8"),
+        status: output.status.code().expect("the program exits by itself"),
+        out: String::from_utf8(output.stdout).expect("output is UTF-8"),
+        err: String::from_utf8(output.stderr).expect("output is UTF-8"),
     }
 }
 
-/// The examples of the repository.
+/// Path of a file in the repository's `examples` folder.
 pub fn example(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../examples")
         .join(name)
 }
 
-/// A folder with the example bundle, both keys and the bundle signed by both.
+/// A temporary folder with the example bundle, its two operator keys, and the bundle signed with both.
 pub fn signed_example() -> TempDir {
-    let folder = TempDir::new().expect("temporary folder");
+    let folder = TempDir::new().expect("a temporary folder can be created");
     for (from, to) in [
         ("bundles/torgnett.toml", "torgnett.toml"),
         ("keys/trial-anna.key", "anna.key"),
         ("keys/trial-bjorn.key", "bjorn.key"),
     ] {
-        std::fs::copy(example(from), folder.path().join(to)).expect("example exists");
+        std::fs::copy(example(from), folder.path().join(to)).expect("the example exists");
     }
     for key in ["anna.key", "bjorn.key"] {
         let arguments = ["bundle", "sign", "torgnett.toml", "--key", key, "--out"];
@@ -64,14 +64,14 @@
 
 type Answer = Box<dyn FnMut(RequestBody) -> Option<ReplyBody> + Send>;
 
-/// Starts a stand-in replica. It closes the connection where `answer` gives none.
-pub fn replica(
+/// Starts a fake replica. It closes the connection if `answer` returns `None`.
+pub fn fake_replica(
     runtime: &Runtime,
     answer: impl FnMut(RequestBody) -> Option<ReplyBody> + Send + 'static,
 ) -> SocketAddr {
     let listening = TcpListener::bind("127.0.0.1:0");
-    let listener = runtime.block_on(listening).expect("free port");
-    let address = listener.local_addr().expect("bound");
+    let listener = runtime.block_on(listening).expect("a port is free");
+    let address = listener.local_addr().expect("the listener is bound");
     let answer: Arc<Mutex<Answer>> = Arc::new(Mutex::new(Box::new(answer)));
     runtime.spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -84,7 +84,7 @@
 async fn serve(mut stream: TcpStream, answer: Arc<Mutex<Answer>>) {
     while let Ok(Some(request)) = read_frame(&mut stream, MAX_CONTROL_FRAME).await {
         let ControlRequest { id, body } = request;
-        let reply = (answer.lock().expect("no panic while held"))(body);
+        let reply = (answer.lock().expect("not poisoned"))(body);
         let Some(body) = reply else { return };
         let reply = ControlReply { id, body };
         if write_frame(&mut stream, &reply, MAX_CONTROL_FRAME)
@@ -96,11 +96,11 @@
     }
 }
 
-/// A runtime with a thread of its own for the stand-ins.
+/// A runtime with one worker thread for the fake replicas.
 pub fn runtime() -> Runtime {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
         .build()
-        .expect("runtime starts")
+        .expect("the runtime can be started")
 }
