--- a/crates/bramblewheel-lab/src/bench/latency/alternation.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/alternation.rs
@@ -40,7 +40,7 @@
 /// Measures one rate. Odd alternations begin with the window through the daemons.
 ///
 /// # Errors
-/// [`CommandError::Broken`] when a call or a process fails.
+/// [`CommandError::RunFailed`] when a call or a process fails.
 pub fn measure(
     topology: &Topology,
     plan: &Plan,
--- a/crates/bramblewheel-lab/src/bench/latency/endpoint.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/endpoint.rs
@@ -1,7 +1,7 @@
 //! The endpoint of the bench: a process that works for a fixed time on each request.
 
 use crate::error::CommandError;
-use crate::stdin_commands::end_with_parent;
+use crate::stdin_commands::exit_with_parent;
 use bytes::Bytes;
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
@@ -28,7 +28,7 @@
 /// # Errors
 /// [`CommandError`] when the runtime or the listener can't be set up.
 pub fn serve(service_time: Duration) -> Result<(), CommandError> {
-    end_with_parent();
+    exit_with_parent();
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(WORKER_THREADS)
         .enable_all()
--- a/crates/bramblewheel-lab/src/bench/latency/load.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/load.rs
@@ -63,13 +63,13 @@
 }
 
 fn broken(error: impl std::fmt::Display) -> CommandError {
-    CommandError::Broken(format!("caller: {error}"))
+    CommandError::RunFailed(format!("caller: {error}"))
 }
 
 /// Sends one window's load; one thread for each request that may be under way.
 ///
 /// # Errors
-/// [`CommandError::Broken`] when a call fails: then there is nothing to compare.
+/// [`CommandError::RunFailed`] when a call fails: then there is nothing to compare.
 pub fn send(load: Load) -> Result<Measured, CommandError> {
     let due = arrivals(load.seed, load.rate, load.window);
     let next = AtomicUsize::new(0);
@@ -174,7 +174,7 @@
 /// Makes one call, to see whether the target answers.
 ///
 /// # Errors
-/// [`CommandError::Broken`] when it doesn't.
+/// [`CommandError::RunFailed`] when it doesn't.
 pub fn try_once(target: SocketAddr) -> Result<(), CommandError> {
     Client::connect(target)?.call()
 }
--- a/crates/bramblewheel-lab/src/bench/latency/topology.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/topology.rs
@@ -205,7 +205,7 @@
 }
 
 fn broken(cause: impl std::fmt::Display) -> CommandError {
-    CommandError::Broken(cause.to_string())
+    CommandError::RunFailed(cause.to_string())
 }
 
 /// A bundle whose limits are above the bench's load: what is measured is the way of a call, not
--- a/crates/bramblewheel-lab/src/bench/latency/usage.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/usage.rs
@@ -50,7 +50,7 @@
 /// What a process has used since its start.
 ///
 /// # Errors
-/// [`CommandError::Broken`] when the process is gone.
+/// [`CommandError::RunFailed`] when the process is gone.
 pub fn usage(pid: u32) -> Result<Usage, CommandError> {
     let process = format!("/proc/{pid}");
     let stat = read(&Path::new(&process).join("stat"))?;
@@ -70,7 +70,7 @@
 }
 
 fn broken(what: &str, error: impl std::fmt::Display) -> CommandError {
-    CommandError::Broken(format!("{what}: {error}"))
+    CommandError::RunFailed(format!("{what}: {error}"))
 }
 
 /// Sleeps from the text of a thread's `status` file.
@@ -99,7 +99,7 @@
     /// Reads the machine's counters.
     ///
     /// # Errors
-    /// [`CommandError::Broken`] when they can't be read.
+    /// [`CommandError::RunFailed`] when they can't be read.
     pub fn now() -> Result<Self, CommandError> {
         const FILE: &str = "/proc/stat";
         let text = read(Path::new(FILE))?;
--- a/crates/bramblewheel-lab/src/caller/command.rs
+++ b/crates/bramblewheel-lab/src/caller/command.rs
@@ -1,4 +1,4 @@
-//! Commands that a caller takes while it runs.
+//! Commands that a caller reads while it runs.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,11 +7,11 @@
 /// A command, one line of standard input.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerCommand {
-    /// `gateway NAME ADDRESS`: the gateway is there, from now on at this address.
+    /// `gateway NAME ADDRESS`: the gateway is available at this address from now on.
     Gateway {
-        /// Its name.
+        /// Name of the gateway.
         name: String,
-        /// Its outbound listener.
+        /// Address of its outbound listener.
         address: SocketAddr,
     },
     /// `rate N`: send this many requests a second.
@@ -37,13 +37,13 @@
 /// Reads a rate in requests a second; 0 pauses.
 ///
 /// # Errors
-/// A text that says what is wrong.
+/// A message that says what is wrong.
 pub fn parse_rate(text: &str) -> Result<f64, String> {
     let rate: f64 = text.parse().map_err(|error| format!("{text}: {error}"))?;
     if rate.is_finite() && rate >= 0.0 {
         Ok(rate)
     } else {
-        Err(format!("{text}: not a rate"))
+        Err(format!("{text}: expected a finite rate, 0 or above"))
     }
 }
 
--- a/crates/bramblewheel-lab/src/caller/gateways.rs
+++ b/crates/bramblewheel-lab/src/caller/gateways.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time for which a gateway that is down or leaving is passed over.
-const AVOIDANCE: Duration = Duration::from_secs(1);
+/// Time for which a gateway that is down or leaving is not chosen.
+const AVOID_DURATION: Duration = Duration::from_secs(1);
 
 /// A gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,28 +15,28 @@
     pub(super) address: SocketAddr,
 }
 
-/// Gateways in the order in which a caller prefers them.
+/// Gateways in the caller's order of preference.
 #[derive(Debug, Default)]
 pub(super) struct Gateways {
-    known: Mutex<Vec<Known>>,
+    gateways: Mutex<Vec<GatewayEntry>>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct GatewayEntry {
     gateway: Gateway,
     avoided_until: Option<Instant>,
 }
 
 impl Gateways {
-    /// Adds a gateway, or gives it another address.
+    /// Adds a gateway, or updates its address.
     pub(super) fn set(&self, name: &str, address: SocketAddr) {
-        let mut known = self.lock();
-        match known.iter_mut().find(|known| known.gateway.name == name) {
-            Some(known) => {
-                known.gateway.address = address;
-                known.avoided_until = None;
+        let mut gateways = self.lock();
+        match gateways.iter_mut().find(|entry| entry.gateway.name == name) {
+            Some(entry) => {
+                entry.gateway.address = address;
+                entry.avoided_until = None;
             }
-            None => known.push(Known {
+            None => gateways.push(GatewayEntry {
                 gateway: Gateway {
                     name: name.to_owned(),
                     address,
@@ -46,28 +46,29 @@
         }
     }
 
-    /// Passes over a gateway for a while, as long as there are others.
+    /// Avoids a gateway for [`AVOID_DURATION`] as long as there are others.
     pub(super) fn avoid(&self, name: &str) {
-        let mut known = self.lock();
-        if let Some(known) = known.iter_mut().find(|known| known.gateway.name == name) {
-            known.avoided_until = Some(Instant::now() + AVOIDANCE);
+        let mut gateways = self.lock();
+        if let Some(entry) = gateways.iter_mut().find(|entry| entry.gateway.name == name) {
+            entry.avoided_until = Some(Instant::now() + AVOID_DURATION);
         }
     }
 
-    /// The gateway for a request that went on to another one `n` times: the preferred one first.
+    /// The gateway for a request that has switched gateways `n` times: the preferred one for 0.
     pub(super) fn nth(&self, n: u32) -> Option<Gateway> {
-        let known = self.lock();
+        let gateways = self.lock();
         let now = Instant::now();
-        let is_usable = |known: &&Known| known.avoided_until.is_none_or(|until| until <= now);
-        let mut choice: Vec<&Known> = known.iter().filter(is_usable).collect();
-        if choice.is_empty() {
-            choice = known.iter().collect();
+        let is_usable =
+            |entry: &&GatewayEntry| entry.avoided_until.is_none_or(|until| until <= now);
+        let mut candidates: Vec<&GatewayEntry> = gateways.iter().filter(is_usable).collect();
+        if candidates.is_empty() {
+            candidates = gateways.iter().collect();
         }
-        let index = (n as usize).checked_rem(choice.len())?;
-        choice.get(index).map(|known| known.gateway.clone())
+        let index = (n as usize).checked_rem(candidates.len())?;
+        candidates.get(index).map(|entry| entry.gateway.clone())
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Known>> {
-        self.known.lock().expect("nothing panics under the lock")
+    fn lock(&self) -> MutexGuard<'_, Vec<GatewayEntry>> {
+        self.gateways.lock().expect("no holder of the lock panics")
     }
 }
--- a/crates/bramblewheel-lab/src/caller/load.rs
+++ b/crates/bramblewheel-lab/src/caller/load.rs
@@ -1,8 +1,8 @@
-//! The open loop: requests are sent when they are due, whatever became of those before.
+//! Open-loop load: each request is sent when it is due, regardless of the outcome of earlier ones.
 
 use super::command::CallerCommand;
 use super::gateways::Gateways;
-use super::request::{Flow, Plan};
+use super::request::{Flow, PlannedRequest};
 use super::sessions::Sessions;
 use crate::client::CallClient;
 use crate::journal::{Event, Journal, now_us};
@@ -19,36 +19,35 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-/// Requests in progress beyond which a caller sends no more: it stands for people, of whom there
-/// are only so many.
+/// Requests in progress above which a caller sends no more. A caller stands for a limited number of people.
 const MAX_IN_PROGRESS: usize = 5000;
-/// Most callers that send one run-once request at the same time.
+/// Largest number of callers that send one run-once request at the same time.
 const MAX_COPIES: u32 = 3;
-/// Longest pause of a caller whose rate is 0 before it looks again.
-const IDLE_PERIOD: Duration = Duration::from_millis(100);
+/// Interval at which a caller whose rate is 0 checks the rate again.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a caller is made from.
+/// Configuration of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerConfig {
-    /// Its name, by which gateways keep its retry ratio.
+    /// Name under which gateways account for the caller's retry ratio.
     pub name: String,
-    /// Flows.
+    /// Deployment whose flows the caller sends.
     pub deployment: Deployment,
-    /// Bundle in force, for the classes of the routes.
+    /// Bundle in force, which gives the classes of the routes.
     pub bundle: Option<Bundle>,
-    /// Gateways in the order in which it prefers them.
+    /// Gateways in order of preference, with their outbound listeners.
     pub gateways: Vec<(String, SocketAddr)>,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     /// Share of the run-once requests that several callers send at the same time.
     pub double_share: f64,
     /// Seed of the arrivals.
     pub seed: u64,
-    /// Begins the numbers of its sends, which must be unique in a run.
+    /// First number of the caller's sends, which must be unique in a run.
     pub first_number: u64,
 }
 
-/// What the requests of a caller share.
+/// State shared by all requests of a caller.
 #[derive(Debug)]
 pub(super) struct Shared {
     pub(super) name: String,
@@ -102,7 +101,7 @@
         }
     }
 
-    /// Sends requests for ever, and carries out commands; ends when the commands end.
+    /// Sends requests and applies commands until the command channel closes.
     pub async fn run(&mut self, commands: &mut UnboundedReceiver<CallerCommand>) {
         let mut due = Instant::now();
         loop {
@@ -112,7 +111,7 @@
             loop {
                 tokio::select! {
                     command = commands.recv() => match command {
-                        Some(command) => self.carry_out(command),
+                        Some(command) => self.apply(command),
                         None => return,
                     },
                     () = &mut sending => break,
@@ -129,17 +128,17 @@
         while self.in_progress.join_next().await.is_some() {}
     }
 
-    fn carry_out(&mut self, command: CallerCommand) {
+    fn apply(&mut self, command: CallerCommand) {
         match command {
             CallerCommand::Gateway { name, address } => self.shared.gateways.set(&name, address),
             CallerCommand::Rate(rate) => self.rate = rate,
         }
     }
 
-    /// Gaps between requests are exponential, as those between independent people's requests.
+    /// Gaps between requests are exponentially distributed, as between requests of independent users.
     fn next_due(&mut self, last: Instant) -> Instant {
         if self.rate <= 0.0 {
-            return Instant::now() + IDLE_PERIOD;
+            return Instant::now() + IDLE_CHECK_INTERVAL;
         }
         let unit: f64 = 1.0 - self.random.random::<f64>();
         last + Duration::from_secs_f64(-unit.ln() / self.rate)
@@ -154,7 +153,7 @@
             return;
         }
         let late_us = u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX);
-        let plan = Plan {
+        let plan = PlannedRequest {
             request: RequestId(self.random.random()),
             due,
             due_us: now_us().saturating_sub(late_us),
@@ -163,7 +162,7 @@
             flow,
         };
         let shared = Arc::clone(&self.shared);
-        self.in_progress.spawn(plan.carry_out(shared));
+        self.in_progress.spawn(plan.send_all(shared));
     }
 
     fn pick_flow(&mut self) -> Arc<Flow> {
--- a/crates/bramblewheel-lab/src/caller/mod.rs
+++ b/crates/bramblewheel-lab/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! Callers at the far end: open-loop load by a deployment's flows, resends, sessions.
+//! Callers outside the deployment: open-loop load by its flows, with resends and sessions.
 
 mod command;
 mod gateways;
--- a/crates/bramblewheel-lab/src/caller/request.rs
+++ b/crates/bramblewheel-lab/src/caller/request.rs
@@ -1,4 +1,4 @@
-//! One request, from its first send to its last.
+//! Sends one request, with resends, until it is settled.
 
 use super::gateways::Gateway;
 use super::load::Shared;
@@ -17,51 +17,51 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// Most sends by one caller, the first included.
+/// Largest number of sends by one caller, including the first.
 const MAX_SENDS: u32 = 4;
-/// Pause before a resend after an answer that names no time.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Time left below which nothing is sent again.
+/// Pause before a resend when the answer gives no retry time.
+const DEFAULT_PAUSE: Duration = Duration::from_millis(50);
+/// Remaining time below which a request is not sent.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
-/// What a caller sees of a gateway that is down.
-const NOT_SENT: CallerOutcome = CallerOutcome::Nothing {
+/// Outcome of a send when the gateway is down.
+const NOT_CONNECTED: CallerOutcome = CallerOutcome::Nothing {
     failure: Failure::NotConnected,
 };
 
-/// A kind of request.
+/// A flow of the deployment with the class of its route.
 #[derive(Debug)]
 pub(super) struct Flow {
     pub(super) model: FlowModel,
     pub(super) criticality: Criticality,
 }
 
-/// A request that is due.
+/// A request that is due to be sent.
 #[derive(Clone, Debug)]
-pub(super) struct Plan {
+pub(super) struct PlannedRequest {
     pub(super) flow: Arc<Flow>,
     pub(super) request: RequestId,
     pub(super) due: Instant,
     pub(super) due_us: u64,
-    /// Callers that send it at the same time, each through another gateway.
+    /// Number of callers that send it at the same time, each through a different gateway.
     pub(super) copies: u32,
-    /// Picks the session; none if the request belongs to none.
+    /// Random number that selects the session; none if the request belongs to no session.
     pub(super) session_draw: Option<u32>,
 }
 
-/// What the copies of one request share.
+/// State shared by all copies of one request.
 struct Request {
     shared: Arc<Shared>,
-    plan: Plan,
+    plan: PlannedRequest,
     deadline: Instant,
     operation: Option<(OperationKey, u128)>,
-    /// Sends so far, of all copies: the resend number of the next.
+    /// Number of sends of all copies so far, which is the resend number of the next.
     sends: AtomicU32,
 }
 
-impl Plan {
+impl PlannedRequest {
     /// Sends the request until it is settled or its deadline has passed.
-    pub(super) async fn carry_out(self, shared: Arc<Shared>) {
+    pub(super) async fn send_all(self, shared: Arc<Shared>) {
         let model = &self.flow.model;
         let request = Arc::new(Request {
             deadline: self.due + Duration::from_millis(model.deadline_ms),
@@ -78,7 +78,7 @@
     }
 }
 
-fn operation(plan: &Plan) -> (OperationKey, u128) {
+fn operation(plan: &PlannedRequest) -> (OperationKey, u128) {
     let key = format!("{}-{}", plan.flow.model.name, plan.request);
     let key = OperationKey::new(&key).expect("names and ids are visible ASCII");
     let minted = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -86,26 +86,26 @@
 }
 
 impl Request {
-    /// Stays with a gateway that answers: it remembers what became of the earlier sends. Goes on
-    /// to the next when it is silent or leaving.
+    /// Resends through the same gateway as long as it answers, because it knows the outcome of the earlier sends.
+    /// Switches to the next gateway when this one does not answer or is leaving.
     async fn send_until_settled(self: Arc<Self>, copy: u32) {
         let mut gateway_number = copy;
-        let mut unsent = None;
+        let mut unused_resend = None;
         for _ in 0..MAX_SENDS {
-            let left = self.deadline.saturating_duration_since(Instant::now());
-            if left < MIN_TIME_LEFT {
+            let time_left = self.deadline.saturating_duration_since(Instant::now());
+            if time_left < MIN_TIME_LEFT {
                 return;
             }
             let Some(gateway) = self.shared.gateways.nth(gateway_number) else {
                 return;
             };
-            let resend = unsent.take().unwrap_or_else(|| self.next_resend());
-            let reply = self.send(&gateway, resend, left).await;
-            if reply.reply.outcome == NOT_SENT {
-                // Nothing left this caller, so that the next try is no resend.
-                unsent = Some(resend);
+            let resend = unused_resend.take().unwrap_or_else(|| self.next_resend());
+            let reply = self.send(&gateway, resend, time_left).await;
+            if reply.reply.outcome == NOT_CONNECTED {
+                // Nothing was sent, so the next send reuses this resend number.
+                unused_resend = Some(resend);
             }
-            if leads_elsewhere(reply.reply.outcome) {
+            if should_switch_gateway(reply.reply.outcome) {
                 self.shared.gateways.avoid(&gateway.name);
                 gateway_number += 1;
             }
@@ -120,25 +120,25 @@
         self.sends.fetch_add(1, Ordering::Relaxed)
     }
 
-    async fn send(&self, gateway: &Gateway, resend: u32, left: Duration) -> CallReply {
+    async fn send(&self, gateway: &Gateway, resend: u32, time_left: Duration) -> CallReply {
         let session = match self.plan.session_draw {
             Some(draw) => self.shared.sessions.pick(draw),
             None => SessionUse::None,
         };
         let send = self.shared.next_number();
-        let sent = self.describe(send, resend, gateway, left, &session);
-        let call = self.outgoing(&sent, gateway, left, &session);
+        let sent = self.describe(send, resend, gateway, time_left, &session);
+        let call = self.outgoing(&sent, gateway, time_left, &session);
         let journal = &self.shared.journal;
         journal.write(Event::Sent(sent));
         let guard = UnansweredSend {
             shared: &self.shared,
             send,
-            is_over: false,
+            has_ended: false,
         };
         let reply = self.shared.client.call(&call).await;
         guard.ended(reply.reply);
         if let (SessionUse::Open(index), Some(token)) = (session, &reply.session) {
-            self.shared.sessions.opened(index, token.clone());
+            self.shared.sessions.store_token(index, token.clone());
         }
         reply
     }
@@ -148,7 +148,7 @@
         send: u64,
         resend: u32,
         gateway: &Gateway,
-        left: Duration,
+        time_left: Duration,
         session: &SessionUse,
     ) -> RootSend {
         let flow = &self.plan.flow;
@@ -166,7 +166,7 @@
             operation: self.operation.as_ref().map(|(key, _)| key.clone()),
             session,
             gateway: gateway.name.clone(),
-            timeout_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
+            timeout_ms: u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX),
             due_us: self.plan.due_us,
         }
     }
@@ -207,19 +207,19 @@
     }
 }
 
-/// When to send again; none when the request is settled or sending again is of no use.
+/// Pause before the next send; none when the request is settled or would be refused again.
 fn pause_before_resend(reply: &CallReply) -> Option<Duration> {
     match reply.reply.outcome {
         CallerOutcome::Completed | CallerOutcome::Failed => None,
-        CallerOutcome::NotRun { reason } if is_lasting(reason) => None,
+        CallerOutcome::NotRun { reason } if is_permanent(reason) => None,
         CallerOutcome::NotRun { .. } | CallerOutcome::Unknown | CallerOutcome::Nothing { .. } => {
-            Some(reply.retry_after.unwrap_or(PAUSE))
+            Some(reply.retry_after.unwrap_or(DEFAULT_PAUSE))
         }
     }
 }
 
-/// Whether another gateway may do better.
-fn leads_elsewhere(outcome: CallerOutcome) -> bool {
+/// Whether the next send should go to another gateway.
+fn should_switch_gateway(outcome: CallerOutcome) -> bool {
     match outcome {
         CallerOutcome::Nothing { .. } => true,
         CallerOutcome::NotRun { reason } => {
@@ -230,23 +230,23 @@
 }
 
 /// Whether the same request would be refused again.
-fn is_lasting(reason: NotRunReason) -> bool {
+fn is_permanent(reason: NotRunReason) -> bool {
     matches!(
         reason,
         NotRunReason::InvalidRequest | NotRunReason::OperationExpired | NotRunReason::TooDeep
     )
 }
 
-/// A send that is not answered yet; the caller's own end is written down as a lost answer.
+/// A send that is not answered yet. If it is dropped before, the journal records that no answer came.
 struct UnansweredSend<'a> {
     shared: &'a Shared,
     send: u64,
-    is_over: bool,
+    has_ended: bool,
 }
 
 impl UnansweredSend<'_> {
     fn ended(mut self, reply: ReplyFromDaemon) {
-        self.is_over = true;
+        self.has_ended = true;
         let send = self.send;
         self.shared.journal.write(Event::SendEnded { send, reply });
     }
@@ -254,7 +254,7 @@
 
 impl Drop for UnansweredSend<'_> {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.has_ended {
             return;
         }
         let failure = Failure::Silent;
--- a/crates/bramblewheel-lab/src/caller/sessions.rs
+++ b/crates/bramblewheel-lab/src/caller/sessions.rs
@@ -1,24 +1,24 @@
-//! Session tokens that a caller holds.
+//! Session tokens of a caller.
 
 use std::sync::{Mutex, MutexGuard};
 
-/// Sessions that one caller keeps open.
+/// Number of sessions that one caller keeps open.
 const SESSION_COUNT: usize = 40;
 
-/// The sessions of a caller; each is opened by the first request that wants it.
+/// The sessions of a caller; each is opened by the first request that uses it.
 #[derive(Debug)]
 pub(super) struct Sessions {
     tokens: Mutex<Vec<Option<String>>>,
 }
 
-/// What a request says of its session.
+/// How a request uses a session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum SessionUse {
-    /// It belongs to none.
+    /// The request belongs to no session.
     None,
-    /// It asks for the session of this number to be opened.
+    /// The request asks to open the session with this index.
     Open(usize),
-    /// It belongs to an open session.
+    /// The request belongs to the open session with this index and token.
     Token(usize, String),
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Sessions {
-    /// A use of the session that a random number picks.
+    /// Selects the session by a random number.
     pub(super) fn pick(&self, random: u32) -> SessionUse {
         let index = random as usize % SESSION_COUNT;
         match &self.lock()[index] {
@@ -40,12 +40,12 @@
         }
     }
 
-    /// Keeps the token of a session that was opened. Of two, the first stays.
-    pub(super) fn opened(&self, index: usize, token: String) {
+    /// Stores the token of a session that was opened. If several requests opened it, the first token stays.
+    pub(super) fn store_token(&self, index: usize, token: String) {
         self.lock()[index].get_or_insert(token);
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Option<String>>> {
-        self.tokens.lock().expect("nothing panics under the lock")
+        self.tokens.lock().expect("no holder of the lock panics")
     }
 }
--- a/crates/bramblewheel-lab/src/client.rs
+++ b/crates/bramblewheel-lab/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a daemon's outbound listener, by endpoints and by outside callers.
+//! HTTP client for a daemon's outbound listener, used by endpoints and by callers.
 
 use crate::answer;
 use crate::journal::{CallerOutcome, Failure, ReplyFromDaemon};
@@ -15,13 +15,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Wait beyond the deadline before a caller holds a daemon for silent.
-pub const SILENCE_GRACE: Duration = Duration::from_secs(2);
-/// Idle connections older than this are closed; well below the daemons' own limit, so that a
-/// request does not meet a connection that is just being closed.
-const MAX_IDLE: Duration = Duration::from_secs(5);
+/// Time after the deadline at which a caller stops waiting for the daemon's answer.
+pub const ANSWER_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
+/// Connections that have been idle for longer are closed. Well below the daemons' own idle limit, so that no
+/// request is sent on a connection that the daemon is just closing.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(5);
 
-/// A client that keeps connections, as applications do.
+/// A client that reuses connections, as applications do.
 #[derive(Clone, Debug)]
 pub struct CallClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -32,24 +32,24 @@
 pub struct OutgoingCall {
     /// Outbound listener of a daemon.
     pub daemon: SocketAddr,
-    /// Path.
+    /// Path of the request.
     pub path: String,
-    /// Header fields.
+    /// Header fields to send.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body of the request.
     pub body: Bytes,
-    /// Original request, to check the answer.
+    /// Original request; the answer is checked against it.
     pub request: RequestId,
     /// Time until the deadline.
     pub timeout: Duration,
 }
 
-/// What came back.
+/// Result of a call.
 #[derive(Clone, Debug)]
 pub struct CallReply {
     /// How the request ended for the caller.
     pub reply: ReplyFromDaemon,
-    /// When it may come back.
+    /// Time after which the request may be sent again.
     pub retry_after: Option<Duration>,
     /// Token of a session that was opened.
     pub session: Option<String>,
@@ -61,7 +61,7 @@
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(Duration::from_secs(1)));
         let client = Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(MAX_IDLE)
+            .pool_idle_timeout(MAX_IDLE_TIME)
             .build(connector);
         Self { client }
     }
@@ -70,11 +70,11 @@
 impl CallClient {
     /// Makes a call and checks every byte of a completed answer.
     pub async fn call(&self, call: &OutgoingCall) -> CallReply {
-        let patience = call.timeout + SILENCE_GRACE;
-        match tokio::time::timeout(patience, self.exchange(call)).await {
+        let timeout = call.timeout + ANSWER_TIMEOUT_MARGIN;
+        match tokio::time::timeout(timeout, self.exchange(call)).await {
             Ok(Ok(reply)) => reply,
-            Ok(Err(failure)) => nothing(failure),
-            Err(_) => nothing(Failure::Silent),
+            Ok(Err(failure)) => no_answer(failure),
+            Err(_) => no_answer(Failure::Silent),
         }
     }
 
@@ -101,7 +101,7 @@
     }
 }
 
-fn nothing(failure: Failure) -> CallReply {
+fn no_answer(failure: Failure) -> CallReply {
     CallReply {
         reply: ReplyFromDaemon {
             outcome: CallerOutcome::Nothing { failure },
@@ -155,7 +155,7 @@
     }
 }
 
-/// The text of a header field.
+/// The text of a header field; none if it is missing or not visible ASCII.
 pub fn text<'a>(map: &'a HeaderMap, name: &str) -> Option<&'a str> {
     map.get(name)?.to_str().ok()
 }
@@ -163,7 +163,7 @@
 /// Sets a header field to a value of visible ASCII characters.
 ///
 /// # Panics
-/// When the value has other characters.
+/// Panics when the value has other characters.
 pub fn set(map: &mut HeaderMap, name: &'static str, value: impl ToString) {
     let value = HeaderValue::try_from(value.to_string())
         .expect("ids, numbers and names consist of visible ASCII");
--- a/crates/bramblewheel-lab/src/commands/caller.rs
+++ b/crates/bramblewheel-lab/src/commands/caller.rs
@@ -69,13 +69,15 @@
     }
 }
 
-/// Sends load until the time is over or it is told to stop, then waits for the answers.
+/// Sends load until the duration has passed or a stop signal arrives, then waits for outstanding answers.
 ///
 /// # Errors
-/// [`CommandError`] when it can't start, or standard input ends.
+/// [`CommandError`] when the caller can't start, or when standard input ends.
 pub fn run(options: CallerOptions) -> Result<(), CommandError> {
     if !(options.rate.is_finite() && options.rate >= 0.0) {
-        return Err(CommandError::BadInput("--rate: not a rate".to_owned()));
+        return Err(CommandError::BadInput(
+            "--rate: must be a finite number, 0 or above".to_owned(),
+        ));
     }
     let deployment = Deployments::load(&options.deployment)?;
     let example = Deployments::example(&options.deployment).ok();
@@ -99,20 +101,20 @@
     config: CallerConfig,
     folder: &Path,
     duration: Option<Duration>,
-    takes_commands: bool,
+    reads_commands: bool,
 ) -> Result<(), CommandError> {
-    let mut stop = signals::stop()?;
+    let mut stop_signals = signals::stop_signals()?;
     let journal =
         Journal::open(folder, &config.name).map_err(|error| CommandError::file(folder, error))?;
     let mut caller = Caller::new(config, journal);
-    // Without commands, the sender is only kept so that the caller goes on.
-    let (_kept, unused) = mpsc::unbounded_channel();
-    let mut commands = if takes_commands {
+    // Without commands, the sender is kept open because the caller ends when the channel closes.
+    let (_sender, idle_receiver) = mpsc::unbounded_channel();
+    let mut commands = if reads_commands {
         stdin_commands::read::<CallerCommand>()
     } else {
-        unused
+        idle_receiver
     };
-    let time = async {
+    let time_limit = async {
         match duration {
             Some(duration) => tokio::time::sleep(duration).await,
             None => std::future::pending().await,
@@ -120,10 +122,10 @@
     };
     tokio::select! {
         () = caller.run(&mut commands) => {
-            return Err(CommandError::Broken("standard input ended".to_owned()));
+            return Err(CommandError::RunFailed("standard input ended".to_owned()));
         }
-        () = stop.wait() => {}
-        () = time => {}
+        () = stop_signals.wait() => {}
+        () = time_limit => {}
     }
     caller.finish().await;
     Ok(())
--- a/crates/bramblewheel-lab/src/commands/endpoint.rs
+++ b/crates/bramblewheel-lab/src/commands/endpoint.rs
@@ -41,10 +41,10 @@
     pub commands: bool,
 }
 
-/// Runs endpoints until they are told to stop.
+/// Runs endpoints until a stop signal arrives.
 ///
 /// # Errors
-/// [`CommandError`] when they can't start.
+/// [`CommandError`] when an endpoint can't start, or when standard input ends.
 pub fn run(options: EndpointOptions) -> Result<(), CommandError> {
     let deployment = Deployments::load(&options.deployment)?;
     let configs = options.name.iter().enumerate();
@@ -88,9 +88,9 @@
 async fn serve(
     configs: Vec<EndpointConfig>,
     folder: &Path,
-    takes_commands: bool,
+    reads_commands: bool,
 ) -> Result<(), CommandError> {
-    let mut stop = signals::stop()?;
+    let mut stop_signals = signals::stop_signals()?;
     let mut endpoints: Vec<(EndpointId, RunningEndpoint)> = Vec::new();
     for config in configs {
         let journal = Journal::open(folder, config.name.name())
@@ -101,19 +101,19 @@
         eprintln!("level=info msg=listening address={address} listener={name}");
         endpoints.push((config.name, endpoint));
     }
-    if takes_commands {
+    if reads_commands {
         let mut commands = stdin_commands::read::<EndpointCommand>();
         loop {
             tokio::select! {
                 command = commands.recv() => match command {
-                    Some(command) => carry_out(&endpoints, &command),
-                    None => return Err(CommandError::Broken("standard input ended".to_owned())),
+                    Some(command) => apply(&endpoints, &command),
+                    None => return Err(CommandError::RunFailed("standard input ended".to_owned())),
                 },
-                () = stop.wait() => break,
+                () = stop_signals.wait() => break,
             }
         }
     } else {
-        stop.wait().await;
+        stop_signals.wait().await;
     }
     for (_, endpoint) in endpoints {
         endpoint.stop().await;
@@ -121,7 +121,7 @@
     Ok(())
 }
 
-fn carry_out(endpoints: &[(EndpointId, RunningEndpoint)], command: &EndpointCommand) {
+fn apply(endpoints: &[(EndpointId, RunningEndpoint)], command: &EndpointCommand) {
     let mut endpoints = endpoints.iter();
     match endpoints.find(|(name, _)| name.name() == command.endpoint) {
         Some((_, endpoint)) => endpoint.change(command.change),
--- a/crates/bramblewheel-lab/src/commands/fleet.rs
+++ b/crates/bramblewheel-lab/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on loopback: start, load, check, stop.
+//! Runs a whole deployment on loopback: starts it, loads it, stops it and checks the journals.
 
 use crate::check::{CheckLimits, History, check_all};
 use crate::deployments::{Deployments, Example};
@@ -20,7 +20,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Time after which a leaving endpoint may receive nothing new.
+/// Time after which a leaving endpoint must receive no new work.
 const LEAVING_BOUND: Duration = Duration::from_secs(3);
 
 /// Arguments of `fleet`.
@@ -60,8 +60,8 @@
     pub seed: u64,
 }
 
-/// The load without a script: 10 seconds, no faults.
-fn plain_script() -> Script {
+/// Default load without a script: 10 seconds, no faults.
+fn default_script() -> Script {
     Script {
         duration: Duration::from_secs(10),
         rate: 100.0,
@@ -73,13 +73,13 @@
 /// Runs a fleet.
 ///
 /// # Errors
-/// [`CommandError::CheckFailed`] when a checker found something or too little was served,
-/// [`CommandError::Broken`] when the run itself broke.
+/// [`CommandError::CheckFailed`] when a checker found a violation or too little was served,
+/// [`CommandError::RunFailed`] when the run could not be carried out.
 pub fn run(options: FleetOptions) -> Result<(), CommandError> {
     let example = Deployments::example(&options.deployment)?;
-    if let Some(kept) = &options.recheck {
+    if let Some(folder) = &options.recheck {
         let deployment = example.deployment();
-        let journal = kept.join("journal");
+        let journal = folder.join("journal");
         let (summary, text) = check(example, &deployment, &journal, String::new())?;
         report(&summary, &text, &options)?;
         return record(example, &journal, &options);
@@ -112,7 +112,7 @@
             script::parse(&file.display().to_string(), &text)
                 .map_err(|error| CommandError::BadInput(error.to_string()))?
         }
-        None => plain_script(),
+        None => default_script(),
     };
     let is_positive = |number: f64| number.is_finite() && number > 0.0;
     if let Some(seconds) = options.seconds {
@@ -134,8 +134,8 @@
     Ok(script)
 }
 
-/// Runs the processes. The folder comes back in any case; with it the first line of the report,
-/// or why the run broke.
+/// Runs the processes. Returns the folder in any case, with the first line of the report or the error that ended
+/// the run.
 async fn run_fleet(
     example: &Example,
     deployment: &Deployment,
@@ -143,12 +143,12 @@
     options: &FleetOptions,
     folder: RunFolder,
 ) -> Result<(RunFolder, Result<String, FleetError>), CommandError> {
-    let mut stop = signals::stop()?;
+    let mut stop_signals = signals::stop_signals()?;
     let plan = Plan::new(deployment);
     let fleet = Fleet::new(example.name, deployment.region.clone(), plan, folder)?;
     let outcome = tokio::select! {
         outcome = drive(&fleet, example, script, options) => outcome,
-        () = stop.wait() => Err(FleetError::Interrupted),
+        () = stop_signals.wait() => Err(FleetError::Interrupted),
     };
     fleet.kill_all().await;
     Ok((fleet.into_folder(), outcome))
@@ -215,7 +215,7 @@
     Err(CommandError::CheckFailed("a check failed".to_owned()))
 }
 
-/// Writes the trace of a run whose checks have passed, if one is asked for.
+/// Writes the trace of a run whose checks have passed, if `--record` is given.
 fn record(example: &Example, journal: &Path, options: &FleetOptions) -> Result<(), CommandError> {
     let Some(file) = &options.record else {
         return Ok(());
@@ -233,7 +233,7 @@
     Ok(())
 }
 
-/// The command that a trace was recorded with, for its readers.
+/// The command line that a trace was recorded with; stored in the trace as information.
 fn command_line(options: &FleetOptions) -> String {
     let mut command = format!("bramblewheel-lab fleet {}", options.deployment);
     if let Some(script) = &options.script {
--- a/crates/bramblewheel-lab/src/commands/hidden.rs
+++ b/crates/bramblewheel-lab/src/commands/hidden.rs
@@ -1,9 +1,9 @@
-//! Commands that the lab starts itself with: one daemon, one control replica.
+//! Hidden commands with which the lab starts its own executable as a daemon or a control replica.
 //!
-//! They end when their standard input ends, so that none outlives the fleet runner.
+//! The processes abort when their standard input ends, so that none outlives the fleet runner.
 
 use crate::error::CommandError;
-use crate::stdin_commands::end_with_parent;
+use crate::stdin_commands::exit_with_parent;
 use bramblewheel_process::invariants::abort_on_panic;
 use bramblewheel_process::settings::SettingsFile;
 use gumdrop::Options;
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 use tokio::runtime::{Builder, Runtime};
 
-/// Threads of a replica, as in its own program.
+/// Threads of a control replica, as in the `bramblewheel-control` program.
 const WORKER_THREADS: usize = 2;
 
 /// Arguments of `run-daemon` and `run-control`.
@@ -25,39 +25,39 @@
     pub settings: PathBuf,
 }
 
-/// Runs one daemon until it is told to stop.
+/// Runs one daemon until it is asked to stop.
 ///
 /// # Errors
-/// [`CommandError`] when it can't start.
+/// [`CommandError`] when the daemon can't start.
 pub fn run_daemon(options: SettingsOptions) -> Result<(), CommandError> {
-    end_with_parent();
+    exit_with_parent();
     let overrides = bramblewheel_daemon::settings::Overrides::default();
     let settings = bramblewheel_daemon::Settings::load(&options.settings, overrides)
         .map_err(|error| CommandError::BadInput(error.to_string()))?;
     bramblewheel_daemon::process::run(settings)
-        .map_err(|error| CommandError::Broken(error.to_string()))
+        .map_err(|error| CommandError::RunFailed(error.to_string()))
 }
 
-/// Runs one control replica until it is told to stop.
+/// Runs one control replica until it is asked to stop.
 ///
 /// # Errors
-/// [`CommandError`] when it can't start or breaks.
+/// [`CommandError`] when the replica can't start or does not stop with success.
 pub fn run_control(options: SettingsOptions) -> Result<(), CommandError> {
-    end_with_parent();
+    exit_with_parent();
     abort_on_panic();
     let overrides = bramblewheel_control::settings::Overrides::default();
     let settings = bramblewheel_control::Settings::load(&options.settings, overrides)
         .map_err(|error| CommandError::BadInput(error.to_string()))?;
-    let code = runtime()?.block_on(bramblewheel_control::run(settings));
+    let code = build_runtime()?.block_on(bramblewheel_control::run(settings));
     if code == ExitCode::SUCCESS {
         return Ok(());
     }
-    Err(CommandError::Broken(
-        "the replica did not stop as planned".to_owned(),
+    Err(CommandError::RunFailed(
+        "the control replica exited with a failure status".to_owned(),
     ))
 }
 
-fn runtime() -> std::io::Result<Runtime> {
+fn build_runtime() -> std::io::Result<Runtime> {
     Builder::new_multi_thread()
         .worker_threads(WORKER_THREADS)
         .enable_all()
--- a/crates/bramblewheel-lab/src/commands/mod.rs
+++ b/crates/bramblewheel-lab/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, one module each.
+//! The commands of the program, one module each.
 
 pub mod caller;
 pub mod endpoint;
@@ -11,18 +11,18 @@
 use crate::error::CommandError;
 use crate::options::{Arguments, BenchCommand, Command};
 
-/// Runs the command given.
+/// Runs the command given on the command line.
 ///
 /// # Errors
-/// [`CommandError`] of the command, or of the command line when it names none.
+/// [`CommandError`] of the command, or [`CommandError::BadInput`] when none is given.
 pub fn run(arguments: Arguments) -> Result<(), CommandError> {
-    let incomplete = || CommandError::BadInput("no command given; see `--help`".to_owned());
-    match arguments.command.ok_or_else(incomplete)? {
+    let no_command = || CommandError::BadInput("no command given; see `--help`".to_owned());
+    match arguments.command.ok_or_else(no_command)? {
         Command::Endpoint(options) => endpoint::run(options),
         Command::Caller(options) => caller::run(options),
         Command::Fleet(options) => fleet::run(options),
         Command::Sim(options) => sim::run(options),
-        Command::Bench(options) => match options.command.ok_or_else(incomplete)? {
+        Command::Bench(options) => match options.command.ok_or_else(no_command)? {
             BenchCommand::Latency(options) => bench::latency::run(options),
         },
         Command::RunDaemon(options) => hidden::run_daemon(options),
--- a/crates/bramblewheel-lab/src/commands/record.rs
+++ b/crates/bramblewheel-lab/src/commands/record.rs
@@ -1,4 +1,4 @@
-//! Recording of a simulated run as a trace; see `docs/TRACES.md`.
+//! Records a simulated run as a trace; see `docs/TRACES.md`.
 
 use crate::error::CommandError;
 use bramblewheel_sim::trace::{parse_plan, record, replay, to_toml};
@@ -26,8 +26,8 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`CommandError::BadInput`] when the plan can't be used, [`CommandError::CheckFailed`] when the
-/// run does not bring what the plan states, or its replay something else than the run.
+/// [`CommandError::BadInput`] when the plan can't be used, [`CommandError::CheckFailed`] when the run does not
+/// yield what the plan states or the replay yields other outcomes than the run.
 pub fn run(options: &RecordOptions) -> Result<(), CommandError> {
     let path = &options.plan;
     let text = fs::read_to_string(path).map_err(|error| CommandError::file(path, error))?;
--- a/crates/bramblewheel-lab/src/commands/sim.rs
+++ b/crates/bramblewheel-lab/src/commands/sim.rs
@@ -1,4 +1,4 @@
-//! The deterministic simulator from the command line.
+//! Command-line interface of the deterministic simulator.
 
 use crate::commands::record::{self, RecordOptions};
 use crate::error::CommandError;
@@ -57,7 +57,8 @@
 /// Runs the command.
 ///
 /// # Errors
-/// [`CommandError`] when an outcome does not hold on some seed, or the scenario can't be used.
+/// [`CommandError::CheckFailed`] when an outcome does not hold on some seed, other variants when the scenario can't
+/// be used.
 pub fn run(options: SimOptions) -> Result<(), CommandError> {
     match options.command {
         Some(SimCommand::List(_)) => list(),
@@ -72,7 +73,7 @@
 fn list() -> Result<(), CommandError> {
     for built_in in BUILT_IN {
         let scenario = built_in.scenario();
-        let scenario = scenario.map_err(|error| CommandError::Broken(error.to_string()))?;
+        let scenario = scenario.map_err(|error| CommandError::RunFailed(error.to_string()))?;
         println!("{:28} {}", built_in.name, scenario.header.summary);
     }
     Ok(())
@@ -103,7 +104,7 @@
 fn load(name: &str) -> Result<Scenario, CommandError> {
     if let Some(built_in) = built_in(name) {
         let scenario = built_in.scenario();
-        return scenario.map_err(|error| CommandError::Broken(error.to_string()));
+        return scenario.map_err(|error| CommandError::RunFailed(error.to_string()));
     }
     let path = Path::new(name);
     if !path.exists() {
--- a/crates/bramblewheel-lab/src/deployments.rs
+++ b/crates/bramblewheel-lab/src/deployments.rs
@@ -1,4 +1,4 @@
-//! The example deployments, carried in the program so that it runs from any folder.
+//! The example deployments, compiled into the program so that it runs from any folder.
 
 use crate::error::CommandError;
 use bramblewheel_bundle::{Bundle, OperatorKey, canonical, digest};
@@ -14,14 +14,14 @@
     };
 }
 
-/// Finds deployments by name or file.
+/// Loads deployments by name or from a file.
 #[derive(Debug)]
 pub struct Deployments;
 
-/// An example deployment with its first bundle and its operators' trial keys.
+/// An example deployment with its first bundle and the trial keys of its operators.
 #[derive(Debug)]
 pub struct Example {
-    /// Name.
+    /// Name by which the example is chosen.
     pub name: &'static str,
     deployment: &'static str,
     bundle: &'static str,
@@ -53,7 +53,7 @@
     /// Loads a deployment from a file, or an example by its name.
     ///
     /// # Errors
-    /// [`CommandError::BadInput`] when there is none, or it is wrong.
+    /// [`CommandError::BadInput`] when there is no such deployment or the file is invalid.
     pub fn load(name_or_file: &str) -> Result<Deployment, CommandError> {
         if let Ok(example) = Self::example(name_or_file) {
             return Ok(example.deployment());
@@ -63,10 +63,10 @@
         parse(name_or_file, &text).map_err(|error| CommandError::BadInput(error.to_string()))
     }
 
-    /// The example of that name.
+    /// Looks up an example by name.
     ///
     /// # Errors
-    /// [`CommandError::BadInput`] when there is none.
+    /// [`CommandError::BadInput`] when there is no such example.
     pub fn example(name: &str) -> Result<&'static Example, CommandError> {
         let found = EXAMPLES.iter().find(|example| example.name == name);
         found.ok_or_else(|| {
@@ -81,43 +81,43 @@
     /// The deployment.
     ///
     /// # Panics
-    /// Never: a test reads all examples.
+    /// Never panics: a test parses all examples.
     pub fn deployment(&self) -> Deployment {
-        parse(self.name, self.deployment).expect("the examples are valid")
+        parse(self.name, self.deployment).expect("examples are valid")
     }
 
-    /// Text of the deployment.
+    /// TOML text of the deployment.
     pub fn deployment_text(&self) -> &'static str {
         self.deployment
     }
 
-    /// Text of its first bundle.
+    /// TOML text of its first bundle.
     pub fn bundle_text(&self) -> &'static str {
         self.bundle
     }
 
-    /// Its bundle, with another version number.
+    /// The example's bundle with the given version number.
     ///
     /// # Panics
-    /// Never: a test reads all examples.
+    /// Never panics: a test parses all examples.
     pub fn bundle(&self, version: u64) -> Bundle {
         let bundle = bramblewheel_bundle::parse(self.name, self.bundle);
-        let mut bundle = bundle.expect("the examples are valid");
+        let mut bundle = bundle.expect("examples are valid");
         bundle.version = BundleVersion(version);
         bundle
     }
 
-    /// Its bundle, with another version number, signed by its trial operators.
+    /// The example's bundle with the given version number, signed with the trial keys.
     ///
     /// # Panics
-    /// Never: a test reads all examples.
+    /// Never panics: a test parses all examples.
     pub fn signed_bundle(&self, version: u64) -> SignedBundle {
         let bundle = self.bundle(version);
         let bytes = canonical::encode(&bundle);
         let digest = digest(&bytes);
         let keys = self.keys.iter().map(|text| OperatorKey::parse(text));
         let signatures = keys.map(|key| {
-            let key = key.expect("the examples are valid");
+            let key = key.expect("examples are valid");
             BundleSignature {
                 operator: key.name().to_owned(),
                 signature: key.sign(digest).to_vec(),
--- a/crates/bramblewheel-lab/src/endpoint/command.rs
+++ b/crates/bramblewheel-lab/src/endpoint/command.rs
@@ -1,27 +1,27 @@
-//! Commands that an endpoint takes while it runs.
+//! Commands that an endpoint reads while it runs.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// A command for one of a process's endpoints, as the line `ENDPOINT CHANGE`.
+/// A command for one endpoint of the process, written as the line `ENDPOINT CHANGE`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointCommand {
     /// Name of the endpoint.
     pub endpoint: String,
-    /// What is to change.
+    /// Change to apply.
     pub change: EndpointChange,
 }
 
-/// What is to change at an endpoint.
+/// Change of an endpoint's state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointChange {
-    /// `daemon ADDRESS`: sub-calls go to this outbound listener.
+    /// `daemon ADDRESS`: send sub-calls to this outbound listener.
     Daemon(SocketAddr),
-    /// `slow FACTOR`: work takes this many times as long as usual.
+    /// `slow FACTOR`: multiply work times by this factor.
     Slow(f64),
-    /// `leave`: say that it is leaving, refuse what comes, finish what is in progress.
+    /// `leave`: report that the endpoint is draining, refuse new requests, finish those in progress.
     Leave,
-    /// `return`: take new work again.
+    /// `return`: accept new requests again.
     Return,
 }
 
@@ -38,7 +38,7 @@
             [endpoint, "slow", factor] => {
                 let factor: f64 = factor.parse().map_err(|e| format!("{factor}: {e}"))?;
                 if !(factor.is_finite() && factor > 0.0) {
-                    return Err(format!("{factor}: not a positive factor"));
+                    return Err(format!("{factor}: expected a finite factor above 0"));
                 }
                 (endpoint, EndpointChange::Slow(factor))
             }
--- a/crates/bramblewheel-lab/src/endpoint/context.rs
+++ b/crates/bramblewheel-lab/src/endpoint/context.rs
@@ -1,4 +1,4 @@
-//! What the daemon, and the lab's callers through it, tell an endpoint of a request.
+//! Reads the context of a request from the header fields set by the daemon and by the lab's callers.
 
 use crate::client::text;
 use crate::journal::CallContext;
@@ -8,7 +8,7 @@
 use http::HeaderMap;
 use std::str::FromStr;
 
-/// Reads the context of a request, or names the field that is missing or malformed.
+/// Reads the context of a request; the error is the name of the header field that is missing or malformed.
 pub(super) fn read(
     service: &ServiceName,
     path: &str,
--- a/crates/bramblewheel-lab/src/endpoint/load.rs
+++ b/crates/bramblewheel-lab/src/endpoint/load.rs
@@ -1,4 +1,4 @@
-//! The endpoint's own load report, which lags and flatters as the deployment says.
+//! Load report of the endpoint, delayed and understated as configured in the deployment.
 
 use super::state::State;
 use bramblewheel_sim::deployment::ReportModel;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, MissedTickBehavior};
 
-/// Time between two looks at the slots.
+/// Interval at which the number of busy slots is sampled.
 const SAMPLE_PERIOD: Duration = Duration::from_millis(100);
 
 /// Answer to `GET /load`.
@@ -19,14 +19,14 @@
     draining: bool,
 }
 
-/// Busy slots as they were.
+/// Samples of the number of busy slots.
 #[derive(Debug, Default)]
 pub(super) struct LoadHistory {
     samples: Mutex<VecDeque<(Instant, u32)>>,
 }
 
 impl LoadHistory {
-    /// Takes a sample, and forgets those that even a lagging report won't need.
+    /// Adds a sample and drops those older than the lag of the report.
     fn record(&self, busy: u32, lag: Duration) {
         let now = Instant::now();
         let mut samples = self.lock();
@@ -36,18 +36,18 @@
         }
     }
 
-    /// The oldest sample kept: as old as the report lags, once the endpoint has run that long.
+    /// The oldest sample kept: as old as the lag of the report once the endpoint has run for that long.
     fn oldest(&self) -> u32 {
         self.lock().front().map_or(0, |(_, busy)| *busy)
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, VecDeque<(Instant, u32)>> {
         let samples = self.samples.lock();
-        samples.expect("nothing panics under the lock")
+        samples.expect("no holder of the lock panics")
     }
 }
 
-/// Takes samples for ever.
+/// Samples the busy slots until the task is dropped.
 pub(super) async fn sample(state: Arc<State>) {
     let lag = Duration::from_millis(state.model.report.lag_ms);
     let mut ticks = tokio::time::interval(SAMPLE_PERIOD);
@@ -58,16 +58,16 @@
     }
 }
 
-/// The report that the endpoint gives now.
+/// The endpoint's current load report.
 pub(super) fn report(state: &State) -> LoadReport {
     LoadReport {
         slots: state.slots.count(),
-        busy: flattered(state.load.oldest(), state.model.report),
+        busy: understated(state.load.oldest(), state.model.report),
         draining: state.is_leaving(),
     }
 }
 
-fn flattered(busy: u32, model: ReportModel) -> u32 {
+fn understated(busy: u32, model: ReportModel) -> u32 {
     let share = (1.0 - model.flattery).clamp(0.0, 1.0);
     (f64::from(busy) * share).round() as u32
 }
--- a/crates/bramblewheel-lab/src/endpoint/mod.rs
+++ b/crates/bramblewheel-lab/src/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in endpoint: slots, service times, cold start, sub-calls, a load report that lags.
+//! Stand-in endpoint with slots, service times, cold start, sub-calls and a delayed load report.
 
 mod command;
 mod context;
--- a/crates/bramblewheel-lab/src/endpoint/server.rs
+++ b/crates/bramblewheel-lab/src/endpoint/server.rs
@@ -1,9 +1,9 @@
-//! The HTTP side of an endpoint.
+//! HTTP server of an endpoint.
 
 use super::command::EndpointChange;
 use super::slots::Slot;
 use super::state::{EndpointConfig, State};
-use super::sub_calls::{self, Running};
+use super::sub_calls::{self, RunningRequest};
 use super::{context, load};
 use crate::answer;
 use crate::client::set;
@@ -28,14 +28,14 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Time to come back that a refusal states, in milliseconds.
+/// Time after which a refused request may be retried, as stated in the refusal, in milliseconds.
 const RETRY_AFTER_MS: u64 = 50;
 /// Path of the load report.
 const LOAD_PATH: &str = "/load";
 
 type Answer = Response<Full<Bytes>>;
 
-/// An endpoint that listens. Dropping it ends it at once.
+/// An endpoint that is listening. Dropping it aborts all its tasks.
 #[derive(Debug)]
 pub struct RunningEndpoint {
     address: SocketAddr,
@@ -44,11 +44,11 @@
     tasks: JoinSet<()>,
 }
 
-/// Starts an endpoint; returns once it listens. `first_number` begins the numbers of its arrivals
-/// and calls, which must be unique in a run.
+/// Starts an endpoint; returns once it listens. `first_number` is the first number of its arrivals and calls, which
+/// must be unique in a run.
 ///
 /// # Errors
-/// When the address can't be listened on.
+/// The operating system's error when the address can't be bound.
 pub async fn start(
     config: &EndpointConfig,
     first_number: u64,
@@ -65,12 +65,12 @@
         config.clone(),
         stop.subscribe(),
     ));
-    let sampled = Arc::clone(&state);
-    let mut stopped = stop.subscribe();
+    let sampled_state = Arc::clone(&state);
+    let mut stop_receiver = stop.subscribe();
     tasks.spawn(async move {
         tokio::select! {
-            () = load::sample(sampled) => {}
-            _ = stopped.wait_for(|stop| *stop) => {}
+            () = load::sample(sampled_state) => {}
+            _ = stop_receiver.wait_for(|stop| *stop) => {}
         }
     });
     Ok(RunningEndpoint {
@@ -82,17 +82,17 @@
 }
 
 impl RunningEndpoint {
-    /// Address that it listens on.
+    /// Address of its listener.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Carries out a change.
+    /// Applies a change.
     pub fn change(&self, change: EndpointChange) {
         self.state.change(change);
     }
 
-    /// A planned stop: refuses what comes and ends once what is in progress is finished.
+    /// Planned stop: refuses new requests and returns when those in progress have ended.
     pub async fn stop(mut self) {
         self.state.change(EndpointChange::Leave);
         self.stop.send_replace(true);
@@ -106,8 +106,8 @@
     config: EndpointConfig,
     mut stop: watch::Receiver<bool>,
 ) {
-    let permits = Arc::new(Semaphore::new(config.model.connections as usize));
-    let connection_cost = Duration::from_micros(config.network.new_connection_us);
+    let free_connections = Arc::new(Semaphore::new(config.model.connections as usize));
+    let connection_setup = Duration::from_micros(config.network.new_connection_us);
     let mut connections = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -116,13 +116,13 @@
         };
         while connections.try_join_next().is_some() {}
         let Ok((stream, _)) = accepted else { continue };
-        // A connection beyond the limit is closed before a byte is read.
-        let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
+        // A connection above the limit is closed before anything is read from it.
+        let Ok(permit) = Arc::clone(&free_connections).try_acquire_owned() else {
             continue;
         };
         let (state, stop) = (Arc::clone(&state), stop.clone());
         connections.spawn(async move {
-            tokio::time::sleep(connection_cost).await;
+            tokio::time::sleep(connection_setup).await;
             serve(stream, state, stop).await;
             drop(permit);
         });
@@ -131,7 +131,7 @@
 }
 
 async fn serve(stream: TcpStream, state: Arc<State>, mut stop: watch::Receiver<bool>) {
-    // Without it, short answers may wait for the peer's acknowledgement.
+    // With Nagle's algorithm, short answers may be delayed until the peer's acknowledgement.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| handle(Arc::clone(&state), request));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
@@ -142,7 +142,7 @@
     };
     if ended.is_none() {
         connection.as_mut().graceful_shutdown();
-        // A connection that breaks ends in an error, which concerns nobody else.
+        // The error of a broken connection concerns this connection only.
         let _ = connection.await;
     }
 }
@@ -150,46 +150,50 @@
 async fn handle(state: Arc<State>, request: Request<Incoming>) -> Result<Answer, Infallible> {
     if request.uri().path() == LOAD_PATH {
         let report = load::report(&state);
-        let body = serde_json::to_vec(&report).expect("a report has a form in JSON");
+        let body = serde_json::to_vec(&report).expect("a load report can be serialized as JSON");
         return Ok(Response::new(Full::new(Bytes::from(body))));
     }
-    Ok(answer_call(state, request).await)
+    Ok(answer_request(state, request).await)
 }
 
-async fn answer_call(state: Arc<State>, request: Request<Incoming>) -> Answer {
+async fn answer_request(state: Arc<State>, request: Request<Incoming>) -> Answer {
     let (head, body) = request.into_parts();
     let path = head.uri.path();
     let Some(route) = state.model.routes.iter().find(|route| route.path == path) else {
-        return plain(StatusCode::NOT_FOUND, "no such path\n");
+        return plain_answer(StatusCode::NOT_FOUND, "no such path\n");
     };
     let context = match context::read(&state.model.name, path, &head.headers) {
         Ok(context) => Arc::new(context),
-        Err(name) => return plain(StatusCode::BAD_REQUEST, &format!("bad header {name}\n")),
+        Err(name) => return plain_answer(StatusCode::BAD_REQUEST, &format!("bad header {name}\n")),
     };
-    let Ok(asked) = body.collect().await else {
-        return plain(StatusCode::BAD_REQUEST, "broken body\n");
+    let Ok(request_body) = body.collect().await else {
+        return plain_answer(StatusCode::BAD_REQUEST, "broken body\n");
     };
     let deadline = Instant::now() + Duration::from_millis(context.timeout_ms);
     let arrival = state.next_number();
-    let open = OpenArrival::begin(&state, arrival, &context);
+    let guard = ArrivalGuard::begin(&state, arrival, &context);
     let slot = match take_slot(&state, deadline).await {
         Ok(slot) => slot,
         Err(reason) => {
-            open.refused(reason);
+            guard.refused(reason);
             return refusal(reason);
         }
     };
-    let running = Running {
+    let running = RunningRequest {
         arrival,
         context,
         deadline,
     };
-    let done = run(&state, &running, route, slot).await;
-    open.ended(!done);
-    if !done {
-        return plain(StatusCode::INTERNAL_SERVER_ERROR, "failed\n");
+    let is_complete = run(&state, &running, route, slot).await;
+    guard.ended(!is_complete);
+    if !is_complete {
+        return plain_answer(StatusCode::INTERNAL_SERVER_ERROR, "failed\n");
     }
-    let body = answer::body(running.context.request, &route.path, &asked.to_bytes());
+    let body = answer::body(
+        running.context.request,
+        &route.path,
+        &request_body.to_bytes(),
+    );
     Response::new(Full::new(Bytes::from(body)))
 }
 
@@ -204,35 +208,40 @@
     }
 }
 
-/// Runs a request until its deadline at the longest; whether everything was done.
-async fn run(state: &Arc<State>, running: &Running, route: &RouteModel, _slot: Slot) -> bool {
+/// Runs a request until its deadline at the latest. Returns whether all work and sub-calls were completed.
+async fn run(
+    state: &Arc<State>,
+    running: &RunningRequest,
+    route: &RouteModel,
+    _slot: Slot,
+) -> bool {
     state.journal.write(Event::Ran {
         arrival: running.arrival,
     });
     let work = state.work.draw(route);
-    let whole = async {
+    let work_and_calls = async {
         tokio::time::sleep(work / 2).await;
-        sub_calls::make(state, running, route).await?;
+        sub_calls::make_all(state, running, route).await?;
         tokio::time::sleep(work / 2).await;
         Ok::<(), sub_calls::SubCallFailed>(())
     };
-    let ended = tokio::time::timeout_at(running.deadline, whole).await;
+    let ended = tokio::time::timeout_at(running.deadline, work_and_calls).await;
     matches!(ended, Ok(Ok(())))
 }
 
-fn plain(status: StatusCode, text: &str) -> Answer {
+fn plain_answer(status: StatusCode, text: &str) -> Answer {
     let mut answer = Response::new(Full::new(Bytes::from(text.to_owned())));
     *answer.status_mut() = status;
     answer
 }
 
-/// The proof that nothing was run.
+/// Answer that states that the request was not run.
 fn refusal(reason: NotRunReason) -> Answer {
     let outcome = Outcome::NotRun {
         reason,
         retry_after: bramblewheel_types::Millis(RETRY_AFTER_MS),
     };
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "not run\n");
+    let mut answer = plain_answer(StatusCode::SERVICE_UNAVAILABLE, "not run\n");
     let map = answer.headers_mut();
     set(map, headers::OUTCOME, outcome.as_str());
     set(map, headers::REASON, reason);
@@ -240,14 +249,15 @@
     answer
 }
 
-/// An arrival that is neither answered nor refused yet. Dropped when the connection is closed.
-struct OpenArrival {
+/// An arrival that is neither answered nor refused yet. If it is dropped before, because the connection was closed,
+/// the journal records a cancellation.
+struct ArrivalGuard {
     arrival: u64,
     journal: Journal,
-    is_over: bool,
+    has_ended: bool,
 }
 
-impl OpenArrival {
+impl ArrivalGuard {
     fn begin(state: &State, arrival: u64, context: &CallContext) -> Self {
         let journal = state.journal.clone();
         let context = context.clone();
@@ -255,26 +265,26 @@
         Self {
             arrival,
             journal,
-            is_over: false,
+            has_ended: false,
         }
     }
 
     fn refused(mut self, reason: NotRunReason) {
-        self.is_over = true;
+        self.has_ended = true;
         let arrival = self.arrival;
         self.journal.write(Event::Refused { arrival, reason });
     }
 
     fn ended(mut self, failed: bool) {
-        self.is_over = true;
+        self.has_ended = true;
         let arrival = self.arrival;
         self.journal.write(Event::Ended { arrival, failed });
     }
 }
 
-impl Drop for OpenArrival {
+impl Drop for ArrivalGuard {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.has_ended {
             let arrival = self.arrival;
             self.journal.write(Event::Cancelled { arrival });
         }
--- a/crates/bramblewheel-lab/src/endpoint/slots.rs
+++ b/crates/bramblewheel-lab/src/endpoint/slots.rs
@@ -1,11 +1,11 @@
-//! Slots of an endpoint and the short queue before them.
+//! Slots of an endpoint and its short queue.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Requests that may wait, for each slot. Endpoints queue a little, so that a slot that becomes
-/// free is used at once; the long queue is the daemon's.
+/// Requests that may wait per slot. A short queue lets a slot that becomes free be used at once; longer queueing is
+/// done in the daemon.
 const WAITING_PER_SLOT: u32 = 1;
 
 /// Slots of an endpoint.
@@ -16,7 +16,7 @@
     waiting: Arc<AtomicU32>,
 }
 
-/// A slot in use; free again when dropped.
+/// A slot in use; released when dropped.
 #[derive(Debug)]
 pub(super) struct Slot {
     _permit: OwnedSemaphorePermit,
@@ -26,10 +26,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Full;
 
-/// A queue position.
-struct Waiting(Arc<AtomicU32>);
+/// A place in the queue; released when dropped.
+struct QueuePlace(Arc<AtomicU32>);
 
-impl Drop for Waiting {
+impl Drop for QueuePlace {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -44,29 +44,29 @@
         }
     }
 
-    /// Takes a slot, or waits for one in the queue.
+    /// Takes a slot, or waits in the queue for one.
     pub(super) async fn take(&self) -> Result<Slot, Full> {
         if let Ok(permit) = Arc::clone(&self.free).try_acquire_owned() {
             return Ok(Slot { _permit: permit });
         }
         let waiting = self.waiting.fetch_add(1, Ordering::Relaxed);
-        let queue_position = Waiting(Arc::clone(&self.waiting));
+        let queue_place = QueuePlace(Arc::clone(&self.waiting));
         if waiting >= self.count * WAITING_PER_SLOT {
             return Err(Full);
         }
         let permit = Arc::clone(&self.free).acquire_owned().await;
-        drop(queue_position);
+        drop(queue_place);
         let permit = permit.expect("the semaphore is never closed");
         Ok(Slot { _permit: permit })
     }
 
-    /// Slots in use.
+    /// Number of slots in use.
     pub(super) fn busy(&self) -> u32 {
         let free = u32::try_from(self.free.available_permits()).unwrap_or(self.count);
         self.count.saturating_sub(free)
     }
 
-    /// All slots.
+    /// Total number of slots.
     pub(super) fn count(&self) -> u32 {
         self.count
     }
--- a/crates/bramblewheel-lab/src/endpoint/state.rs
+++ b/crates/bramblewheel-lab/src/endpoint/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one endpoint share.
+//! State shared by the tasks of one endpoint.
 
 use super::command::EndpointChange;
 use super::load::LoadHistory;
@@ -13,20 +13,20 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::watch;
 
-/// What an endpoint is made from.
+/// Configuration of an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointConfig {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: EndpointId,
-    /// Its service.
+    /// Model of its service.
     pub model: ServiceModel,
-    /// Requests that it can run side by side.
+    /// Number of requests that it can run at the same time.
     pub slots: u32,
-    /// Delays of the network, of which the cost of a new connection is played.
+    /// Network delays, of which only the time to set up a new connection is simulated.
     pub network: NetworkModel,
-    /// Address to listen on; port 0 lets the system choose.
+    /// Address to listen on; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// Outbound listener of its daemon, if known yet.
+    /// Outbound listener of its daemon, if already known.
     pub daemon: Option<SocketAddr>,
     /// Seed of its service times.
     pub seed: u64,
@@ -61,28 +61,28 @@
         }
     }
 
-    /// A number that no other arrival or call of the run has.
+    /// Next number for an arrival or call, unique in the run.
     pub(super) fn next_number(&self) -> u64 {
         self.numbers.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Where sub-calls go.
+    /// Outbound listener that sub-calls are sent to, if known.
     pub(super) fn daemon(&self) -> Option<SocketAddr> {
         let daemon = self.daemon.lock();
-        *daemon.expect("nothing panics under the lock")
+        *daemon.expect("no holder of the lock panics")
     }
 
-    /// Whether it takes no new work.
+    /// Whether the endpoint refuses new requests.
     pub(super) fn is_leaving(&self) -> bool {
         *self.leaving.borrow()
     }
 
-    /// Carries out a change.
+    /// Applies a change.
     pub(super) fn change(self: &Arc<Self>, change: EndpointChange) {
         match change {
             EndpointChange::Daemon(address) => {
                 let daemon = self.daemon.lock();
-                *daemon.expect("nothing panics under the lock") = Some(address);
+                *daemon.expect("no holder of the lock panics") = Some(address);
             }
             EndpointChange::Slow(factor) => self.work.set_factor(factor),
             EndpointChange::Leave => {
--- a/crates/bramblewheel-lab/src/endpoint/sub_calls.rs
+++ b/crates/bramblewheel-lab/src/endpoint/sub_calls.rs
@@ -13,58 +13,58 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// A sub-call did not bring what the request needs.
+/// A sub-call did not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SubCallFailed;
 
-/// The request that sub-calls are made for.
+/// The request for which sub-calls are made.
 #[derive(Clone, Debug)]
-pub(super) struct Running {
+pub(super) struct RunningRequest {
     pub(super) arrival: u64,
     pub(super) context: Arc<CallContext>,
     pub(super) deadline: Instant,
 }
 
-/// Makes all sub-calls of a route; the first that fails ends the others.
-pub(super) async fn make(
+/// Makes all sub-calls of a route; the first failure cancels the others.
+pub(super) async fn make_all(
     state: &Arc<State>,
-    running: &Running,
+    running: &RunningRequest,
     route: &RouteModel,
 ) -> Result<(), SubCallFailed> {
     let calls = route.calls.iter().enumerate();
     let calls = calls.flat_map(|(index, call)| (0..call.count).map(move |n| (index, n, call)));
     if !route.parallel {
         for (index, number, call) in calls {
-            let body = content(running, index, number);
+            let body = call_body(running, index, number);
             make_one(Arc::clone(state), running.clone(), call.clone(), body).await?;
         }
         return Ok(());
     }
-    // Dropping the set, as when the request is cancelled, ends the calls in it.
-    let mut together = JoinSet::new();
+    // Dropping the set, as when the request is cancelled, aborts its calls.
+    let mut parallel_calls = JoinSet::new();
     for (index, number, call) in calls {
-        let body = content(running, index, number);
-        together.spawn(make_one(
+        let body = call_body(running, index, number);
+        parallel_calls.spawn(make_one(
             Arc::clone(state),
             running.clone(),
             call.clone(),
             body,
         ));
     }
-    while let Some(ended) = together.join_next().await {
+    while let Some(ended) = parallel_calls.join_next().await {
         ended.map_err(|_| SubCallFailed)??;
     }
     Ok(())
 }
 
-/// Each sub-call of a request has other content, or it would count as a repeat.
-fn content(running: &Running, index: usize, number: u32) -> Bytes {
+/// Body of a sub-call. It differs between the sub-calls of a request, because an equal one would count as a repeat.
+fn call_body(running: &RunningRequest, index: usize, number: u32) -> Bytes {
     Bytes::from(format!("{}/{index}/{number}", running.context.path))
 }
 
 async fn make_one(
     state: Arc<State>,
-    running: Running,
+    running: RunningRequest,
     model: SubCallModel,
     body: Bytes,
 ) -> Result<(), SubCallFailed> {
@@ -88,7 +88,7 @@
 
 fn outgoing(
     state: &State,
-    running: &Running,
+    running: &RunningRequest,
     model: &SubCallModel,
     call: u64,
     body: Bytes,
@@ -112,7 +112,7 @@
     })
 }
 
-/// Before the daemon's address is known, there is nothing to connect to.
+/// Reply to a sub-call that is made before the daemon's address is known.
 fn not_connected() -> CallReply {
     let failure = Failure::NotConnected;
     CallReply {
--- a/crates/bramblewheel-lab/src/endpoint/tests.rs
+++ b/crates/bramblewheel-lab/src/endpoint/tests.rs
@@ -1,9 +1,9 @@
-//! Commands to a stand-in endpoint, written and read.
+//! Commands to a stand-in endpoint are parsed from the form in which they are written.
 
 use super::{EndpointChange, EndpointCommand};
 
 #[test]
-fn commands_are_read_as_they_are_written() {
+fn commands_round_trip_and_malformed_ones_are_rejected() {
     let changes = [
         EndpointChange::Daemon(([127, 0, 0, 1], 4711).into()),
         EndpointChange::Slow(2.5),
--- a/crates/bramblewheel-lab/src/error.rs
+++ b/crates/bramblewheel-lab/src/error.rs
@@ -1,4 +1,4 @@
-//! How a command can fail, and the exit status that says so to a script.
+//! Errors of commands and the exit statuses that report them to scripts.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -7,11 +7,11 @@
 /// Exit statuses; part of the program's interface, see `bramblewheel-lab --help`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// Done, and every check passed.
+    /// The command succeeded and every check passed.
     Success = 0,
-    /// A check failed, or the run itself broke.
+    /// A check failed, or the run could not be carried out.
     Failed = 1,
-    /// The command line or an input file is wrong.
+    /// The command line or an input file is invalid.
     BadInput = 2,
 }
 
@@ -21,16 +21,16 @@
     }
 }
 
-/// A command failed; the text is for people, the status for scripts.
+/// Error of a command, with a message for people and an exit status for scripts.
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// A check failed.
     #[error("{0}")]
     CheckFailed(String),
-    /// The run itself broke, which says nothing about the system under test.
+    /// The run could not be carried out, which says nothing about the system under test.
     #[error("{0}")]
-    Broken(String),
-    /// The command line or an input file is wrong.
+    RunFailed(String),
+    /// The command line or an input file is invalid.
     #[error("{0}")]
     BadInput(String),
 }
@@ -39,12 +39,12 @@
     /// The exit status for this error.
     pub const fn status(&self) -> ExitStatus {
         match self {
-            Self::CheckFailed(_) | Self::Broken(_) => ExitStatus::Failed,
+            Self::CheckFailed(_) | Self::RunFailed(_) => ExitStatus::Failed,
             Self::BadInput(_) => ExitStatus::BadInput,
         }
     }
 
-    /// An input or output file can't be used.
+    /// Error for an input or output file that can't be used.
     pub fn file(path: &Path, error: impl std::fmt::Display) -> Self {
         Self::BadInput(format!("{}: {error}", path.display()))
     }
@@ -52,6 +52,6 @@
 
 impl From<std::io::Error> for CommandError {
     fn from(error: std::io::Error) -> Self {
-        Self::Broken(error.to_string())
+        Self::RunFailed(error.to_string())
     }
 }
--- a/crates/bramblewheel-lab/src/fleet/error.rs
+++ b/crates/bramblewheel-lab/src/fleet/error.rs
@@ -35,6 +35,6 @@
 
 impl From<FleetError> for CommandError {
     fn from(error: FleetError) -> Self {
-        Self::Broken(error.to_string())
+        Self::RunFailed(error.to_string())
     }
 }
--- a/crates/bramblewheel-lab/src/journal/mod.rs
+++ b/crates/bramblewheel-lab/src/journal/mod.rs
@@ -1,5 +1,5 @@
-//! What endpoints, callers and the fleet runner write down while a run goes on, one line of JSON
-//! for each event. The checkers read nothing else.
+//! Journals in which endpoints, callers and the fleet runner record the events of a run, one line of JSON each.
+//! They are the only input of the checkers.
 
 mod read;
 mod record;
--- a/crates/bramblewheel-lab/src/journal/read.rs
+++ b/crates/bramblewheel-lab/src/journal/read.rs
@@ -1,4 +1,4 @@
-//! Reading of journals.
+//! Reads journals.
 
 use super::Record;
 use std::fs;
@@ -6,30 +6,30 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A journal can't be read.
+/// Error while reading a journal.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// The file can't be read.
+    /// A file or folder can't be read.
     #[error("{}: {error}", file.display())]
     Unreadable {
         /// The file or folder.
         file: PathBuf,
-        /// What the operating system says.
+        /// The operating system's error.
         error: io::Error,
     },
-    /// A line is not a record.
+    /// A line can't be parsed as a record.
     #[error("{}:{line}: {error}", file.display())]
     Malformed {
         /// The file.
         file: PathBuf,
-        /// Line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong.
+        /// The parser's error.
         error: serde_json::Error,
     },
 }
 
-/// Reads all journals of a folder, in the order of time.
+/// Reads all journals of a folder and sorts the records by time.
 ///
 /// # Errors
 /// [`JournalError`] for the first file or line that can't be read.
--- a/crates/bramblewheel-lab/src/journal/record.rs
+++ b/crates/bramblewheel-lab/src/journal/record.rs
@@ -8,46 +8,46 @@
 /// One line of a journal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, in microseconds on the machine's monotonic clock: comparable between processes.
+    /// Time of the event in microseconds on the machine's monotonic clock, comparable between processes.
     pub at_us: u64,
-    /// Name of the process, endpoint or caller that writes.
+    /// Name of the process, endpoint or caller that recorded the event.
     pub source: String,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// What happened.
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Event {
     /// An endpoint received a request.
     Received {
-        /// Names the arrival at this endpoint in later events; unique in a run.
+        /// Number of the arrival, by which later events refer to it; unique in a run.
         arrival: u64,
-        /// What the endpoint was given with it.
+        /// Context that came with the request.
         context: CallContext,
     },
-    /// An endpoint refused a request before doing anything for it.
+    /// An endpoint refused a request before running any of it.
     Refused {
         /// The arrival.
         arrival: u64,
-        /// Why.
+        /// Reason of the refusal.
         reason: NotRunReason,
     },
-    /// An endpoint began to work for a request: from here on it ran.
+    /// An endpoint began to run a request.
     Ran {
         /// The arrival.
         arrival: u64,
     },
-    /// An endpoint ended its work and answered.
+    /// An endpoint finished a request and answered it.
     Ended {
         /// The arrival.
         arrival: u64,
         /// Whether it answered with an error.
         failed: bool,
     },
-    /// An endpoint stopped its work because the connection was closed.
+    /// An endpoint abandoned a request because the connection was closed.
     Cancelled {
         /// The arrival.
         arrival: u64,
@@ -56,7 +56,7 @@
     SubCall(SubCallEnd),
     /// A caller sent a request.
     Sent(RootSend),
-    /// A caller got the outcome of a send, or gave it up.
+    /// A send ended with an answer, or the caller stopped waiting for one.
     #[serde(rename = "told")]
     SendEnded {
         /// The send, as in [`RootSend::send`].
@@ -65,23 +65,23 @@
         #[serde(rename = "told")]
         reply: ReplyFromDaemon,
     },
-    /// A caller did not send a request because it has too many in progress.
+    /// A caller did not send a request because it had too many in progress.
     NotSent {
-        /// The flow.
+        /// Flow of the request.
         flow: String,
     },
-    /// The fleet runner did something to a process.
+    /// The fleet runner acted on a process.
     Fault {
         /// The process.
         process: String,
-        /// What was done.
+        /// The action.
         kind: FaultKind,
     },
-    /// A process ended.
+    /// A process exited.
     Exited {
         /// The process.
         process: String,
-        /// Exit status; none when a signal ended it.
+        /// Exit status; none when a signal terminated it.
         status: Option<i32>,
     },
     /// A daemon logged that a bundle is in force.
@@ -93,45 +93,45 @@
     },
 }
 
-/// What an endpoint is given with a request, and what the lab's own header fields add.
+/// Context of a request at an endpoint, from the daemon's header fields and the lab's own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallContext {
     /// The caller's send at the root, as in [`RootSend::send`].
     pub send: u64,
-    /// The call, drawn by whoever calls: the send itself at the root.
+    /// Number of the call, assigned by the calling side; at the root the number of the send.
     pub call: u64,
     /// Depth of the call; 1 at the root.
     pub depth: u32,
-    /// Original request.
+    /// Id of the original request.
     #[serde(with = "super::text")]
     pub request: RequestId,
-    /// Attempt.
+    /// Id of the attempt.
     #[serde(with = "super::text")]
     pub attempt: AttemptId,
     /// Service of the endpoint.
     pub service: ServiceName,
-    /// Path called.
+    /// Path of the request.
     pub path: String,
-    /// Class.
+    /// Class of the request.
     pub criticality: Criticality,
-    /// Whether the daemon says that the root request came with a valid session token.
+    /// Whether the root request carried a valid session token, as reported by the daemon.
     pub in_session: bool,
     /// Key of a run-once operation.
     pub operation: Option<OperationKey>,
-    /// Remaining time in milliseconds.
+    /// Time until the deadline, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// A sub-call as the endpoint that made it saw it end.
+/// End of a sub-call as seen by the endpoint that made it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubCallEnd {
-    /// Arrival that it was made for.
+    /// Arrival for which it was made.
     pub arrival: u64,
-    /// The call.
+    /// Number of the call.
     pub call: u64,
     /// Service called.
     pub service: ServiceName,
-    /// Class of the tree.
+    /// Class of the call tree.
     pub criticality: Criticality,
     /// Answer of the endpoint's own daemon.
     #[serde(rename = "told")]
@@ -141,12 +141,12 @@
 /// A send of an original request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RootSend {
-    /// Names the send; unique in a run.
+    /// Number of the send; unique in a run.
     pub send: u64,
-    /// The request; the same for all its sends.
+    /// Id of the request, the same for all its sends.
     #[serde(with = "super::text")]
     pub request: RequestId,
-    /// How many sends went before it, as stated to the gateway.
+    /// Number of earlier sends of the request, as stated to the gateway.
     pub resend: u32,
     /// Flow of the deployment.
     pub flow: String,
@@ -156,71 +156,71 @@
     pub criticality: Criticality,
     /// Key of a run-once operation.
     pub operation: Option<OperationKey>,
-    /// Number of the session whose token went along.
+    /// Index of the session whose token was sent, if any.
     pub session: Option<u64>,
     /// Gateway that it was sent to.
     pub gateway: String,
     /// Time until the request's deadline, in milliseconds.
     pub timeout_ms: u64,
-    /// When the request was due, in microseconds as [`Record::at_us`]: an open-loop caller does
-    /// not wait for answers, and neither does the latency it sees.
+    /// Time at which the request was due, on the clock of [`Record::at_us`]. Latency counts from here, since an
+    /// open-loop caller does not wait for earlier answers.
     pub due_us: u64,
 }
 
-/// An answer of a gateway or of an endpoint's own daemon.
+/// Reply of a gateway or of an endpoint's own daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplyFromDaemon {
-    /// What it says.
+    /// Outcome that it reports.
     #[serde(rename = "told")]
     pub outcome: CallerOutcome,
-    /// HTTP status, if an answer came.
+    /// HTTP status, if an answer arrived.
     pub status: Option<u16>,
-    /// Whether the body is, byte for byte, the answer to this very request. None where there is
-    /// no endpoint's answer to compare.
+    /// Whether the body equals the expected answer to this request byte for byte. None if no endpoint's answer was
+    /// received.
     pub own_whole: Option<bool>,
 }
 
-/// How a send or sub-call ended, as its caller saw it.
+/// Outcome of a send or sub-call as seen by its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum CallerOutcome {
     /// Completed.
     Completed,
-    /// Provably not run.
+    /// Certainly not run.
     NotRun {
-        /// Why.
+        /// Reason.
         reason: NotRunReason,
     },
     /// The endpoint reported an error.
     Failed,
     /// It may have run.
     Unknown,
-    /// Nothing: there is no answer, or none with an outcome.
+    /// There is no answer, or one without an outcome.
     Nothing {
-        /// What the caller met instead.
+        /// Why there is no outcome.
         failure: Failure,
     },
 }
 
-/// Why a caller has no answer.
+/// Why a caller has no answer with an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
     /// No connection; nothing was sent.
     NotConnected,
-    /// The connection broke before the whole answer was there.
+    /// The connection broke before the answer was complete.
     Broken,
-    /// No answer until well after the deadline.
+    /// No answer within the time-out, which ends after the deadline.
     Silent,
-    /// An answer without a readable outcome.
+    /// The answer has no valid outcome.
     NoOutcome,
 }
 
-/// What the fleet runner does to a process.
+/// Action of the fleet runner on a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// It started.
+    /// The process was started.
     Started,
     /// SIGKILL.
     Killed,
@@ -230,10 +230,10 @@
     Frozen,
     /// SIGCONT.
     Thawed,
-    /// The endpoint says of itself that it is leaving, while its daemon runs on.
+    /// The endpoint reports that it is leaving while its daemon keeps running.
     Leaving,
-    /// The endpoint says of itself that it is back.
+    /// The endpoint reports that it accepts work again.
     Returned,
-    /// The endpoint works more slowly than usual, or at its usual speed again.
+    /// The endpoint's work was slowed down, or set back to its usual speed.
     SpeedChanged,
 }
--- a/crates/bramblewheel-lab/src/journal/tests.rs
+++ b/crates/bramblewheel-lab/src/journal/tests.rs
@@ -1,9 +1,9 @@
-//! The stored form of a journal, which `fleet --recheck` reads from the folder of an earlier run.
+//! The serialized form of journal records is stable, because `fleet --recheck` reads journals of earlier runs.
 
 use super::*;
 
 #[test]
-fn the_end_of_a_send_keeps_its_stored_names() {
+fn send_ended_keeps_its_serialized_form() {
     let line = r#"{"at_us":7,"source":"caller","event":"told","send":3,"told":{"told":{"outcome":"completed"},"status":200,"own_whole":true}}"#;
     let record = Record {
         at_us: 7,
@@ -17,7 +17,10 @@
             },
         },
     };
-    assert_eq!(serde_json::to_string(&record).expect("written"), line);
-    let read: Record = serde_json::from_str(line).expect("read");
+    assert_eq!(
+        serde_json::to_string(&record).expect("record can be serialized"),
+        line
+    );
+    let read: Record = serde_json::from_str(line).expect("line can be parsed");
     assert_eq!(read, record);
 }
--- a/crates/bramblewheel-lab/src/journal/text.rs
+++ b/crates/bramblewheel-lab/src/journal/text.rs
@@ -1,4 +1,4 @@
-//! Identifiers as the text that logs and header fields show.
+//! Serializes identifiers in the text form of logs and header fields.
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serializer};
--- a/crates/bramblewheel-lab/src/journal/write.rs
+++ b/crates/bramblewheel-lab/src/journal/write.rs
@@ -1,4 +1,4 @@
-//! Writing of journals.
+//! Writes journals.
 
 use super::{Event, Record};
 use rustix::time::{ClockId, clock_gettime};
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Time now, in microseconds on the machine's monotonic clock.
+/// Current time in microseconds on the machine's monotonic clock.
 pub fn now_us() -> u64 {
     let now = clock_gettime(ClockId::Monotonic);
     let seconds = u64::try_from(now.tv_sec).unwrap_or_default();
@@ -17,7 +17,7 @@
 
 /// A journal that several tasks write to.
 ///
-/// Each line is handed to the operating system at once, so that it outlives a killed process.
+/// Each line is written to the file at once, without a buffer, so that it is kept when the process is killed.
 #[derive(Clone, Debug)]
 pub struct Journal {
     source: Arc<str>,
@@ -25,10 +25,10 @@
 }
 
 impl Journal {
-    /// Opens a process's journal in a folder; lines are added to an existing one.
+    /// Opens the journal of a process in a folder; appends to an existing one.
     ///
     /// # Errors
-    /// What the operating system says.
+    /// The operating system's error when the file can't be opened.
     pub fn open(folder: &Path, source: &str) -> io::Result<Self> {
         let path = folder.join(format!("{source}.jsonl"));
         let file = OpenOptions::new().create(true).append(true).open(path)?;
@@ -38,20 +38,20 @@
         })
     }
 
-    /// Writes an event down as of now.
+    /// Records an event with the current time.
     ///
     /// # Panics
-    /// When the line can't be written: a run whose journal has gaps proves nothing.
+    /// Panics when the line can't be written, because checks on an incomplete journal are meaningless.
     pub fn write(&self, event: Event) {
         let record = Record {
             at_us: now_us(),
             source: self.source.to_string(),
             event,
         };
-        let mut line = serde_json::to_vec(&record).expect("records have a form in JSON");
+        let mut line = serde_json::to_vec(&record).expect("a record can be serialized as JSON");
         line.push(b'\n');
         (&*self.file)
             .write_all(&line)
-            .expect("a run whose journal has gaps proves nothing");
+            .expect("the journal can be written; checks on an incomplete one are meaningless");
     }
 }
--- a/crates/bramblewheel-lab/src/lib.rs
+++ b/crates/bramblewheel-lab/src/lib.rs
@@ -1,7 +1,7 @@
-//! The test tool: stand-in endpoints and callers, a runner of whole fleets on loopback, benches.
+//! Test tool: stand-in endpoints and callers, a runner for whole fleets on loopback, and benchmarks.
 //!
-//! The only program of the project that starts processes. It runs its own executable with hidden
-//! commands for the daemons and control replicas, so that nothing else has to be built or found.
+//! Daemons and control replicas run as child processes of the lab's own executable, started with hidden
+//! commands, so that no other binary has to be built or located. No other program of the project starts processes.
 
 pub mod answer;
 pub mod bench;
--- a/crates/bramblewheel-lab/src/main.rs
+++ b/crates/bramblewheel-lab/src/main.rs
@@ -7,8 +7,8 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let arguments = match Arguments::parse_args(&words, ParsingStyle::AllOptions) {
+    let raw_arguments: Vec<String> = std::env::args().skip(1).collect();
+    let arguments = match Arguments::parse_args(&raw_arguments, ParsingStyle::AllOptions) {
         Ok(arguments) => arguments,
         Err(error) => {
             eprintln!("bramblewheel-lab: {error}; see `bramblewheel-lab --help`");
--- a/crates/bramblewheel-lab/src/options.rs
+++ b/crates/bramblewheel-lab/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line's arguments. Each command's own options stand in its module.
+//! Command-line arguments. Each command defines its own options in its module.
 
 use crate::bench::latency::LatencyOptions;
 use crate::commands::caller::CallerOptions;
@@ -8,7 +8,7 @@
 use crate::commands::sim::SimOptions;
 use gumdrop::Options;
 
-/// Follows every help text.
+/// Appended to every help text.
 const EXIT_STATUS: &str = "\
 Exit status:
   0  done, and every check passed
@@ -58,7 +58,7 @@
     pub command: Option<BenchCommand>,
 }
 
-/// The benches.
+/// The benchmarks.
 #[derive(Debug, Options)]
 pub enum BenchCommand {
     /// latency that the daemons add to a call
--- a/crates/bramblewheel-lab/src/runtime.rs
+++ b/crates/bramblewheel-lab/src/runtime.rs
@@ -1,12 +1,12 @@
-//! The runtime of the commands.
+//! Async runtime of the commands.
 
 use crate::error::CommandError;
 
-/// Runs a command's future on one thread: the processes that the lab starts are tied to the
-/// thread that starts them, and there are many endpoints and callers on one machine.
+/// Runs a command's future on a single thread: a child process receives its parent-death signal when the thread
+/// that started it exits, and many endpoints and callers share one machine.
 ///
 /// # Errors
-/// [`CommandError`] of the future, or when there is no runtime.
+/// [`CommandError`] of the future, or when the runtime can't be built.
 pub fn block_on<T>(
     future: impl Future<Output = Result<T, CommandError>>,
 ) -> Result<T, CommandError> {
--- a/crates/bramblewheel-lab/src/signals.rs
+++ b/crates/bramblewheel-lab/src/signals.rs
@@ -10,11 +10,11 @@
     interrupt: Signal,
 }
 
-/// Begins to listen for the signals.
+/// Installs the signal handlers.
 ///
 /// # Errors
-/// What the operating system says.
-pub fn stop() -> io::Result<StopSignals> {
+/// The operating system's error when a handler can't be installed.
+pub fn stop_signals() -> io::Result<StopSignals> {
     Ok(StopSignals {
         terminate: signal(SignalKind::terminate())?,
         interrupt: signal(SignalKind::interrupt())?,
--- a/crates/bramblewheel-lab/src/trace/mod.rs
+++ b/crates/bramblewheel-lab/src/trace/mod.rs
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::client::SILENCE_GRACE;
+use crate::client::ANSWER_TIMEOUT_MARGIN;
 use crate::deployments::Example;
 use crate::error::CommandError;
 use crate::journal::{CallerOutcome, Event, Failure, Record, RootSend};
@@ -92,7 +92,7 @@
             origin: String::new(),
             seed,
             ends: Timestamp::from_millis(ends.as_millis()),
-            patience: SILENCE_GRACE,
+            patience: ANSWER_TIMEOUT_MARGIN,
             control_replicas: 0,
             deployment: Embedded {
                 text: example.deployment_text().to_owned(),
