--- a/crates/bramblewheel-lab/src/commands/fleet.rs
+++ b/crates/bramblewheel-lab/src/commands/fleet.rs
@@ -8,7 +8,7 @@
 use crate::fleet::plan::Plan;
 use crate::fleet::running::{Fleet, Load};
 use crate::fleet::script::{self, Script};
-use crate::fleet::steps::Steps;
+use crate::fleet::steps::StepRunner;
 use crate::fleet::summary::Summary;
 use crate::journal::read_folder;
 use crate::runtime::block_on;
@@ -167,7 +167,7 @@
         seed: options.seed,
     };
     fleet.start_callers(load).await?;
-    Steps::new(fleet, script, options.seed).run().await?;
+    StepRunner::new(fleet, script, options.seed).run().await?;
     fleet.stop_all().await?;
     let name = options.script.as_deref().and_then(Path::file_stem);
     let name = name.map_or("none".into(), |name| name.to_string_lossy());
--- a/crates/bramblewheel-lab/src/fleet/error.rs
+++ b/crates/bramblewheel-lab/src/fleet/error.rs
@@ -1,22 +1,22 @@
-//! Why a fleet can't go on.
+//! Errors that end the run of a fleet.
 
-use super::board::WaitError;
 use super::group::GroupError;
+use super::process_status::WaitError;
 use crate::error::CommandError;
 use crate::journal::JournalError;
 use crate::process::ProcessError;
 use thiserror::Error;
 
-/// A fleet can't go on.
+/// Error that ends the run of a fleet.
 #[derive(Debug, Error)]
 pub enum FleetError {
     /// A process can't be started or sent a command.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A process did not do what was waited for.
+    /// A process did not reach an awaited status in time.
     #[error(transparent)]
     Wait(#[from] WaitError),
-    /// The control group did not do what it was asked.
+    /// A request to the control group failed.
     #[error(transparent)]
     Group(#[from] GroupError),
     /// A journal can't be read.
--- a/crates/bramblewheel-lab/src/fleet/folder.rs
+++ b/crates/bramblewheel-lab/src/fleet/folder.rs
@@ -1,11 +1,11 @@
-//! The folder of a run: settings, data, logs, journals.
+//! Folder of a run with settings, data, logs and journals.
 
 use crate::error::CommandError;
 use std::fs;
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
 
-/// Folder of a run. A temporary one is removed at the end unless it is kept.
+/// Folder of a run. A temporary folder is removed when this is dropped unless it is kept.
 #[derive(Debug)]
 pub struct RunFolder {
     path: PathBuf,
@@ -13,7 +13,7 @@
 }
 
 impl RunFolder {
-    /// Takes the folder given, which must be empty or absent, or a temporary one.
+    /// Uses the given folder, which must be empty or absent, or creates a temporary one.
     ///
     /// # Errors
     /// [`CommandError::BadInput`] when the folder can't be used.
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Where it is.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -66,7 +66,7 @@
         self.path.join("journal")
     }
 
-    /// Log of a process.
+    /// Log file of a process.
     pub fn log(&self, process: &str) -> PathBuf {
         self.path.join("logs").join(format!("{process}.log"))
     }
@@ -81,7 +81,7 @@
         self.path.join("data").join(process)
     }
 
-    /// Session keys of the gateways.
+    /// File with the session keys of the gateways.
     pub fn session_keys(&self) -> PathBuf {
         self.path.join("settings").join("session-keys")
     }
--- a/crates/bramblewheel-lab/src/fleet/group.rs
+++ b/crates/bramblewheel-lab/src/fleet/group.rs
@@ -1,4 +1,4 @@
-//! What an operator does with the control group: bootstrap, publish, replace.
+//! Requests to the control group as an operator sends them: bootstrap, publish, replace, status.
 
 use bramblewheel_protocol::control::{
     BootstrapRequest, DaemonStatus, GroupStatus, PublishReply, ReplaceRequest, ReplicaAddress,
@@ -9,28 +9,28 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest time for one request, all tries together.
+/// Time-out of a request including all attempts.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time for a replacement: the new replica must get the whole log.
+/// Time-out of a replacement, in which the new replica must receive the whole log.
 const REPLACE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest time for one replica's own view.
+/// Time-out of a status request to a single replica.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The control group did not do what it was asked.
+/// A request to the control group failed.
 #[derive(Debug, Error)]
 pub enum GroupError {
-    /// No replica settled the request.
+    /// No replica completed the request.
     #[error("control group: {0}")]
     Request(#[from] RequestError),
-    /// One replica gave no answer.
+    /// A single replica did not answer.
     #[error("control replica {address}: {error}")]
     Replica {
         /// The replica's service address.
         address: SocketAddr,
-        /// What went wrong.
+        /// The client's error.
         error: ClientError,
     },
-    /// The group answered something else than was hoped for.
+    /// The group answered with another reply than expected.
     #[error("control group answered {0}")]
     Unexpected(String),
 }
@@ -41,26 +41,28 @@
     }
 }
 
-/// One replica's own view of the group.
+/// Status of the group as seen by one replica.
 ///
 /// # Errors
-/// [`GroupError`] when it gives none.
+/// [`GroupError`] when the replica does not answer.
 pub async fn status(address: SocketAddr) -> Result<GroupStatus, GroupError> {
-    let failed = |error| GroupError::Replica { address, error };
-    let mut client = ControlClient::connect(address).await.map_err(failed)?;
+    let replica_error = |error| GroupError::Replica { address, error };
+    let mut client = ControlClient::connect(address)
+        .await
+        .map_err(replica_error)?;
     let reply = client
         .request(RequestBody::GroupStatus, STATUS_TIMEOUT)
         .await;
-    match reply.map_err(failed)? {
+    match reply.map_err(replica_error)? {
         ReplyBody::GroupStatus(status) => Ok(status),
         other => Err(GroupError::unexpected(&other)),
     }
 }
 
-/// Starts a group from replicas with empty data folders.
+/// Bootstraps a group of replicas with empty data folders.
 ///
 /// # Errors
-/// [`GroupError`] when a replica does not take part.
+/// [`GroupError`] when a replica does not answer or refuses.
 pub async fn bootstrap(addresses: &[SocketAddr], bundle: SignedBundle) -> Result<(), GroupError> {
     let mut voters: Vec<ReplicaAddress> = Vec::new();
     for address in addresses {
@@ -76,7 +78,7 @@
     };
     for address in addresses {
         let body = RequestBody::Bootstrap(request.clone());
-        done(request_any(&[*address], &body, REQUEST_TIMEOUT).await?)?;
+        expect_done(request_any(&[*address], &body, REQUEST_TIMEOUT).await?)?;
     }
     Ok(())
 }
@@ -84,7 +86,7 @@
 /// Publishes a bundle.
 ///
 /// # Errors
-/// [`GroupError`] when it is not accepted.
+/// [`GroupError`] when the bundle is not accepted.
 pub async fn publish(addresses: &[SocketAddr], bundle: SignedBundle) -> Result<(), GroupError> {
     let body = RequestBody::Publish(bundle);
     match request_any(addresses, &body, REQUEST_TIMEOUT).await? {
@@ -93,7 +95,7 @@
     }
 }
 
-/// The daemons that are registered.
+/// The registered daemons.
 ///
 /// # Errors
 /// [`GroupError`] when no replica answers.
@@ -107,17 +109,17 @@
 /// Replaces a lost replica.
 ///
 /// # Errors
-/// [`GroupError`] when it is not done in time.
+/// [`GroupError`] when the replacement is not completed in time.
 pub async fn replace(
     addresses: &[SocketAddr],
     lost: u64,
     replacement: ReplicaAddress,
 ) -> Result<(), GroupError> {
     let body = RequestBody::Replace(ReplaceRequest { lost, replacement });
-    done(request_any(addresses, &body, REPLACE_TIMEOUT).await?)
+    expect_done(request_any(addresses, &body, REPLACE_TIMEOUT).await?)
 }
 
-fn done(reply: ReplyBody) -> Result<(), GroupError> {
+fn expect_done(reply: ReplyBody) -> Result<(), GroupError> {
     match reply {
         ReplyBody::Done => Ok(()),
         other => Err(GroupError::unexpected(&other)),
--- a/crates/bramblewheel-lab/src/fleet/together.rs
+++ b/crates/bramblewheel-lab/src/fleet/join.rs
@@ -1,11 +1,11 @@
-//! Several things at the same time.
+//! Concurrent execution of futures that may fail.
 
 use super::error::FleetError;
 use std::future::poll_fn;
 use std::pin::Pin;
 use std::task::Poll;
 
-/// Waits until all futures have ended, or until the first error.
+/// Runs futures concurrently until all have completed or the first one fails.
 ///
 /// # Errors
 /// The first error; the other futures are dropped.
--- a/crates/bramblewheel-lab/src/fleet/lifecycle.rs
+++ b/crates/bramblewheel-lab/src/fleet/lifecycle.rs
@@ -1,37 +1,37 @@
-//! Start and planned stop of a whole fleet, in order.
+//! Ordered start and planned stop of a whole fleet.
 
-use super::board::PATIENCE;
 use super::error::FleetError;
 use super::group;
+use super::join::join_all;
+use super::process_status::DEFAULT_TIMEOUT;
 use super::running::{Fleet, Load};
-use super::together::join_all;
 use crate::deployments::Example;
 use crate::journal::now_us;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time within which a bundle must be in force everywhere (`CONTRIBUTING.md`).
-const ROLLOUT_PATIENCE: Duration = Duration::from_secs(18);
-/// Pause between two questions which daemons are registered.
-const REGISTRATION_PERIOD: Duration = Duration::from_millis(100);
+/// Time within which a published bundle must be in force at every daemon (`CONTRIBUTING.md`).
+const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(18);
+/// Interval at which the registered daemons are requested.
+const REGISTRATION_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the roll-out of the second bundle took, in milliseconds.
+/// Duration of the roll-out of the second bundle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rollout {
-    /// From the publish to the last daemon.
+    /// Time from the publication until the bundle was in force at every daemon, in milliseconds.
     pub all_daemons_ms: u64,
 }
 
 impl Fleet {
-    /// Starts everything but the callers, with a bundle published and in force everywhere.
+    /// Starts all processes except the callers and publishes a bundle; returns once it is in force at every daemon.
     ///
     /// # Errors
-    /// [`FleetError`] when anything does not come up.
+    /// [`FleetError`] when a process or the bundle is not ready in time.
     pub async fn start_all(&self, example: &Example) -> Result<Rollout, FleetError> {
         for replica in &self.plan.replicas {
             self.start_replica(replica).await?;
         }
-        group::bootstrap(&self.control(), example.signed_bundle(1)).await?;
+        group::bootstrap(&self.control_addresses(), example.signed_bundle(1)).await?;
         let endpoints = self.plan.endpoints.iter();
         join_all(endpoints.map(|endpoint| async {
             self.start_endpoint(endpoint).await?;
@@ -40,17 +40,17 @@
         .await?;
         let gateways = self.plan.gateways.iter();
         join_all(gateways.map(|gateway| self.start_gateway(gateway))).await?;
-        self.await_bundle(1, PATIENCE).await?;
+        self.await_bundle(1, DEFAULT_TIMEOUT).await?;
         self.await_registrations().await?;
         let began_us = now_us();
-        group::publish(&self.control(), example.signed_bundle(2)).await?;
-        self.await_bundle(2, ROLLOUT_PATIENCE).await?;
+        group::publish(&self.control_addresses(), example.signed_bundle(2)).await?;
+        self.await_bundle(2, ROLLOUT_TIMEOUT).await?;
         Ok(Rollout {
             all_daemons_ms: (now_us() - began_us) / 1000,
         })
     }
 
-    /// Starts the callers, which begin to send at once.
+    /// Starts the callers, which begin to send immediately.
     ///
     /// # Errors
     /// [`FleetError`] when one can't be started.
@@ -61,10 +61,10 @@
         Ok(())
     }
 
-    /// Stops everything as planned: whoever sends goes first.
+    /// Planned stop of all processes; senders are stopped before those they send to.
     ///
     /// # Errors
-    /// [`FleetError`] when a process had ended before.
+    /// [`FleetError`] when a process has already exited.
     pub async fn stop_all(&self) -> Result<(), FleetError> {
         let plan = &self.plan;
         self.stop_together(plan.callers.iter().map(|caller| &caller.name))
@@ -84,26 +84,28 @@
     }
 
     /// Waits until a bundle is in force at every daemon.
-    async fn await_bundle(&self, version: u64, patience: Duration) -> Result<(), FleetError> {
+    async fn await_bundle(&self, version: u64, timeout: Duration) -> Result<(), FleetError> {
         let endpoints = self.plan.endpoints.iter().map(|endpoint| &endpoint.daemon);
         let gateways = self.plan.gateways.iter().map(|gateway| &gateway.name);
         let waits = endpoints.chain(gateways).map(|daemon| async {
-            self.board.bundle(daemon, version, patience).await?;
+            self.status
+                .wait_for_bundle(daemon, version, timeout)
+                .await?;
             Ok(())
         });
         join_all(waits).await
     }
 
-    /// Waits until the control group knows every daemon.
+    /// Waits until every daemon is registered with the control group.
     async fn await_registrations(&self) -> Result<(), FleetError> {
         let expected = self.plan.endpoints.len() + self.plan.gateways.len();
-        let all_known = async {
-            while group::daemons(&self.control()).await?.len() < expected {
-                sleep(REGISTRATION_PERIOD).await;
+        let all_registered = async {
+            while group::daemons(&self.control_addresses()).await?.len() < expected {
+                sleep(REGISTRATION_POLL_INTERVAL).await;
             }
             Ok(())
         };
-        tokio::time::timeout(PATIENCE, all_known)
+        tokio::time::timeout(DEFAULT_TIMEOUT, all_registered)
             .await
             .unwrap_or_else(|_| Err(FleetError::Step("not all daemons registered".to_owned())))
     }
--- a/crates/bramblewheel-lab/src/fleet/plan.rs
+++ b/crates/bramblewheel-lab/src/fleet/plan.rs
@@ -1,11 +1,11 @@
-//! Which processes a deployment consists of.
+//! The processes that a deployment consists of.
 
 use bramblewheel_sim::deployment::Deployment;
 use bramblewheel_types::{ServiceName, ZoneName};
 
-/// Control replicas, each in a zone of its own.
+/// Number of control replicas; they are distributed over the zones.
 const REPLICAS: usize = 3;
-/// What stands before an endpoint's name in its daemon's.
+/// Prefix of a daemon's name; the name of its endpoint follows.
 pub const DAEMON_PREFIX: &str = "daemon-";
 
 /// The processes of a fleet.
@@ -33,7 +33,7 @@
 /// An endpoint and its daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedEndpoint {
-    /// Name of the endpoint, and of its process.
+    /// Name of the endpoint and of its process.
     pub name: String,
     /// Name of its daemon.
     pub daemon: String,
@@ -52,7 +52,7 @@
     pub name: String,
     /// Zone.
     pub zone: ZoneName,
-    /// Services that callers ask for.
+    /// Services that callers request.
     pub calls: Vec<ServiceName>,
 }
 
@@ -61,7 +61,7 @@
 pub struct PlannedCaller {
     /// Name.
     pub name: String,
-    /// Gateways, that of its own zone first.
+    /// Names of the gateways, that of its own zone first.
     pub gateways: Vec<String>,
 }
 
--- a/crates/bramblewheel-lab/src/fleet/running.rs
+++ b/crates/bramblewheel-lab/src/fleet/running.rs
@@ -1,9 +1,9 @@
-//! A fleet that runs: start and stop of its processes, one by one.
+//! A running fleet: starts, stops, kills and freezes its processes.
 
-use super::board::{Board, PATIENCE};
 use super::error::FleetError;
 use super::folder::RunFolder;
 use super::plan::{Plan, PlannedCaller, PlannedEndpoint, PlannedGateway, PlannedReplica};
+use super::process_status::{DEFAULT_TIMEOUT, StatusTable};
 use super::settings::{self, DaemonSettings, ReplicaAddresses};
 use crate::caller::CallerCommand;
 use crate::endpoint::{EndpointChange, EndpointCommand};
@@ -18,29 +18,29 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Longest time of a planned stop before the process is killed, which fails the run.
-const STOP_PATIENCE: Duration = Duration::from_secs(30);
+/// Time-out of a planned stop. After it the process is killed, which fails the run.
+const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How the callers load the fleet.
+/// Load that the callers put on the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Requests a second, over all callers.
+    /// Requests per second over all callers.
     pub rate: f64,
     /// Share of the run-once requests that several callers send at the same time.
     pub double_share: f64,
-    /// Seed.
+    /// Seed of the arrivals.
     pub seed: u64,
 }
 
-/// A fleet. Dropping it kills its processes.
+/// A fleet of processes. Dropping it kills them.
 #[derive(Debug)]
 pub struct Fleet {
     /// Name of the example deployment.
     pub deployment: String,
     /// Its processes.
     pub plan: Plan,
-    /// What they have logged.
-    pub board: Board,
+    /// Status of the processes.
+    pub status: StatusTable,
     region: RegionName,
     folder: RunFolder,
     journal: Journal,
@@ -50,7 +50,7 @@
 }
 
 impl Fleet {
-    /// A fleet of which nothing runs yet.
+    /// Creates a fleet without starting its processes.
     ///
     /// # Errors
     /// [`FleetError::File`] when a file can't be written or no port is free.
@@ -71,12 +71,12 @@
         let journal = Journal::open(&folder.journal(), "fleet")?;
         write_session_keys(&folder)?;
         let (events, received) = mpsc::unbounded_channel();
-        let board = Board::new();
-        tokio::spawn(board.clone().follow(received, journal.clone()));
+        let status = StatusTable::new();
+        tokio::spawn(status.clone().apply_events(received, journal.clone()));
         Ok(Self {
             deployment: deployment.to_owned(),
             plan,
-            board,
+            status,
             region,
             folder,
             journal,
@@ -86,13 +86,13 @@
         })
     }
 
-    /// Gives the folder up once the fleet has stopped.
+    /// Returns the folder of the run; to be called after the fleet has stopped.
     pub fn into_folder(self) -> RunFolder {
         self.folder
     }
 
     /// Service addresses of all control replicas.
-    pub fn control(&self) -> Vec<SocketAddr> {
+    pub fn control_addresses(&self) -> Vec<SocketAddr> {
         self.control
             .values()
             .map(|addresses| addresses.service)
@@ -100,28 +100,28 @@
     }
 
     /// Service address of one control replica.
-    pub fn control_of(&self, replica: &str) -> Option<SocketAddr> {
+    pub fn control_address(&self, replica: &str) -> Option<SocketAddr> {
         self.control.get(replica).map(|addresses| addresses.service)
     }
 
     /// Starts a control replica.
     ///
     /// # Errors
-    /// [`FleetError`] when it does not come up.
+    /// [`FleetError`] when it can't be started or is not ready in time.
     pub async fn start_replica(&self, replica: &PlannedReplica) -> Result<(), FleetError> {
         let name = &replica.name;
         let addresses = self.control[name];
         let data = self.folder.data(name);
         let text = settings::replica(replica, &self.region, &data, addresses);
         self.start_with_settings(name, "run-control", &text)?;
-        self.board.listening(name, "service").await?;
+        self.status.wait_for_listener(name, "service").await?;
         Ok(())
     }
 
     /// Starts an endpoint and returns its address.
     ///
     /// # Errors
-    /// [`FleetError`] when it does not come up.
+    /// [`FleetError`] when it can't be started or is not ready in time.
     pub async fn start_endpoint(
         &self,
         endpoint: &PlannedEndpoint,
@@ -133,42 +133,51 @@
             .into_iter()
             .chain(["--name", name, "--journal", &journal]);
         self.start(name, arguments.map(str::to_owned).collect())?;
-        Ok(self.board.listening(name, name).await?)
+        Ok(self.status.wait_for_listener(name, name).await?)
     }
 
-    /// Starts the daemon of a running endpoint, and tells the endpoint.
+    /// Starts the daemon of a running endpoint and sends the daemon's address to the endpoint.
     ///
     /// # Errors
-    /// [`FleetError`] when it does not come up.
+    /// [`FleetError`] when it can't be started or is not ready in time.
     pub async fn start_daemon(&self, endpoint: &PlannedEndpoint) -> Result<(), FleetError> {
-        let address = self.board.listening(&endpoint.name, &endpoint.name).await?;
+        let address = self
+            .status
+            .wait_for_listener(&endpoint.name, &endpoint.name)
+            .await?;
         let data = self.folder.data(&endpoint.daemon);
-        let control = self.control();
+        let control = self.control_addresses();
         let common = self.daemon_settings(&control, &data);
         let text = settings::daemon(endpoint, address, common);
         self.start_with_settings(&endpoint.daemon, "run-daemon", &text)?;
-        let outbound = self.board.listening(&endpoint.daemon, "outbound").await?;
+        let outbound = self
+            .status
+            .wait_for_listener(&endpoint.daemon, "outbound")
+            .await?;
         self.change_endpoint(&endpoint.name, EndpointChange::Daemon(outbound))
             .await
     }
 
-    /// Starts a gateway, and tells the callers that run.
+    /// Starts a gateway and sends its address to the running callers.
     ///
     /// # Errors
-    /// [`FleetError`] when it does not come up.
+    /// [`FleetError`] when it can't be started or is not ready in time.
     pub async fn start_gateway(&self, gateway: &PlannedGateway) -> Result<(), FleetError> {
         let data = self.folder.data(&gateway.name);
-        let control = self.control();
+        let control = self.control_addresses();
         let common = self.daemon_settings(&control, &data);
         let text = settings::gateway(gateway, &self.folder.session_keys(), common);
         self.start_with_settings(&gateway.name, "run-daemon", &text)?;
-        let address = self.board.listening(&gateway.name, "outbound").await?;
+        let address = self
+            .status
+            .wait_for_listener(&gateway.name, "outbound")
+            .await?;
         let name = gateway.name.clone();
-        self.tell_callers(&CallerCommand::Gateway { name, address })
+        self.send_to_callers(&CallerCommand::Gateway { name, address })
             .await
     }
 
-    /// Starts a caller, which begins to send at once.
+    /// Starts a caller, which begins to send immediately.
     ///
     /// # Errors
     /// [`FleetError`] when it can't be started.
@@ -194,30 +203,30 @@
             arguments.extend([option.to_owned(), value]);
         }
         for gateway in &caller.gateways {
-            let address = self.board.listening(gateway, "outbound").await?;
+            let address = self.status.wait_for_listener(gateway, "outbound").await?;
             arguments.extend(["--gateway".to_owned(), format!("{gateway}={address}")]);
         }
         self.start(&caller.name, arguments)
     }
 
-    /// Tells all callers that run something.
+    /// Sends a command to all running callers.
     ///
     /// # Errors
-    /// [`FleetError::Process`] when one has gone.
-    pub async fn tell_callers(&self, command: &CallerCommand) -> Result<(), FleetError> {
+    /// [`FleetError::Process`] when one has exited.
+    pub async fn send_to_callers(&self, command: &CallerCommand) -> Result<(), FleetError> {
         for caller in &self.plan.callers {
             let child = self.children().get(&caller.name).cloned();
             if let Some(child) = child {
-                child.tell(command).await?;
+                child.send_command(command).await?;
             }
         }
         Ok(())
     }
 
-    /// Tells an endpoint to change, and writes it down.
+    /// Sends a change to an endpoint and records it in the journal.
     ///
     /// # Errors
-    /// [`FleetError::Process`] when it has gone.
+    /// [`FleetError::Process`] when the endpoint has exited.
     pub async fn change_endpoint(
         &self,
         endpoint: &str,
@@ -230,68 +239,73 @@
             EndpointChange::Return => Some(FaultKind::Returned),
         };
         if let Some(kind) = kind {
-            self.write_fault(endpoint, kind);
+            self.record_fault(endpoint, kind);
         }
         let command = EndpointCommand {
             endpoint: endpoint.to_owned(),
             change,
         };
-        Ok(self.child(endpoint)?.tell(&command).await?)
+        Ok(self.child(endpoint)?.send_command(&command).await?)
     }
 
-    /// Kills a process and waits for its end.
+    /// Kills a process and waits for its exit.
     ///
     /// # Errors
     /// [`FleetError`] when it is not running.
     pub async fn kill(&self, process: &str) -> Result<(), FleetError> {
         let child = self.child(process)?;
-        self.write_fault(process, FaultKind::Killed);
+        self.record_fault(process, FaultKind::Killed);
         child.kill().await;
-        Ok(self.board.ended(process, PATIENCE).await?)
+        Ok(self.status.wait_for_exit(process, DEFAULT_TIMEOUT).await?)
     }
 
-    /// Asks a process to stop and waits for its end. One that does not end is killed, which the
-    /// checkers will find.
+    /// Asks a process to stop and waits for its exit. A process that does not stop in time is killed, which the
+    /// checkers report as a violation.
     ///
     /// # Errors
     /// [`FleetError`] when it is not running.
     pub async fn stop(&self, process: &str) -> Result<(), FleetError> {
         let child = self.child(process)?;
-        self.write_fault(process, FaultKind::PlannedStop);
+        self.record_fault(process, FaultKind::PlannedStop);
         child.signal(Signal::TERM)?;
-        if self.board.ended(process, STOP_PATIENCE).await.is_err() {
+        if self
+            .status
+            .wait_for_exit(process, STOP_TIMEOUT)
+            .await
+            .is_err()
+        {
             child.kill().await;
         }
-        Ok(self.board.ended(process, PATIENCE).await?)
+        Ok(self.status.wait_for_exit(process, DEFAULT_TIMEOUT).await?)
     }
 
-    /// Stops a process for a while without its knowledge.
+    /// Suspends a process with SIGSTOP.
     ///
     /// # Errors
     /// [`FleetError`] when it is not running.
     pub fn freeze(&self, process: &str) -> Result<(), FleetError> {
-        self.write_fault(process, FaultKind::Frozen);
+        self.record_fault(process, FaultKind::Frozen);
         Ok(self.child(process)?.signal(Signal::STOP)?)
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a frozen process with SIGCONT.
     ///
     /// # Errors
     /// [`FleetError`] when it is not running.
     pub fn thaw(&self, process: &str) -> Result<(), FleetError> {
-        self.write_fault(process, FaultKind::Thawed);
+        self.record_fault(process, FaultKind::Thawed);
         Ok(self.child(process)?.signal(Signal::CONT)?)
     }
 
-    /// Removes all that a process that has ended kept on disk.
+    /// Deletes the data folder of a process that has exited.
     ///
     /// # Errors
-    /// [`FleetError::File`].
-    pub fn wipe(&self, process: &str) -> Result<(), FleetError> {
+    /// [`FleetError::File`] when the folder can't be removed.
+    pub fn delete_data(&self, process: &str) -> Result<(), FleetError> {
         Ok(fs::remove_dir_all(self.folder.data(process))?)
     }
 
-    /// Kills what still runs and waits for its end; nothing is written down.
+    /// Kills all processes that still run and waits for their exit, without a record in the journal.
     pub async fn kill_all(&self) {
         let children: Vec<_> = self.children().values().cloned().collect();
         for child in children {
@@ -313,19 +327,19 @@
     }
 
     fn start(&self, name: &str, arguments: Vec<String>) -> Result<(), FleetError> {
-        self.board.begin(name);
+        self.status.reset(name);
         let spawn = Spawn {
             name: name.to_owned(),
             arguments,
             log: self.folder.log(name),
         };
         let child = Child::start(spawn, self.events.clone())?;
-        self.write_fault(name, FaultKind::Started);
+        self.record_fault(name, FaultKind::Started);
         self.children().insert(name.to_owned(), Arc::new(child));
         Ok(())
     }
 
-    fn write_fault(&self, process: &str, kind: FaultKind) {
+    fn record_fault(&self, process: &str, kind: FaultKind) {
         let process = process.to_owned();
         self.journal.write(Event::Fault { process, kind });
     }
@@ -343,7 +357,7 @@
     }
 
     fn children(&self) -> MutexGuard<'_, BTreeMap<String, Arc<Child>>> {
-        self.children.lock().expect("nothing panics under the lock")
+        self.children.lock().expect("no holder of the lock panics")
     }
 }
 
--- a/crates/bramblewheel-lab/src/fleet/script/mod.rs
+++ b/crates/bramblewheel-lab/src/fleet/script/mod.rs
@@ -1,4 +1,4 @@
-//! Fault scripts: what is done to a fleet, and when.
+//! Fault scripts: timed actions on the processes of a fleet.
 
 mod parse;
 #[cfg(test)]
@@ -8,100 +8,100 @@
 
 use std::time::Duration;
 
-/// A script.
+/// A fault script.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Script {
-    /// How long the callers send.
+    /// Time for which the callers send.
     pub duration: Duration,
-    /// Requests a second, over all callers.
+    /// Requests per second over all callers.
     pub rate: f64,
     /// Share of the run-once requests that several callers send at the same time.
     pub double_share: f64,
-    /// Steps.
+    /// Steps of the script.
     pub steps: Vec<Step>,
 }
 
-/// One step, which may come several times.
+/// One step, which may be repeated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Line of the script.
+    /// Line of the step's action in the script, from 1.
     pub line: usize,
-    /// When it comes first, after the callers began.
+    /// Time of the first execution after the start of the callers.
     pub at: Duration,
-    /// Times that it comes.
+    /// Number of executions.
     pub times: u32,
-    /// Time between two.
+    /// Interval between executions.
     pub every: Duration,
-    /// What is done.
+    /// Action to carry out.
     pub action: Action,
 }
 
-/// What a step does.
+/// Action of a step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// SIGKILL, and a new start after a while.
+    /// Kills a process with SIGKILL and starts it again after a pause.
     Kill {
-        /// Whom.
+        /// Process concerned.
         target: Target,
-        /// Time until the new start.
+        /// Time until the restart.
         down_for: Duration,
     },
-    /// Planned stop, and a new start after a while.
+    /// Planned stop of a process, which is started again after a pause.
     Stop {
-        /// Whom.
+        /// Process concerned.
         target: Target,
-        /// Time until the new start.
+        /// Time until the restart.
         down_for: Duration,
     },
-    /// SIGSTOP, and SIGCONT after a while.
+    /// Suspends a process with SIGSTOP and resumes it with SIGCONT.
     Freeze {
-        /// Whom.
+        /// Process concerned.
         target: Target,
-        /// Time until it goes on.
+        /// Time until it is resumed.
         frozen_for: Duration,
     },
-    /// The endpoint says that it is leaving, and after a while that it is back.
+    /// Makes an endpoint report that it is leaving, and later that it has returned.
     Leave {
-        /// Which endpoint.
+        /// Endpoint concerned.
         target: Target,
-        /// Time until it is back.
+        /// Time until it returns.
         away_for: Duration,
     },
-    /// The endpoints of a service work more slowly for a while.
+    /// Slows down the matching endpoints for some time.
     Slow {
-        /// Which service or endpoint.
+        /// Service or endpoint concerned.
         target: Target,
-        /// Times as long as usual.
+        /// Factor by which service times are multiplied.
         factor: f64,
-        /// Time until they work as usual.
+        /// Time until the usual speed is restored.
         slow_for: Duration,
     },
-    /// SIGKILL of a control replica; its folder is wiped and a new one takes its place.
+    /// Kills a control replica with SIGKILL, deletes its data and replaces it with a new replica.
     Replace {
-        /// Which replica.
+        /// Replica concerned.
         target: Target,
     },
-    /// Planned stop and new start of everything but the callers, one after the other.
+    /// Planned stop and restart of all processes except the callers, one after the other.
     RollingRestart {
-        /// Time between the new start of one and the stop of the next.
+        /// Time between the restart of one process and the stop of the next.
         pause: Duration,
     },
-    /// Another rate of requests for a while.
+    /// Changes the rate of requests for some time.
     Surge {
-        /// Requests a second, over all callers.
+        /// Requests per second over all callers.
         rate: f64,
-        /// Time until the usual rate.
+        /// Time until the usual rate is restored.
         surge_for: Duration,
     },
 }
 
-/// Whom a step concerns, as `ROLE:WHICH`.
+/// Target of a step, written as `ROLE:WHICH`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Role.
+    /// Role of the process.
     pub role: Role,
-    /// Which of the role.
-    pub which: Which,
+    /// Selects among the processes of the role.
+    pub selector: Selector,
 }
 
 /// Roles of processes.
@@ -117,15 +117,15 @@
     Endpoint,
 }
 
-/// Which processes of a role.
+/// Selects processes of a role.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Which {
-    /// `any`: one, drawn at random.
+pub enum Selector {
+    /// `any`: one process chosen at random.
     Any,
     /// `leader`: the control replica that leads.
     Leader,
     /// `follower`: a control replica that does not lead.
     Follower,
-    /// A name of a process, an endpoint, a zone or a service: one of those that it fits.
+    /// Name of a process, endpoint, zone or service: one of the processes that match it.
     Named(String),
 }
--- a/crates/bramblewheel-lab/src/fleet/script/parse.rs
+++ b/crates/bramblewheel-lab/src/fleet/script/parse.rs
@@ -1,6 +1,6 @@
-//! Reading of scripts; errors name file and line.
+//! Parses fault scripts; errors give file and line.
 
-use super::{Action, Role, Script, Step, Target, Which};
+use super::{Action, Role, Script, Selector, Step, Target};
 use serde::Deserialize;
 use std::ops::Range;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 pub struct ScriptError {
     /// Name of the file.
     pub file: String,
-    /// Line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
-/// A script as it is written.
+/// A script as parsed from TOML, before validation.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ScriptText {
@@ -30,7 +30,7 @@
     steps: Vec<Spanned<StepText>>,
 }
 
-/// A step as it is written.
+/// A step as parsed from TOML, before validation.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StepText {
@@ -44,68 +44,74 @@
     times: Option<Spanned<u32>>,
 }
 
-/// What is wrong, and where in the text.
-struct Fault {
+/// An error with its position in the text.
+struct SpannedError {
     span: Range<usize>,
     message: String,
 }
 
-impl Fault {
+impl SpannedError {
     fn new(span: Range<usize>, message: impl Into<String>) -> Self {
         let message = message.into();
         Self { span, message }
     }
 }
 
-/// Reads and checks a script; `file` is the name used in errors.
+/// Parses and validates a script; `file` is the name used in errors.
 ///
 /// # Errors
-/// [`ScriptError`] for the first line that is wrong.
+/// [`ScriptError`] for the first invalid line.
 pub fn parse(file: &str, text: &str) -> Result<Script, ScriptError> {
     let located = |span: Range<usize>, message: String| ScriptError {
         file: file.to_owned(),
         line: line_of(text, span.start),
         message,
     };
-    let written: ScriptText = toml::from_str(text).map_err(|error| {
+    let script: ScriptText = toml::from_str(text).map_err(|error| {
         let span = error.span().unwrap_or_default();
         located(span, error.message().replace('\n', " "))
     })?;
-    script(written, text).map_err(|fault| located(fault.span, fault.message))
+    checked_script(script, text).map_err(|error| located(error.span, error.message))
 }
 
 fn line_of(text: &str, position: usize) -> usize {
     1 + text[..position].matches('\n').count()
 }
 
-fn script(written: ScriptText, text: &str) -> Result<Script, Fault> {
-    let seconds = positive("seconds", &written.seconds)?;
-    let share = *written.double_share.get_ref();
+fn checked_script(script: ScriptText, text: &str) -> Result<Script, SpannedError> {
+    let seconds = positive("seconds", &script.seconds)?;
+    let share = *script.double_share.get_ref();
     if !(0.0..=1.0).contains(&share) {
-        let span = written.double_share.span();
-        return Err(Fault::new(span, "double_share: not between 0 and 1"));
+        let span = script.double_share.span();
+        return Err(SpannedError::new(
+            span,
+            "double_share: must be between 0 and 1",
+        ));
     }
-    let steps = written.steps.into_iter().map(|step| {
+    let steps = script.steps.into_iter().map(|step| {
         let span = step.span();
         checked_step(step.into_inner(), span, text)
     });
     let script = Script {
         duration: Duration::from_secs_f64(seconds),
-        rate: positive("rate", &written.rate)?,
+        rate: positive("rate", &script.rate)?,
         double_share: share,
         steps: steps.collect::<Result<_, _>>()?,
     };
     Ok(script)
 }
 
-fn checked_step(step: StepText, span: Range<usize>, text: &str) -> Result<Step, Fault> {
+fn checked_step(step: StepText, span: Range<usize>, text: &str) -> Result<Step, SpannedError> {
     let times = step.times.as_ref().map_or(1, |times| *times.get_ref());
     if times == 0 {
         let span = step.times.as_ref().map_or(span, Spanned::span);
-        return Err(Fault::new(span, "times: at least once"));
+        return Err(SpannedError::new(span, "times: must be at least 1"));
     }
     if times > 1 && step.every_ms.is_none() {
-        return Err(Fault::new(span, "every_ms: missing beside `times`"));
+        return Err(SpannedError::new(
+            span,
+            "every_ms: missing, required when `times` is above 1",
+        ));
     }
     let line = line_of(text, step.action.span().start);
     let at = Duration::from_millis(step.at_ms);
@@ -121,83 +127,84 @@
     })
 }
 
-/// The fields of a step; each action takes its own, and any other is an error.
+/// The fields of a step. Each action takes the fields it uses; any other field is an error.
 struct Fields {
     span: Range<usize>,
     step: StepText,
 }
 
 impl Fields {
-    fn action(mut self) -> Result<Action, Fault> {
+    fn action(mut self) -> Result<Action, SpannedError> {
         use Role::{Daemon, Endpoint, Gateway, Replica};
         let all = [Replica, Daemon, Gateway, Endpoint];
         let name = self.step.action.get_ref().clone();
         let action = match name.as_str() {
             "kill" => Action::Kill {
                 target: self.target(&all)?,
-                down_for: self.time()?,
+                down_for: self.duration()?,
             },
             "stop" => Action::Stop {
                 target: self.target(&[Replica, Daemon, Gateway])?,
-                down_for: self.time()?,
+                down_for: self.duration()?,
             },
             "freeze" => Action::Freeze {
                 target: self.target(&all)?,
-                frozen_for: self.time()?,
+                frozen_for: self.duration()?,
             },
             "leave" => Action::Leave {
                 target: self.target(&[Endpoint])?,
-                away_for: self.time()?,
+                away_for: self.duration()?,
             },
             "slow" => Action::Slow {
                 target: self.target(&[Endpoint])?,
                 factor: self.number("factor", |step| step.factor.take())?,
-                slow_for: self.time()?,
+                slow_for: self.duration()?,
             },
             "replace" => Action::Replace {
                 target: self.target(&[Replica])?,
             },
             "rolling-restart" => Action::RollingRestart {
-                pause: self.time()?,
+                pause: self.duration()?,
             },
             "surge" => Action::Surge {
                 rate: self.number("rate", |step| step.rate.take())?,
-                surge_for: self.time()?,
+                surge_for: self.duration()?,
             },
             _ => {
-                let known = "kill, stop, freeze, leave, slow, replace, rolling-restart or surge";
-                let message = format!("action: unknown `{name}`: expected {known}");
-                return Err(Fault::new(self.step.action.span(), message));
+                let expected = "kill, stop, freeze, leave, slow, replace, rolling-restart or surge";
+                let message = format!("action: unknown `{name}`: expected {expected}");
+                return Err(SpannedError::new(self.step.action.span(), message));
             }
         };
         self.check_unused(&name)?;
         Ok(action)
     }
 
-    fn missing(&self, key: &str) -> Fault {
+    fn missing(&self, key: &str) -> SpannedError {
         let action = self.step.action.get_ref();
-        Fault::new(self.span.clone(), format!("{key}: missing for `{action}`"))
+        SpannedError::new(self.span.clone(), format!("{key}: missing for `{action}`"))
     }
 
-    fn target(&mut self, roles: &[Role]) -> Result<Target, Fault> {
+    fn target(&mut self, roles: &[Role]) -> Result<Target, SpannedError> {
         let text = self
             .step
             .target
             .take()
             .ok_or_else(|| self.missing("target"))?;
-        let fault = |message: String| Fault::new(text.span(), format!("target: {message}"));
-        let target = parse_target(text.get_ref()).map_err(fault)?;
+        let invalid =
+            |message: String| SpannedError::new(text.span(), format!("target: {message}"));
+        let target = parse_target(text.get_ref()).map_err(invalid)?;
         if roles.contains(&target.role) {
             return Ok(target);
         }
         let action = self.step.action.get_ref();
-        Err(fault(format!(
+        Err(invalid(format!(
             "`{}` can't be used with `{action}`",
             text.get_ref()
         )))
     }
 
-    fn time(&mut self) -> Result<Duration, Fault> {
+    fn duration(&mut self) -> Result<Duration, SpannedError> {
         let time = self
             .step
             .for_ms
@@ -210,41 +217,46 @@
         &mut self,
         key: &'static str,
         take: impl FnOnce(&mut StepText) -> Option<Spanned<f64>>,
-    ) -> Result<f64, Fault> {
+    ) -> Result<f64, SpannedError> {
         let number = take(&mut self.step).ok_or_else(|| self.missing(key))?;
         positive(key, &number)
     }
 
-    /// Whatever was not taken does not belong to the action.
-    fn check_unused(&self, action: &str) -> Result<(), Fault> {
+    /// Fails if a field is left that the action does not use.
+    fn check_unused(&self, action: &str) -> Result<(), SpannedError> {
         let step = &self.step;
-        let left = [
+        let unused = [
             ("target", step.target.as_ref().map(Spanned::span)),
             ("for_ms", step.for_ms.as_ref().map(Spanned::span)),
             ("factor", step.factor.as_ref().map(Spanned::span)),
             ("rate", step.rate.as_ref().map(Spanned::span)),
         ];
-        let left = left.into_iter().find_map(|(key, span)| Some((key, span?)));
-        match left {
-            Some((key, span)) => Err(Fault::new(span, format!("{key}: not used by `{action}`"))),
+        let unused = unused
+            .into_iter()
+            .find_map(|(key, span)| Some((key, span?)));
+        match unused {
+            Some((key, span)) => Err(SpannedError::new(
+                span,
+                format!("{key}: not used by `{action}`"),
+            )),
             None => Ok(()),
         }
     }
 }
 
-fn positive(key: &str, number: &Spanned<f64>) -> Result<f64, Fault> {
+fn positive(key: &str, number: &Spanned<f64>) -> Result<f64, SpannedError> {
     let value = *number.get_ref();
     if value.is_finite() && value > 0.0 {
         return Ok(value);
     }
-    Err(Fault::new(
+    Err(SpannedError::new(
         number.span(),
         format!("{key}: must be above zero"),
     ))
 }
 
 fn parse_target(text: &str) -> Result<Target, String> {
-    let (role, which) = text.split_once(':').ok_or("expected ROLE:WHICH")?;
+    let (role, selector) = text.split_once(':').ok_or("expected ROLE:WHICH")?;
     let role = match role {
         "replica" => Role::Replica,
         "daemon" => Role::Daemon,
@@ -252,12 +264,12 @@
         "endpoint" => Role::Endpoint,
         _ => return Err(format!("unknown role `{role}`")),
     };
-    let which = match (role, which) {
-        (_, "any") => Which::Any,
-        (Role::Replica, "leader") => Which::Leader,
-        (Role::Replica, "follower") => Which::Follower,
-        (_, "") => return Err("nothing after the colon".to_owned()),
-        (_, name) => Which::Named(name.to_owned()),
+    let selector = match (role, selector) {
+        (_, "any") => Selector::Any,
+        (Role::Replica, "leader") => Selector::Leader,
+        (Role::Replica, "follower") => Selector::Follower,
+        (_, "") => return Err("expected a name after the colon".to_owned()),
+        (_, name) => Selector::Named(name.to_owned()),
     };
-    Ok(Target { role, which })
+    Ok(Target { role, selector })
 }
--- a/crates/bramblewheel-lab/src/fleet/script/tests.rs
+++ b/crates/bramblewheel-lab/src/fleet/script/tests.rs
@@ -1,17 +1,17 @@
-//! Reading fault scripts: what is taken, and what errors name.
+//! Parsing of fault scripts and the position and key that errors give.
 
-use super::{Action, Role, Target, Which, parse};
+use super::{Action, Role, Selector, Target, parse};
 use std::time::Duration;
 
 const HEAD: &str = "seconds = 5\nrate = 50\ndouble_share = 0.5\n";
 
 fn error(text: &str) -> String {
     let error = parse("faults.toml", &format!("{HEAD}{text}"));
-    error.expect_err("a wrong script").to_string()
+    error.expect_err("script is invalid").to_string()
 }
 
 #[test]
-fn a_script_is_read() {
+fn a_valid_script_is_parsed() {
     let text = "[[step]]\nat_ms = 100\naction = \"kill\"\ntarget = \"daemon:kassa\"\n\
                 for_ms = 10\nevery_ms = 20\ntimes = 3\n";
     let script = parse("faults.toml", &format!("{HEAD}{text}")).expect("a valid script");
@@ -21,7 +21,7 @@
     let expected = Action::Kill {
         target: Target {
             role: Role::Daemon,
-            which: Which::Named("kassa".to_owned()),
+            selector: Selector::Named("kassa".to_owned()),
         },
         down_for: Duration::from_millis(10),
     };
--- a/crates/bramblewheel-lab/src/fleet/settings.rs
+++ b/crates/bramblewheel-lab/src/fleet/settings.rs
@@ -1,20 +1,21 @@
-//! Texts of the settings files.
+//! Generates the settings files of the processes.
 
 use super::plan::{PlannedEndpoint, PlannedGateway, PlannedReplica};
 use bramblewheel_types::RegionName;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Addresses of a control replica, which daemons and other replicas must know beforehand.
+/// Addresses of a control replica, which are fixed before the start because they are in the settings of daemons and
+/// other replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaAddresses {
-    /// For the other replicas.
+    /// Address for the other replicas.
     pub peer: SocketAddr,
-    /// For daemons and operators.
+    /// Address for daemons and operators.
     pub service: SocketAddr,
 }
 
-/// Settings of a control replica.
+/// Settings text of a control replica.
 pub fn replica(
     replica: &PlannedReplica,
     region: &RegionName,
@@ -29,7 +30,7 @@
     )
 }
 
-/// What the settings of all daemons have in common.
+/// Settings that every daemon needs.
 #[derive(Clone, Copy, Debug)]
 pub struct DaemonSettings<'a> {
     /// Region.
@@ -40,7 +41,7 @@
     pub data: &'a Path,
 }
 
-/// Settings of an endpoint's daemon.
+/// Settings text of an endpoint's daemon.
 pub fn daemon(
     endpoint: &PlannedEndpoint,
     address: SocketAddr,
@@ -60,7 +61,7 @@
     )
 }
 
-/// Settings of a gateway.
+/// Settings text of a gateway.
 pub fn gateway(
     gateway: &PlannedGateway,
     session_keys: &Path,
--- a/crates/bramblewheel-lab/src/fleet/steps.rs
+++ b/crates/bramblewheel-lab/src/fleet/steps.rs
@@ -1,10 +1,10 @@
-//! Carrying out of a script's steps, several at the same time.
+//! Runs the steps of a fault script, concurrently where they overlap.
 
 use super::error::FleetError;
 use super::group;
+use super::join::join_all;
 use super::running::Fleet;
-use super::script::{Action, Role, Script, Step, Target, Which};
-use super::together::join_all;
+use super::script::{Action, Role, Script, Selector, Step, Target};
 use crate::caller::CallerCommand;
 use crate::endpoint::EndpointChange;
 use rand::{RngExt, SeedableRng};
@@ -14,43 +14,43 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Carries out a script.
-pub struct Steps<'a> {
+/// Runs the steps of a script.
+pub struct StepRunner<'a> {
     fleet: &'a Fleet,
     script: &'a Script,
     random: Mutex<Pcg64Mcg>,
-    /// Processes that a step is busy with; no other step takes one of them.
-    busy: Mutex<BTreeSet<String>>,
+    /// Processes that a step is using; other steps do not choose them.
+    reserved: Mutex<BTreeSet<String>>,
 }
 
-/// A process that a step is busy with.
-struct Busy<'a> {
+/// A process that a step is using; released when dropped.
+struct Reservation<'a> {
     name: String,
-    busy: &'a Mutex<BTreeSet<String>>,
+    reserved: &'a Mutex<BTreeSet<String>>,
 }
 
-impl Drop for Busy<'_> {
+impl Drop for Reservation<'_> {
     fn drop(&mut self) {
-        lock(self.busy).remove(&self.name);
+        lock(self.reserved).remove(&self.name);
     }
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("nothing panics under the lock")
+    mutex.lock().expect("no holder of the lock panics")
 }
 
-impl<'a> Steps<'a> {
-    /// The steps of a script for a fleet; the seed draws the targets.
+impl<'a> StepRunner<'a> {
+    /// Creates a runner for a script; the seed determines the choice of targets.
     pub fn new(fleet: &'a Fleet, script: &'a Script, seed: u64) -> Self {
         Self {
             fleet,
             script,
             random: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
-            busy: Mutex::default(),
+            reserved: Mutex::default(),
         }
     }
 
-    /// Carries out all steps; ends when the last has ended and the script's time is over.
+    /// Runs all steps; returns when the last has ended and the script's duration has passed.
     ///
     /// # Errors
     /// [`FleetError`] of the first step that can't be carried out.
@@ -61,21 +61,21 @@
         });
         let steps = steps.map(|(step, after)| async move {
             sleep_until(start + after).await;
-            self.carry_out(step).await
+            self.run_step(step).await
         });
         join_all(steps).await?;
         sleep_until(start + self.script.duration).await;
         Ok(())
     }
 
-    async fn carry_out(&self, step: &Step) -> Result<(), FleetError> {
-        self.act(&step.action).await.map_err(|error| {
+    async fn run_step(&self, step: &Step) -> Result<(), FleetError> {
+        self.run_action(&step.action).await.map_err(|error| {
             let line = step.line;
             FleetError::Step(format!("step at line {line}: {error}"))
         })
     }
 
-    async fn act(&self, action: &Action) -> Result<(), FleetError> {
+    async fn run_action(&self, action: &Action) -> Result<(), FleetError> {
         match action {
             Action::Kill { target, down_for } => self.kill(target, *down_for).await,
             Action::Stop { target, down_for } => self.stop(target, *down_for).await,
@@ -93,7 +93,7 @@
     }
 
     async fn kill(&self, target: &Target, down_for: Duration) -> Result<(), FleetError> {
-        let Some(process) = self.take(target).await? else {
+        let Some(process) = self.reserve_one(target).await? else {
             return Ok(());
         };
         self.fleet.kill(&process.name).await?;
@@ -102,7 +102,7 @@
     }
 
     async fn stop(&self, target: &Target, down_for: Duration) -> Result<(), FleetError> {
-        let Some(process) = self.take(target).await? else {
+        let Some(process) = self.reserve_one(target).await? else {
             return Ok(());
         };
         self.fleet.stop(&process.name).await?;
@@ -111,7 +111,7 @@
     }
 
     async fn freeze(&self, target: &Target, frozen_for: Duration) -> Result<(), FleetError> {
-        let Some(process) = self.take(target).await? else {
+        let Some(process) = self.reserve_one(target).await? else {
             return Ok(());
         };
         self.fleet.freeze(&process.name)?;
@@ -120,7 +120,7 @@
     }
 
     async fn leave(&self, target: &Target, away_for: Duration) -> Result<(), FleetError> {
-        let Some(process) = self.take(target).await? else {
+        let Some(process) = self.reserve_one(target).await? else {
             return Ok(());
         };
         let fleet = self.fleet;
@@ -133,14 +133,14 @@
             .await
     }
 
-    /// All endpoints that fit are slowed down together.
+    /// Slows down all matching endpoints together.
     async fn slow(
         &self,
         target: &Target,
         factor: f64,
         slow_for: Duration,
     ) -> Result<(), FleetError> {
-        let endpoints = self.fitting(target).await?;
+        let endpoints = self.matching(target).await?;
         for endpoint in &endpoints {
             let change = EndpointChange::Slow(factor);
             self.fleet.change_endpoint(endpoint, change).await?;
@@ -160,38 +160,40 @@
     }
 
     async fn set_rate(&self, rate: f64) -> Result<(), FleetError> {
-        let each = rate / self.fleet.plan.callers.len() as f64;
-        self.fleet.tell_callers(&CallerCommand::Rate(each)).await
+        let rate_per_caller = rate / self.fleet.plan.callers.len() as f64;
+        self.fleet
+            .send_to_callers(&CallerCommand::Rate(rate_per_caller))
+            .await
     }
 
     async fn replace(&self, target: &Target) -> Result<(), FleetError> {
-        let Some(process) = self.take(target).await? else {
+        let Some(process) = self.reserve_one(target).await? else {
             return Ok(());
         };
         let fleet = self.fleet;
-        let gone = || FleetError::Step(format!("no replica `{}`", process.name));
-        let address = fleet.control_of(&process.name).ok_or_else(gone)?;
+        let unknown = || FleetError::Step(format!("no replica `{}`", process.name));
+        let address = fleet.control_address(&process.name).ok_or_else(unknown)?;
         let lost = group::status(address).await?.replica.replica;
         fleet.kill(&process.name).await?;
-        fleet.wipe(&process.name)?;
+        fleet.delete_data(&process.name)?;
         self.start(Role::Replica, &process.name).await?;
         let replacement = group::status(address).await?.replica;
         let others = fleet
-            .control()
+            .control_addresses()
             .into_iter()
             .filter(|other| *other != address);
         let others: Vec<_> = others.collect();
         Ok(group::replace(&others, lost, replacement).await?)
     }
 
-    /// Replicas first, then endpoints with their daemons, then gateways.
+    /// Restarts replicas first, then endpoints with their daemons, then gateways.
     async fn rolling_restart(&self, pause: Duration) -> Result<(), FleetError> {
         let plan = &self.fleet.plan;
         for replica in &plan.replicas {
             self.restart(Role::Replica, &replica.name, pause).await?;
         }
         for endpoint in &plan.endpoints {
-            let _busy = self.reserve(&endpoint.daemon);
+            let _reservation = self.reserve(&endpoint.daemon);
             self.fleet.stop(&endpoint.daemon).await?;
             self.fleet.stop(&endpoint.name).await?;
             self.start(Role::Endpoint, &endpoint.name).await?;
@@ -205,14 +207,14 @@
     }
 
     async fn restart(&self, role: Role, name: &str, pause: Duration) -> Result<(), FleetError> {
-        let _busy = self.reserve(name);
+        let _reservation = self.reserve(name);
         self.fleet.stop(name).await?;
         self.start(role, name).await?;
         sleep(pause).await;
         Ok(())
     }
 
-    /// Starts a process that has ended.
+    /// Starts a process that has exited.
     async fn start(&self, role: Role, name: &str) -> Result<(), FleetError> {
         let plan = &self.fleet.plan;
         let unknown = || FleetError::Step(format!("no process `{name}`"));
@@ -239,51 +241,52 @@
         }
     }
 
-    /// Takes one of the processes that fit and that no other step is busy with, if there is one.
-    async fn take(&self, target: &Target) -> Result<Option<Busy<'_>>, FleetError> {
-        let fitting = self.fitting(target).await?;
-        let is_idle = |name: &String| !lock(&self.busy).contains(name);
-        let idle: Vec<String> = fitting.into_iter().filter(is_idle).collect();
-        if idle.is_empty() {
+    /// Reserves a random matching process that no other step is using; none if there is no such process.
+    async fn reserve_one(&self, target: &Target) -> Result<Option<Reservation<'_>>, FleetError> {
+        let candidates = self.matching(target).await?;
+        let is_free = |name: &String| !lock(&self.reserved).contains(name);
+        let free: Vec<String> = candidates.into_iter().filter(is_free).collect();
+        if free.is_empty() {
             return Ok(None);
         }
-        let index = lock(&self.random).random_range(0..idle.len());
-        Ok(Some(self.reserve(&idle[index])))
+        let index = lock(&self.random).random_range(0..free.len());
+        Ok(Some(self.reserve(&free[index])))
     }
 
-    fn reserve(&self, name: &str) -> Busy<'_> {
-        lock(&self.busy).insert(name.to_owned());
-        Busy {
+    fn reserve(&self, name: &str) -> Reservation<'_> {
+        lock(&self.reserved).insert(name.to_owned());
+        Reservation {
             name: name.to_owned(),
-            busy: &self.busy,
+            reserved: &self.reserved,
         }
     }
 
-    /// Names of the processes that fit a target.
-    async fn fitting(&self, target: &Target) -> Result<Vec<String>, FleetError> {
-        let named = match &target.which {
-            Which::Any => None,
-            Which::Leader => return self.replicas(true).await,
-            Which::Follower => return self.replicas(false).await,
-            Which::Named(name) => Some(name.as_str()),
+    /// Names of the processes that match a target.
+    async fn matching(&self, target: &Target) -> Result<Vec<String>, FleetError> {
+        let named = match &target.selector {
+            Selector::Any => None,
+            Selector::Leader => return self.replicas_by_leadership(true).await,
+            Selector::Follower => return self.replicas_by_leadership(false).await,
+            Selector::Named(name) => Some(name.as_str()),
         };
-        let fits = |labels: &[&str]| named.is_none_or(|name| labels.contains(&name));
+        let matches_name = |labels: &[&str]| named.is_none_or(|name| labels.contains(&name));
         let plan = &self.fleet.plan;
         let names: Vec<String> = match target.role {
             Role::Replica => {
-                let fitting = plan.replicas.iter();
-                let fitting = fitting.filter(|r| fits(&[&r.name, r.zone.as_str()]));
-                fitting.map(|replica| replica.name.clone()).collect()
+                let replicas = plan.replicas.iter();
+                let replicas = replicas.filter(|r| matches_name(&[&r.name, r.zone.as_str()]));
+                replicas.map(|replica| replica.name.clone()).collect()
             }
             Role::Gateway => {
-                let fitting = plan.gateways.iter();
-                let fitting = fitting.filter(|g| fits(&[&g.name, g.zone.as_str()]));
-                fitting.map(|gateway| gateway.name.clone()).collect()
+                let gateways = plan.gateways.iter();
+                let gateways = gateways.filter(|g| matches_name(&[&g.name, g.zone.as_str()]));
+                gateways.map(|gateway| gateway.name.clone()).collect()
             }
             Role::Daemon | Role::Endpoint => {
-                let fitting = plan.endpoints.iter();
-                let fitting = fitting
-                    .filter(|e| fits(&[&e.name, &e.daemon, e.service.as_str(), e.zone.as_str()]));
+                let endpoints = plan.endpoints.iter();
+                let endpoints = endpoints.filter(|e| {
+                    matches_name(&[&e.name, &e.daemon, e.service.as_str(), e.zone.as_str()])
+                });
                 let is_daemon = target.role == Role::Daemon;
                 let name = |e: &super::plan::PlannedEndpoint| {
                     if is_daemon {
@@ -292,29 +295,29 @@
                         e.name.clone()
                     }
                 };
-                fitting.map(name).collect()
+                endpoints.map(name).collect()
             }
         };
         if names.is_empty() {
             let name = named.unwrap_or("any");
             return Err(FleetError::Step(format!(
-                "nothing in the fleet fits `{name}`"
+                "no process of the fleet matches `{name}`"
             )));
         }
         Ok(names)
     }
 
-    /// Control replicas that lead, or that do not, as they see it themselves.
-    async fn replicas(&self, leading: bool) -> Result<Vec<String>, FleetError> {
+    /// Control replicas that report themselves as leader, or those that do not.
+    async fn replicas_by_leadership(&self, is_leader: bool) -> Result<Vec<String>, FleetError> {
         let mut names = Vec::new();
         for replica in &self.fleet.plan.replicas {
-            let Some(address) = self.fleet.control_of(&replica.name) else {
+            let Some(address) = self.fleet.control_address(&replica.name) else {
                 continue;
             };
-            // A replica that is down or frozen neither leads nor follows.
+            // A replica that is down or frozen counts neither as leader nor as follower.
             if let Ok(status) = group::status(address).await {
-                let is_leader = status.leader == Some(status.replica.replica);
-                if is_leader == leading {
+                let reports_leadership = status.leader == Some(status.replica.replica);
+                if reports_leadership == is_leader {
                     names.push(replica.name.clone());
                 }
             }
--- a/crates/bramblewheel-lab/src/fleet/summary.rs
+++ b/crates/bramblewheel-lab/src/fleet/summary.rs
@@ -1,4 +1,4 @@
-//! What a run came to, as key=value lines.
+//! Summary of a run as key=value lines.
 
 use crate::check::{Finding, History};
 use crate::journal::CallerOutcome;
@@ -7,11 +7,11 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Violations printed for each checker.
+/// Largest number of violations printed per checker.
 const SHOWN_VIOLATIONS: usize = 10;
-/// Depth that the call trees must reach, or the run has not shown what it is for.
+/// Depth that the call trees must reach; a run with shallower trees does not test nested calls.
 const MIN_DEPTH: u32 = 3;
-/// Longest latency that is distinguished, in microseconds.
+/// Largest recorded latency, in microseconds; longer ones count as this.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Figures of one flow.
@@ -19,47 +19,47 @@
 pub struct FlowFigures {
     /// Class of its requests.
     pub criticality: Criticality,
-    /// Original requests.
+    /// Number of original requests.
     pub requests: u64,
-    /// Sends, resends included.
+    /// Number of sends, including resends.
     pub sends: u64,
-    /// Requests of which a send was completed within the request's deadline.
+    /// Requests that were completed within their deadline.
     pub completed: u64,
-    /// Requests of which a send was completed, but late.
+    /// Requests that were completed after their deadline.
     pub late: u64,
     /// Requests that were answered as failed.
     pub failed: u64,
-    /// Requests of which nobody knows whether they ran.
+    /// Requests for which it is unknown whether they ran.
     pub unknown: u64,
-    /// Requests provably not run.
+    /// Requests that were certainly not run.
     pub not_run: u64,
     latency_us: Histogram<u64>,
 }
 
-/// How a request ended for its caller, the best of all its sends.
+/// Final outcome of a request for its caller, ordered so that the largest of all sends is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Settled {
+enum FinalOutcome {
     NotRun,
     Unknown,
     Failed,
     Completed,
 }
 
-/// What a run came to.
+/// Summary of a run.
 #[derive(Clone, Debug)]
 pub struct Summary {
     /// Figures by flow.
     pub flows: BTreeMap<String, FlowFigures>,
-    /// Deepest call that ran.
+    /// Depth of the deepest call that ran.
     pub depth: u32,
-    /// What the checkers found.
+    /// Findings of the checkers.
     pub findings: Vec<Finding>,
-    /// What is missing for the run to have shown anything.
+    /// Reasons why the run is not meaningful, such as a flow without a completed request.
     pub shortfalls: Vec<String>,
 }
 
 impl Summary {
-    /// Sums up a run; `flows` are the flows that must have been served.
+    /// Summarizes a run; `flows` are the flows that must have been served.
     pub fn new(history: &History<'_>, flows: &[String], findings: Vec<Finding>) -> Self {
         let mut summary = Self {
             flows: figures(history),
@@ -92,7 +92,7 @@
         self.shortfalls.is_empty() && self.findings.iter().all(Finding::passed)
     }
 
-    /// The lines.
+    /// The summary as key=value lines.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (flow, figures) in &self.flows {
@@ -171,14 +171,14 @@
         let figures = figures.or_insert_with(|| FlowFigures::new(first.sent.criticality));
         figures.requests += 1;
         figures.sends += sends.len() as u64;
-        let best = sends
+        let outcomes = sends
             .iter()
-            .map(|send| settled(send.end.map(|end| end.reply.outcome)));
-        match best.max().unwrap_or(Settled::Unknown) {
-            Settled::NotRun => figures.not_run += 1,
-            Settled::Unknown => figures.unknown += 1,
-            Settled::Failed => figures.failed += 1,
-            Settled::Completed => figures.add_completed(sends),
+            .map(|send| final_outcome(send.end.map(|end| end.reply.outcome)));
+        match outcomes.max().unwrap_or(FinalOutcome::Unknown) {
+            FinalOutcome::NotRun => figures.not_run += 1,
+            FinalOutcome::Unknown => figures.unknown += 1,
+            FinalOutcome::Failed => figures.failed += 1,
+            FinalOutcome::Completed => figures.add_completed(sends),
         }
     }
     flows
@@ -190,11 +190,11 @@
             let end = send.end?;
             (end.reply.outcome == CallerOutcome::Completed).then_some(end.at_us)
         });
-        let Some(told_us) = completed.min() else {
+        let Some(completed_us) = completed.min() else {
             return;
         };
         let first = sends[0];
-        let latency_us = told_us.saturating_sub(first.sent.due_us);
+        let latency_us = completed_us.saturating_sub(first.sent.due_us);
         let allowed_us = (first.sent_us + first.sent.timeout_ms * 1000) - first.sent.due_us;
         if latency_us <= allowed_us {
             self.completed += 1;
@@ -205,11 +205,13 @@
     }
 }
 
-fn settled(outcome: Option<CallerOutcome>) -> Settled {
+fn final_outcome(outcome: Option<CallerOutcome>) -> FinalOutcome {
     match outcome {
-        Some(CallerOutcome::Completed) => Settled::Completed,
-        Some(CallerOutcome::Failed) => Settled::Failed,
-        Some(CallerOutcome::NotRun { .. }) => Settled::NotRun,
-        Some(CallerOutcome::Unknown | CallerOutcome::Nothing { .. }) | None => Settled::Unknown,
+        Some(CallerOutcome::Completed) => FinalOutcome::Completed,
+        Some(CallerOutcome::Failed) => FinalOutcome::Failed,
+        Some(CallerOutcome::NotRun { .. }) => FinalOutcome::NotRun,
+        Some(CallerOutcome::Unknown | CallerOutcome::Nothing { .. }) | None => {
+            FinalOutcome::Unknown
+        }
     }
 }
--- a/crates/bramblewheel-lab/src/process/child.rs
+++ b/crates/bramblewheel-lab/src/process/child.rs
@@ -1,4 +1,4 @@
-//! One child process: start, log, commands, signals, end.
+//! One child process: its start, log, commands, signals and exit.
 
 use super::log_lines::{self, LogEvent};
 use rustix::process::{Pid, Signal, kill_process};
@@ -11,50 +11,50 @@
 use tokio::process::{ChildStderr, ChildStdin, Command};
 use tokio::sync::{Mutex, mpsc, watch};
 
-/// A child process can't be started or sent a command.
+/// A child process can't be started, or can't be sent a command or a signal.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// It can't be started.
+    /// The process can't be started.
     #[error("{name}: can't start: {error}")]
     Start {
-        /// Its name.
+        /// Name of the process.
         name: String,
-        /// What the operating system says.
+        /// The operating system's error.
         error: io::Error,
     },
-    /// It is not there any more.
+    /// The process has exited.
     #[error("{name}: not running")]
     NotRunning {
-        /// Its name.
+        /// Name of the process.
         name: String,
     },
-    /// A signal can't be sent.
+    /// A signal can't be sent to the process.
     #[error("{name}: can't send a signal: {error}")]
     Signal {
-        /// Its name.
+        /// Name of the process.
         name: String,
-        /// What the operating system says.
+        /// The operating system's error.
         error: io::Error,
     },
 }
 
-/// What to start.
+/// A process to start.
 #[derive(Clone, Debug)]
 pub struct Spawn {
     /// Name of the process.
     pub name: String,
-    /// Arguments of the lab's own executable.
+    /// Arguments for the lab's own executable.
     pub arguments: Vec<String>,
-    /// File that its standard error is added to.
+    /// File that its standard error is appended to.
     pub log: PathBuf,
 }
 
-/// What becomes known of a child.
+/// Event of a child process.
 #[derive(Clone, Debug)]
 pub enum ChildEvent {
-    /// It logged something to act upon.
+    /// It logged a line that the fleet runner evaluates.
     Log(LogEvent),
-    /// It ended; the status is none when a signal ended it.
+    /// It exited; the status is none when a signal terminated it.
     Exited(Option<i32>),
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl Child {
-    /// Starts a process; what becomes known of it goes to `events` under its name.
+    /// Starts a process; its events are sent to `events` with its name.
     ///
     /// # Errors
     /// [`ProcessError::Start`].
@@ -91,7 +91,7 @@
         let input = Mutex::new(process.stdin.take());
         let error_output = process.stderr.take();
         let (ended_sender, ended) = watch::channel(None);
-        let (kill, kill_asked) = mpsc::unbounded_channel();
+        let (kill, kill_requests) = mpsc::unbounded_channel();
         let event_name = name.clone();
         tokio::spawn(async move {
             let reading = async {
@@ -99,8 +99,8 @@
                     read_log(output, log, &event_name, &events).await;
                 }
             };
-            let waiting = wait_for_end(process, kill_asked, ended_sender);
-            // All that was logged comes before the end.
+            let waiting = wait_for_end(process, kill_requests, ended_sender);
+            // The exit event is sent after the events of all logged lines.
             let ((), status) = tokio::join!(reading, waiting);
             let _ = events.send((event_name, ChildEvent::Exited(status.code())));
         });
@@ -113,11 +113,11 @@
         })
     }
 
-    /// Tells the process something on its standard input.
+    /// Sends a command to the process on its standard input.
     ///
     /// # Errors
     /// [`ProcessError::NotRunning`].
-    pub async fn tell(&self, command: &impl ToString) -> Result<(), ProcessError> {
+    pub async fn send_command(&self, command: &impl ToString) -> Result<(), ProcessError> {
         let not_running = || ProcessError::NotRunning {
             name: self.name.clone(),
         };
@@ -143,21 +143,21 @@
         })
     }
 
-    /// Whether its end was seen. Until then its process id belongs to it.
+    /// Whether the process has been reaped. Until then its process id can't be reused.
     pub fn has_ended(&self) -> bool {
         self.ended.borrow().is_some()
     }
 
-    /// Waits for its end.
+    /// Waits until the process has exited.
     pub async fn ended(&self) {
         let mut ended = self.ended.clone();
-        // The sender is dropped only after the end, or when the runtime goes down.
+        // The sender is dropped only after the exit, or when the runtime shuts down.
         let _ = ended.wait_for(Option::is_some).await;
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub async fn kill(&self) {
-        // With the receiver gone, the process has ended.
+        // If the receiver is closed, the process has already exited.
         let _ = self.kill.send(());
         self.ended().await;
     }
@@ -169,12 +169,12 @@
     }
 }
 
-/// Opens the file that takes what a child logs, for appending.
+/// Opens the log file of a child for appending.
 fn open_log(path: &Path) -> io::Result<File> {
     OpenOptions::new().create(true).append(true).open(path)
 }
 
-/// Starts the lab's own executable with these arguments.
+/// Starts the lab's own executable with the given arguments.
 fn spawn_process(arguments: &[String]) -> io::Result<tokio::process::Child> {
     Command::new(std::env::current_exe()?)
         .args(arguments)
@@ -185,21 +185,21 @@
         .spawn()
 }
 
-/// Waits until a process has ended, killing it when asked to, and announces its status.
+/// Waits until a process has exited, kills it on request, and publishes its status.
 async fn wait_for_end(
     mut process: tokio::process::Child,
-    mut kill_asked: mpsc::UnboundedReceiver<()>,
+    mut kill_requests: mpsc::UnboundedReceiver<()>,
     ended: watch::Sender<Option<ExitStatus>>,
 ) -> ExitStatus {
     let status = tokio::select! {
         status = process.wait() => status,
-        _ = kill_asked.recv() => {
-            // The process may have just ended by itself.
+        _ = kill_requests.recv() => {
+            // Fails if the process has just exited by itself.
             let _ = process.start_kill();
             process.wait().await
         }
     };
-    // From here on the process id may belong to another process.
+    // From here on the process id may be reused by another process.
     let status = status.unwrap_or_default();
     ended.send_replace(Some(status));
     status
@@ -216,7 +216,7 @@
         if let Some(event) = log_lines::parse(&line) {
             let _ = events.send((name.to_owned(), ChildEvent::Log(event)));
         }
-        // A log that can't be kept is no reason to end the run.
+        // A log file that can't be written does not end the run.
         let _ = writeln!(log, "{line}");
     }
 }
--- a/crates/bramblewheel-lab/src/process/log_lines.rs
+++ b/crates/bramblewheel-lab/src/process/log_lines.rs
@@ -1,13 +1,13 @@
-//! Reading of the processes' logs, one line of key=value pairs for each event.
+//! Parses the logs of the processes, which have one line of key=value pairs per event.
 
 use std::net::SocketAddr;
 
-/// A log line that the fleet runner acts upon.
+/// A log line that the fleet runner evaluates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
     /// `msg=listening`: a listener is open.
     Listening {
-        /// Which listener.
+        /// Name of the listener.
         listener: String,
         /// Its address.
         address: SocketAddr,
@@ -19,7 +19,7 @@
     },
 }
 
-/// Reads a line; none if it says nothing that the fleet runner acts upon.
+/// Parses a line; none if it is not one that the fleet runner evaluates.
 pub fn parse(line: &str) -> Option<LogEvent> {
     match value(line, "msg")?.as_str() {
         "listening" => Some(LogEvent::Listening {
@@ -33,12 +33,12 @@
     }
 }
 
-/// The value of a key; quotes around it are taken off.
+/// The value of a key, without surrounding quotes.
 fn value(line: &str, key: &str) -> Option<String> {
-    let start = format!("{key}=");
+    let prefix = format!("{key}=");
     let padded = format!(" {line}");
-    let position = padded.find(&format!(" {start}"))?;
-    let rest = &padded[position + 1 + start.len()..];
+    let position = padded.find(&format!(" {prefix}"))?;
+    let rest = &padded[position + 1 + prefix.len()..];
     let text = match rest.strip_prefix('"') {
         Some(quoted) => quoted.split('"').next(),
         None => rest.split_whitespace().next(),
--- a/crates/bramblewheel-lab/src/process/mod.rs
+++ b/crates/bramblewheel-lab/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Processes that the lab starts: always its own executable.
+//! Child processes of the lab, which all run its own executable.
 
 mod child;
 mod log_lines;
--- a/crates/bramblewheel-lab/src/process/tests.rs
+++ b/crates/bramblewheel-lab/src/process/tests.rs
@@ -1,9 +1,9 @@
-//! Reading log lines of child processes.
+//! Parsing of the log lines of child processes.
 
 use super::{LogEvent, parse};
 
 #[test]
-fn lines_to_act_upon_are_told_from_others() {
+fn only_listening_and_bundle_lines_are_parsed() {
     let listening = "level=INFO msg=listening listener=outbound address=\"127.0.0.1:4711\"";
     let expected = LogEvent::Listening {
         listener: "outbound".to_owned(),
--- a/crates/bramblewheel-lab/src/sim/mod.rs
+++ b/crates/bramblewheel-lab/src/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario on many seeds at one time and sums up.
+//! Runs a scenario on many seeds in parallel and summarizes the outcomes.
 
 mod seeds;
 mod summary;
@@ -13,13 +13,13 @@
 use std::sync::mpsc;
 use std::thread;
 
-/// Runs a scenario on all seeds, `jobs` at one time, and hands over the reports in the order of
-/// the seeds.
+/// Runs a scenario on all seeds, `jobs` at the same time, and passes the reports to `on_report` in the order of the
+/// seeds.
 pub fn run_seeds(
     scenario: &Scenario,
     seeds: SeedRange,
     jobs: usize,
-    mut take: impl FnMut(SeedReport),
+    mut on_report: impl FnMut(SeedReport),
 ) {
     let next = AtomicU64::new(seeds.first);
     let (sender, receiver) = mpsc::channel();
@@ -37,19 +37,23 @@
             });
         }
         drop(sender);
-        in_order(seeds.first, receiver, &mut take);
+        deliver_in_order(seeds.first, receiver, &mut on_report);
     });
 }
 
-/// Hands reports over in the order of their seeds, whatever order they come in.
-fn in_order(first: u64, reports: mpsc::Receiver<SeedReport>, take: &mut impl FnMut(SeedReport)) {
-    let mut early = BTreeMap::new();
+/// Passes reports on in the order of their seeds, in whatever order they arrive.
+fn deliver_in_order(
+    first: u64,
+    reports: mpsc::Receiver<SeedReport>,
+    on_report: &mut impl FnMut(SeedReport),
+) {
+    let mut pending = BTreeMap::new();
     let mut expected = first;
     for report in reports {
-        early.insert(report.seed, report);
-        while let Some(report) = early.remove(&expected) {
+        pending.insert(report.seed, report);
+        while let Some(report) = pending.remove(&expected) {
             expected += 1;
-            take(report);
+            on_report(report);
         }
     }
 }
--- a/crates/bramblewheel-lab/src/sim/seeds.rs
+++ b/crates/bramblewheel-lab/src/sim/seeds.rs
@@ -3,12 +3,12 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Seeds from `first` on, up to and without `end`.
+/// Half-open range of seeds: from `first` up to but not including `end`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeedRange {
     /// First seed.
     pub first: u64,
-    /// Seed after the last one.
+    /// First seed after the range.
     pub end: u64,
 }
 
--- a/crates/bramblewheel-lab/src/sim/summary.rs
+++ b/crates/bramblewheel-lab/src/sim/summary.rs
@@ -1,4 +1,4 @@
-//! The outcome of a scenario over many seeds.
+//! Summary of a scenario's outcomes over many seeds.
 
 use super::SeedRange;
 use bramblewheel_sim::run::SeedReport;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One figure over all seeds; a seed that does not have it counts as zero.
+/// One figure over all seeds; a seed that does not report it counts as zero.
 #[derive(Clone, Debug, Serialize)]
 struct Figure {
     smallest: u64,
@@ -15,7 +15,7 @@
     largest: u64,
 }
 
-/// All values of one figure so far.
+/// Running statistics of one figure.
 #[derive(Clone, Debug, Default)]
 struct Values {
     count: u64,
@@ -33,16 +33,16 @@
     }
 
     fn figure(&self, seeds: u64) -> Figure {
-        let is_everywhere = self.count == seeds;
+        let is_in_all_seeds = self.count == seeds;
         Figure {
-            smallest: self.smallest.filter(|_| is_everywhere).unwrap_or(0),
+            smallest: self.smallest.filter(|_| is_in_all_seeds).unwrap_or(0),
             mean: self.total as f64 / seeds.max(1) as f64,
             largest: self.largest,
         }
     }
 }
 
-/// One seed on which something did not hold.
+/// A seed with violations.
 #[derive(Clone, Debug, Serialize)]
 struct ViolatedSeed {
     seed: u64,
@@ -57,7 +57,7 @@
     history: Vec<String>,
 }
 
-/// The outcome of a scenario over many seeds.
+/// Summary of a scenario's outcomes over many seeds.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
     scenario: String,
@@ -72,7 +72,7 @@
 }
 
 impl Summary {
-    /// A summary without any seed yet.
+    /// Creates a summary without any seed.
     pub fn new(scenario: &Scenario, seeds: SeedRange) -> Self {
         Self {
             scenario: scenario.header.name.clone(),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Adds a seed.
+    /// Adds the report of a seed.
     pub fn add(&mut self, report: &SeedReport) {
         self.seeds += 1;
         for (&name, &value) in &report.figures.0 {
@@ -117,7 +117,7 @@
         });
     }
 
-    /// Seeds on which something did not hold.
+    /// Number of seeds with violations.
     pub fn violated(&self) -> u64 {
         self.violated
     }
@@ -136,11 +136,11 @@
             figures: self.figures(),
         };
         let text = serde_json::to_string_pretty(&document);
-        text.expect("a summary has only types that JSON has") + "\n"
+        text.expect("a summary can be serialized as JSON") + "\n"
     }
 }
 
-/// A summary as it is written to a file.
+/// JSON document of a summary.
 #[derive(Serialize)]
 struct Document<'a> {
     #[serde(flatten)]
--- a/crates/bramblewheel-lab/src/trace/faults.rs
+++ b/crates/bramblewheel-lab/src/trace/faults.rs
@@ -1,4 +1,4 @@
-//! What the fleet runner did to daemons and gateways, as faults of a trace.
+//! Converts the fleet runner's actions on daemons and gateways to faults of a trace.
 
 use super::TraceClock;
 use crate::fleet::plan::DAEMON_PREFIX;
@@ -7,11 +7,11 @@
 use bramblewheel_sim::trace::{Fault, FaultAction, Machine};
 use bramblewheel_types::Timestamp;
 
-/// What stands before a zone's name in its gateway's.
+/// Prefix of a gateway's name; the name of its zone follows.
 const GATEWAY_PREFIX: &str = "gateway-";
 
-/// Faults that ended within the run. Slow endpoints are in the work times, and an endpoint that
-/// says it is leaving does not stand in a trace.
+/// Faults that ended within the run. Slow endpoints are left out because the work times include them; endpoints that
+/// report that they are leaving are not part of traces.
 pub(super) fn faults(records: &[Record], topology: &Topology, clock: TraceClock) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (index, record) in records.iter().enumerate() {
@@ -28,8 +28,8 @@
             _ => continue,
         };
         let is_end = |later: &&Record| {
-            matches!(&later.event, Event::Fault { process: of, kind }
-                if of == process && *kind == end)
+            matches!(&later.event, Event::Fault { process: other, kind }
+                if other == process && *kind == end)
         };
         if let Some(end) = records[index..].iter().find(is_end) {
             faults.push(fault(clock.at(record.at_us), clock.at(end.at_us), action));
@@ -38,7 +38,7 @@
     faults
 }
 
-/// Traces keep faults in whole milliseconds.
+/// Traces store the times of faults in whole milliseconds.
 fn fault(begins: Timestamp, ends: Timestamp, action: FaultAction) -> Fault {
     let begins = Timestamp::from_millis(begins.as_millis());
     let ends = Timestamp::from_millis(ends.as_millis());
@@ -57,6 +57,6 @@
     }
     let zone = process.strip_prefix(GATEWAY_PREFIX)?;
     let mut zones = topology.zones.iter();
-    let position = zones.position(|known| known.as_str() == zone)?;
+    let position = zones.position(|candidate| candidate.as_str() == zone)?;
     Some(Machine::Gateway(ZoneIndex(position)))
 }
--- a/crates/bramblewheel-lab/src/trace/mod.rs
+++ b/crates/bramblewheel-lab/src/trace/mod.rs
@@ -1,8 +1,8 @@
-//! Traces from the journals of a fleet run; see `docs/TRACES.md`.
+//! Converts the journals of a fleet run to a trace; see `docs/TRACES.md`.
 //!
-//! What a process fleet decides hangs on the clock of the machine, so that no replay can bring
-//! all of it again. A trace of a fleet run states the promises, and the outcomes of those sends
-//! that the replay brings as the run did; what the others brought stands there as a note.
+//! Decisions in a fleet of processes depend on the machine's clock, so a replay can't reproduce all of them. A trace
+//! of a fleet run states the promises and the outcomes of those sends that the replay reproduces; the outcomes of
+//! the other sends are included as notes.
 
 mod faults;
 mod runs;
@@ -24,25 +24,24 @@
 
 /// Time before the first send of a trace, in microseconds.
 const LEAD_IN_US: u64 = 10_000;
-/// Time for which a replay goes on after the last event of the journals.
+/// Time for which a replay continues after the last event of the journals.
 const LEAD_OUT: Duration = Duration::from_secs(3);
 
-/// A fleet run as a trace.
+/// Trace of a fleet run.
 #[derive(Clone, Debug)]
 pub struct RecordedTrace {
-    /// The trace.
+    /// Text of the trace.
     pub text: String,
-    /// Sends whose outcomes it states.
+    /// Number of sends whose outcomes the trace states.
     pub stated: usize,
-    /// Sends that ended otherwise in the replay than in the run.
+    /// Number of sends whose outcomes differ between replay and run; the trace only notes them.
     pub noted: usize,
 }
 
-/// Makes a trace of the journals of a run; `command` is what was run, for readers.
+/// Converts the journals of a run to a trace; `command` is the command line of the run, stored as information.
 ///
 /// # Errors
-/// [`CommandError::CheckFailed`] when nothing was sent, or the replay breaks a promise that the run
-/// kept.
+/// [`CommandError::CheckFailed`] when nothing was sent, or when the replay violates a promise that the run kept.
 pub fn record(
     example: &Example,
     records: &[Record],
@@ -58,7 +57,7 @@
     );
     let differences = replay(&trace).differences;
     if let Some(first) = differences.first() {
-        let text = format!("the replay breaks what the run kept: {first}");
+        let text = format!("the replay violates a promise that the run kept: {first}");
         return Err(CommandError::CheckFailed(text));
     }
     Ok(RecordedTrace {
@@ -68,7 +67,7 @@
     })
 }
 
-/// The trace with all outcomes as notes.
+/// Converts the records to a trace that contains all outcomes as notes only.
 fn convert(example: &Example, records: &[Record], seed: u64) -> Result<Trace, CommandError> {
     let topology = Arc::new(Topology::new(&example.deployment()));
     let sends = || records.iter().filter(|r| matches!(r.event, Event::Sent(_)));
@@ -114,7 +113,7 @@
     })
 }
 
-/// Times of a trace from times of the journals.
+/// Converts journal times to trace times.
 #[derive(Clone, Copy, Debug)]
 struct TraceClock {
     origin_us: u64,
@@ -155,7 +154,7 @@
 }
 
 impl Converter<'_> {
-    /// The requests in the order of their first sends; journals are in the order of time.
+    /// The requests in the order of their first sends; the records are sorted by time.
     fn requests(&self, records: &[Record]) -> Vec<Request> {
         let mut requests: Vec<Request> = Vec::new();
         let mut positions: HashMap<RequestId, usize> = HashMap::new();
@@ -182,15 +181,15 @@
         let flow = flows.position(|flow| flow.model.name == sent.flow)?;
         let gateway = self.zone(&sent.gateway)?;
         let from = self.zone(&record.source).filter(|zone| *zone != gateway);
-        let usual = self.topology.flows[flow].model.deadline_ms;
-        let own = (sent.timeout_ms != usual).then_some(sent.timeout_ms);
+        let flow_deadline_ms = self.topology.flows[flow].model.deadline_ms;
+        let own_deadline_ms = (sent.timeout_ms != flow_deadline_ms).then_some(sent.timeout_ms);
         let send = Send {
             at: self.clock.at(record.at_us),
             gateway,
             from,
             id: None,
             resend: Some(sent.resend),
-            deadline: own.map(Duration::from_millis),
+            deadline: own_deadline_ms.map(Duration::from_millis),
             outcome: None,
             recorded: self.outcomes.get(&sent.send).copied(),
             runs: self.draws.get(&sent.send).cloned().unwrap_or_default(),
@@ -198,7 +197,7 @@
         Some((FlowIndex(flow), send))
     }
 
-    /// The zone that a gateway or a caller is named after.
+    /// The zone in the name of a gateway or caller.
     fn zone(&self, process: &str) -> Option<ZoneIndex> {
         let (_, name) = process.split_once('-')?;
         let mut zones = self.topology.zones.iter();
--- a/crates/bramblewheel-lab/src/trace/runs.rs
+++ b/crates/bramblewheel-lab/src/trace/runs.rs
@@ -1,4 +1,4 @@
-//! Work times of the runs at endpoints, from their journals.
+//! Derives the work times of runs at endpoints from the journals.
 
 use crate::journal::{CallContext, Event, Record};
 use bramblewheel_sim::requests::{CallPath, RouteIndex, RunDraws, Topology};
@@ -6,12 +6,12 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// A request at an endpoint.
+/// A request that arrived at an endpoint.
 struct Arrival<'a> {
     context: &'a CallContext,
     ran_at: Option<u64>,
-    /// When it ended or was cancelled.
-    over_at: Option<u64>,
+    /// Time at which it ended or was cancelled.
+    ended_at: Option<u64>,
     sub_calls: Vec<SubCall<'a>>,
 }
 
@@ -21,17 +21,18 @@
     ended_at: u64,
 }
 
-/// Arrivals by their numbers, and what is known of calls.
+/// Arrivals and calls from the journals.
 struct Journals<'a> {
     topology: &'a Topology,
+    /// Arrivals by their numbers.
     arrivals: BTreeMap<u64, Arrival<'a>>,
-    /// Arrival for which a sub-call was made.
+    /// Arrival for which each sub-call was made.
     parents: HashMap<u64, u64>,
-    /// When a call first arrived anywhere, and for which path.
+    /// Time and path of the first arrival of each call at any endpoint.
     received: HashMap<u64, (u64, &'a str)>,
 }
 
-/// What the runs for each send drew, in the order in which they began.
+/// The draws of the runs for each send, in the order in which the runs began.
 pub(super) fn draws(records: &[Record], topology: &Topology) -> BTreeMap<u64, Vec<RunDraws>> {
     let journals = Journals::new(records, topology);
     let mut ran: Vec<(u64, u64)> = journals
@@ -79,13 +80,13 @@
             Event::Received { arrival, context } => {
                 let first = (at, context.path.as_str());
                 self.received.entry(context.call).or_insert(first);
-                let begun = Arrival {
+                let received = Arrival {
                     context,
                     ran_at: None,
-                    over_at: None,
+                    ended_at: None,
                     sub_calls: Vec::new(),
                 };
-                self.arrivals.insert(*arrival, begun);
+                self.arrivals.insert(*arrival, received);
             }
             Event::Ran { arrival } => {
                 if let Some(arrival) = self.arrivals.get_mut(arrival) {
@@ -94,7 +95,7 @@
             }
             Event::Ended { arrival, .. } | Event::Cancelled { arrival } => {
                 if let Some(arrival) = self.arrivals.get_mut(arrival) {
-                    arrival.over_at = Some(at);
+                    arrival.ended_at = Some(at);
                 }
             }
             Event::SubCall(end) => {
@@ -119,7 +120,7 @@
         position.map(RouteIndex)
     }
 
-    /// Position in the call tree; none if the end of the run that made the call is not recorded.
+    /// Position in the call tree; none if the end of the sub-call is not recorded by the calling endpoint.
     fn path(&self, arrival: &Arrival<'_>) -> Option<CallPath> {
         let context = arrival.context;
         if context.call == context.send {
@@ -130,40 +131,44 @@
         Some(self.path(parent)?.sub_call(position))
     }
 
-    /// Position of a sub-call: they are numbered in the order in which they are made, and those
-    /// of one service and path stand for each other.
+    /// Position of a sub-call in its route. Sub-calls are numbered in the order in which they are made; those with the
+    /// same service and path are interchangeable.
     fn position(&self, parent: &Arrival<'_>, call: u64) -> Option<u32> {
         let route = &self.topology.routes[self.route(parent.context)?.0];
-        let mut free: Vec<u32> = (0u32..).take(route.calls.len()).collect();
+        let mut unassigned: Vec<u32> = (0u32..).take(route.calls.len()).collect();
         let mut sub_calls: Vec<&SubCall<'_>> = parent.sub_calls.iter().collect();
         sub_calls.sort_unstable_by_key(|sub_call| sub_call.call);
         for sub_call in sub_calls {
-            let fits = |position: &u32| {
+            let is_match = |position: &u32| {
                 let called = &self.topology.routes[route.calls[*position as usize].0];
                 let service = &self.topology.services[called.service.0].name;
                 let received = self.received.get(&sub_call.call);
-                let is_path = received.is_none_or(|(_, path)| *path == called.path);
-                service == sub_call.service && is_path
+                let is_same_path = received.is_none_or(|(_, path)| *path == called.path);
+                service == sub_call.service && is_same_path
             };
-            let taken = free.iter().position(fits).map(|index| free.remove(index));
+            let assigned = unassigned
+                .iter()
+                .position(is_match)
+                .map(|index| unassigned.remove(index));
             if sub_call.call == call {
-                return taken;
+                return assigned;
             }
         }
         None
     }
 
-    /// Whole work time in microseconds. Half of it lies before the first sub-call and half behind
-    /// the last one; a run that ended early worked for no less than it was seen to.
+    /// Total work time in microseconds. Endpoints do half of the work before the first sub-call and half after the last
+    /// one. For a run that ended early, the time until its first sub-call arrived counts as the first half; it
+    /// worked at least that long.
     fn work(&self, arrival: &Arrival<'_>) -> Option<u64> {
         let ran_at = arrival.ran_at?;
         let route = &self.topology.routes[self.route(arrival.context)?.0];
         if route.calls.is_empty() {
-            return Some(arrival.over_at?.saturating_sub(ran_at));
+            return Some(arrival.ended_at?.saturating_sub(ran_at));
         }
-        let ended = arrival.sub_calls.iter().map(|sub_call| sub_call.ended_at);
+        let call_ends = arrival.sub_calls.iter().map(|sub_call| sub_call.ended_at);
         if arrival.sub_calls.len() == route.calls.len() {
-            return Some(2 * arrival.over_at?.saturating_sub(ended.max()?));
+            return Some(2 * arrival.ended_at?.saturating_sub(call_ends.max()?));
         }
         let calls = arrival.sub_calls.iter().map(|sub_call| sub_call.call);
         let received = calls.filter_map(|call| Some(self.received.get(&call)?.0));
--- a/crates/bramblewheel-lab/src/trace/tests.rs
+++ b/crates/bramblewheel-lab/src/trace/tests.rs
@@ -1,4 +1,4 @@
-//! Journals of one request, and the trace that comes of them.
+//! Conversion of the journals of one request to a trace.
 
 use super::record;
 use crate::deployments::Deployments;
@@ -11,7 +11,7 @@
 };
 
 const SEND: u64 = 7;
-/// Journal time of the send.
+/// Journal time of the send, in microseconds.
 const BEGIN: u64 = 5_000_000;
 
 fn service(name: &str) -> ServiceName {
@@ -34,8 +34,14 @@
     }
 }
 
-/// A run of a call: received and begun at once, ended after `takes` microseconds.
-fn run(arrival: u64, call: u64, route: (&str, &str), began: u64, takes: u64) -> [Record; 3] {
+/// A run of a call that starts when it is received and ends `duration_us` later.
+fn run(
+    arrival: u64,
+    call: u64,
+    route: (&str, &str),
+    began_us: u64,
+    duration_us: u64,
+) -> [Record; 3] {
     let context = CallContext {
         send: SEND,
         call,
@@ -50,10 +56,10 @@
         timeout_ms: 1_000,
     };
     [
-        at(began, route.0, Event::Received { arrival, context }),
-        at(began, route.0, Event::Ran { arrival }),
+        at(began_us, route.0, Event::Received { arrival, context }),
+        at(began_us, route.0, Event::Ran { arrival }),
         at(
-            began + takes,
+            began_us + duration_us,
             route.0,
             Event::Ended {
                 arrival,
@@ -63,7 +69,7 @@
     ]
 }
 
-fn sub_call(ended: u64, arrival: u64, call: u64, called: &str) -> Record {
+fn sub_call(ended_us: u64, arrival: u64, call: u64, called: &str) -> Record {
     let end = SubCallEnd {
         arrival,
         call,
@@ -71,10 +77,10 @@
         criticality: Criticality::Critical,
         reply: reply(CallerOutcome::Completed),
     };
-    at(ended, "kassa-1", Event::SubCall(end))
+    at(ended_us, "kassa-1", Event::SubCall(end))
 }
 
-/// A basket: the stock list, called last, ends first; of two price checks one is tried twice.
+/// A basket request: the stock list is called last but ends first; one of two price checks takes two attempts.
 fn basket(outcome: CallerOutcome) -> Vec<Record> {
     let sent = RootSend {
         send: SEND,
@@ -110,14 +116,14 @@
 
 fn traced(records: &[Record]) -> (Trace, usize, usize) {
     let example = Deployments::example("torgnett").expect("example");
-    let recorded = record(example, records, "a run", 1).expect("promises are kept");
+    let recorded = record(example, records, "a run", 1).expect("replay keeps the promises");
     let trace = trace::parse("t", &recorded.text, &|_| Err("no files".to_owned()));
-    let trace = trace.expect("what is recorded can be read");
+    let trace = trace.expect("recorded trace can be parsed");
     (trace, recorded.stated, recorded.noted)
 }
 
 #[test]
-fn a_request_is_taken_from_the_journals() {
+fn a_request_is_converted_from_the_journals() {
     let (trace, stated, noted) = traced(&basket(CallerOutcome::Completed));
     assert_eq!((stated, noted), (1, 0));
     let [request] = &trace.requests[..] else {
@@ -145,7 +151,7 @@
 }
 
 #[test]
-fn an_outcome_that_does_not_come_again_is_noted_and_not_stated() {
+fn an_outcome_that_the_replay_does_not_reproduce_is_noted_and_not_stated() {
     let refused = CallerOutcome::NotRun {
         reason: NotRunReason::Overloaded,
     };
@@ -158,7 +164,7 @@
 }
 
 #[test]
-fn kills_and_freezes_are_faults_of_the_trace() {
+fn a_killed_and_restarted_daemon_is_a_fault_of_the_trace() {
     let mut records = basket(CallerOutcome::Completed);
     for (at_us, kind) in [(30_000, FaultKind::Killed), (730_000, FaultKind::Started)] {
         let process = "daemon-kassa-2".to_owned();
