--- a/crates/bramblewheel-lab/src/bench/latency/endpoint.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint of the bench: a process that works for a fixed time on each request.
+//! Endpoint of the benchmark, which works for a fixed time on each request.
 
 use crate::error::CommandError;
 use crate::stdin_commands::exit_with_parent;
@@ -14,16 +14,16 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Threads of the endpoint.
+/// Number of threads of the endpoint.
 const WORKER_THREADS: usize = 2;
-/// Answer to every call: as short as an answer of a quick service.
+/// Answer to every call, as short as that of a fast service.
 const ANSWER: &[u8] = b"{\"answer\":\"constant\"}";
-/// Path on which the daemon asks for the endpoint's load.
+/// Path on which the daemon requests the endpoint's load report.
 const LOAD_PATH: &str = "/load";
-/// The endpoint's load report: it takes whatever comes.
+/// Load report of the endpoint, which always has free capacity.
 const LOAD: &[u8] = b"{\"slots\":1000,\"busy\":0,\"draining\":false}";
 
-/// Serves until the process that started it ends; the first line on standard output is the address.
+/// Serves until the parent process exits; prints its address as the first line on standard output.
 ///
 /// # Errors
 /// [`CommandError`] when the runtime or the listener can't be set up.
@@ -46,7 +46,7 @@
 async fn serve_connection(stream: TcpStream, service_time: Duration) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| answer(request, service_time));
-    // How a connection ended is seen by whoever made it.
+    // A connection error is reported by the client.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
@@ -60,12 +60,12 @@
         return Ok(Response::new(Full::new(Bytes::from_static(LOAD))));
     }
     let _ = request.into_body().collect().await;
-    work(service_time);
+    spin(service_time);
     Ok(Response::new(Full::new(Bytes::from_static(ANSWER))))
 }
 
-/// Keeps the processor busy, since sleeps are not that short.
-fn work(service_time: Duration) {
+/// Keeps the processor busy, because sleeping is too coarse for such short times.
+fn spin(service_time: Duration) {
     let end = Instant::now() + service_time;
     while Instant::now() < end {
         hint::spin_loop();
--- a/crates/bramblewheel-lab/src/bench/latency/load.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/load.rs
@@ -1,4 +1,4 @@
-//! The caller: an open loop that sends each request when it is due, whatever became of others.
+//! Open-loop caller: sends each request when it is due, regardless of the outcome of earlier ones.
 
 use crate::bench::latency::schedule::arrivals;
 use crate::error::CommandError;
@@ -16,14 +16,14 @@
 use tokio::net::TcpStream;
 use tokio::runtime::Runtime;
 
-/// Longest latency that is distinguished, in nanoseconds: one minute.
-const LONGEST_NANOS: u64 = 60_000_000_000;
+/// Largest recorded latency, in nanoseconds: one minute; longer ones count as this.
+const MAX_LATENCY_NANOS: u64 = 60_000_000_000;
 /// Significant digits of recorded latencies.
-const DIGITS: u8 = 3;
-/// The last part of a wait is spent awake: a sleeping thread wakes up to this much too late.
-const AWAKE: Duration = Duration::from_micros(80);
-/// Time between the first connection and the first request.
-const LEAD: Duration = Duration::from_millis(50);
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Part of a wait that is spent spinning, because a sleeping thread wakes up late by up to this time.
+const SPIN_TIME: Duration = Duration::from_micros(80);
+/// Time between the set-up of the connections and the start of the window.
+const START_DELAY: Duration = Duration::from_millis(50);
 
 /// Load of one window.
 #[derive(Clone, Copy, Debug)]
@@ -34,22 +34,22 @@
     pub rate: u32,
     /// Length of the window.
     pub window: Duration,
-    /// Requests that may be under way at once; more wait, and their wait counts.
+    /// Largest number of requests in progress; further requests wait, and the wait counts as latency.
     pub connections: usize,
     /// Seed of the arrival times.
     pub seed: u64,
 }
 
-/// What came of one window.
+/// Result of one window.
 #[derive(Debug)]
-pub struct Measured {
-    /// Latencies in nanoseconds, from the time a request was due to the end of its answer.
+pub struct Measurement {
+    /// Latencies in nanoseconds, from the time at which a request was due to the end of its answer.
     pub latency: Histogram<u64>,
-    /// How late requests were sent, in nanoseconds.
+    /// Delays in nanoseconds between the due time and the sending of requests.
     pub lateness: Histogram<u64>,
 }
 
-impl Measured {
+impl Measurement {
     fn empty() -> Result<Self, CommandError> {
         Ok(Self {
             latency: histogram()?,
@@ -59,40 +59,48 @@
 }
 
 fn histogram() -> Result<Histogram<u64>, CommandError> {
-    Histogram::new_with_bounds(1, LONGEST_NANOS, DIGITS).map_err(broken)
+    Histogram::new_with_bounds(1, MAX_LATENCY_NANOS, SIGNIFICANT_DIGITS).map_err(caller_error)
 }
 
-fn broken(error: impl std::fmt::Display) -> CommandError {
+fn caller_error(error: impl std::fmt::Display) -> CommandError {
     CommandError::RunFailed(format!("caller: {error}"))
 }
 
-/// Sends one window's load; one thread for each request that may be under way.
+/// Sends the load of one window, with one thread per connection.
 ///
 /// # Errors
-/// [`CommandError::RunFailed`] when a call fails: then there is nothing to compare.
-pub fn send(load: Load) -> Result<Measured, CommandError> {
+/// [`CommandError::RunFailed`] when a call fails, since the windows are then not comparable.
+pub fn send(load: Load) -> Result<Measurement, CommandError> {
     let due = arrivals(load.seed, load.rate, load.window);
     let next = AtomicUsize::new(0);
     let clients = (0..load.connections).map(|_| Client::connect(load.target));
     let clients = clients.collect::<Result<Vec<_>, _>>()?;
-    let start = Instant::now() + LEAD;
+    let start = Instant::now() + START_DELAY;
     thread::scope(|scope| {
-        let work = |client: Client| client.take_turns(&due, &next, start);
+        let run = |client: Client| client.send_requests(&due, &next, start);
         let threads: Vec<_> = clients
             .into_iter()
-            .map(|client| scope.spawn(move || work(client)))
+            .map(|client| scope.spawn(move || run(client)))
             .collect();
-        let mut all = Measured::empty()?;
+        let mut total = Measurement::empty()?;
         for thread in threads {
-            let measured = thread.join().map_err(|_| broken("a thread panicked"))??;
-            all.latency.add(&measured.latency).map_err(broken)?;
-            all.lateness.add(&measured.lateness).map_err(broken)?;
+            let measurement = thread
+                .join()
+                .map_err(|_| caller_error("a thread panicked"))??;
+            total
+                .latency
+                .add(&measurement.latency)
+                .map_err(caller_error)?;
+            total
+                .lateness
+                .add(&measurement.lateness)
+                .map_err(caller_error)?;
         }
-        Ok(all)
+        Ok(total)
     })
 }
 
-/// One connection, driven by one thread.
+/// A connection that is driven by one thread.
 struct Client {
     runtime: Runtime,
     sender: SendRequest<Full<Bytes>>,
@@ -108,7 +116,7 @@
             let stream = TcpStream::connect(target).await?;
             stream.set_nodelay(true)?;
             let handshake = http1::handshake(TokioIo::new(stream));
-            let (sender, connection) = handshake.await.map_err(broken)?;
+            let (sender, connection) = handshake.await.map_err(caller_error)?;
             tokio::spawn(connection);
             Ok::<_, CommandError>(sender)
         })?;
@@ -119,22 +127,22 @@
         })
     }
 
-    /// Takes the next request that nobody has taken, waits until it is due, sends it.
-    fn take_turns(
+    /// Repeatedly takes the next request that no other thread has taken, waits until it is due and sends it.
+    fn send_requests(
         mut self,
         due: &[Duration],
         next: &AtomicUsize,
         start: Instant,
-    ) -> Result<Measured, CommandError> {
-        let mut measured = Measured::empty()?;
+    ) -> Result<Measurement, CommandError> {
+        let mut measurement = Measurement::empty()?;
         while let Some(due) = due.get(next.fetch_add(1, Ordering::Relaxed)) {
             let due = start + *due;
             wait_until(due);
-            measured.lateness.saturating_record(nanos_since(due));
+            measurement.lateness.saturating_record(nanos_since(due));
             self.call()?;
-            measured.latency.saturating_record(nanos_since(due));
+            measurement.latency.saturating_record(nanos_since(due));
         }
-        Ok(measured)
+        Ok(measurement)
     }
 
     fn call(&mut self) -> Result<(), CommandError> {
@@ -145,15 +153,19 @@
                 super::topology::SERVICE,
             )
             .body(Full::new(Bytes::new()))
-            .map_err(broken)?;
+            .map_err(caller_error)?;
         self.runtime.block_on(async {
-            self.sender.ready().await.map_err(broken)?;
-            let answer = self.sender.send_request(request).await.map_err(broken)?;
+            self.sender.ready().await.map_err(caller_error)?;
+            let answer = self
+                .sender
+                .send_request(request)
+                .await
+                .map_err(caller_error)?;
             let (head, body) = answer.into_parts();
-            let body = body.collect().await.map_err(broken)?.to_bytes();
+            let body = body.collect().await.map_err(caller_error)?.to_bytes();
             match head.status {
                 StatusCode::OK => Ok(()),
-                other => Err(broken(format!("{other}: {body:?}"))),
+                other => Err(caller_error(format!("{other}: {body:?}"))),
             }
         })
     }
@@ -164,17 +176,17 @@
 }
 
 fn wait_until(due: Instant) {
-    let asleep = due.saturating_duration_since(Instant::now());
-    thread::sleep(asleep.saturating_sub(AWAKE));
+    let remaining = due.saturating_duration_since(Instant::now());
+    thread::sleep(remaining.saturating_sub(SPIN_TIME));
     while Instant::now() < due {
         hint::spin_loop();
     }
 }
 
-/// Makes one call, to see whether the target answers.
+/// Makes a single call to check that the target answers.
 ///
 /// # Errors
-/// [`CommandError::RunFailed`] when it doesn't.
-pub fn try_once(target: SocketAddr) -> Result<(), CommandError> {
+/// [`CommandError::RunFailed`] when it doesn't answer with success.
+pub fn call_once(target: SocketAddr) -> Result<(), CommandError> {
     Client::connect(target)?.call()
 }
--- a/crates/bramblewheel-lab/src/bench/latency/mod.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/mod.rs
@@ -1,9 +1,9 @@
-//! Latency that the daemons add to a call.
+//! Measures the latency that the daemons add to a call.
 //!
-//! A caller sends the same open-loop load straight to an endpoint and through a gateway and the
-//! endpoint's daemon, in alternation, so that whatever else the machine does falls on both alike.
-//! Latency counts from the time at which a request was due, not from when it could be sent.
-//! Daemons and endpoint are processes of their own, on loopback.
+//! A caller sends the same open-loop load directly to an endpoint and through a gateway and the endpoint's daemon, in
+//! alternation, so that other activity of the machine affects both equally. Latency counts from the time at which a
+//! request was due, not from the time at which it could be sent. Daemons and endpoint are separate processes on
+//! loopback.
 
 mod alternation;
 mod endpoint;
@@ -80,6 +80,8 @@
     let rates = parsed.collect::<Result<Vec<_>, _>>();
     match rates {
         Ok(rates) if rates.iter().all(|rate| *rate > 0) => Ok(rates),
-        _ => Err(CommandError::BadInput(format!("--rates: `{text}`"))),
+        _ => Err(CommandError::BadInput(format!(
+            "--rates: expected numbers above zero, separated by commas, got `{text}`"
+        ))),
     }
 }
--- a/crates/bramblewheel-lab/src/bench/latency/schedule.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/schedule.rs
@@ -1,12 +1,12 @@
-//! When requests are due: independent arrivals at a given mean rate.
+//! Due times of requests: independent arrivals at a given mean rate.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Due times from the start of a window, in order, for arrivals of a Poisson process.
+/// Due times of a Poisson process relative to the start of a window, in order.
 ///
-/// Callers that know nothing of each other arrive like this: in bursts, not evenly.
+/// Requests of independent callers arrive like this, in bursts and not evenly.
 pub fn arrivals(seed: u64, rate: u32, window: Duration) -> Vec<Duration> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut due = Vec::with_capacity((f64::from(rate) * window.as_secs_f64()) as usize);
--- a/crates/bramblewheel-lab/src/bench/latency/topology.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/topology.rs
@@ -1,4 +1,4 @@
-//! The processes of the bench: an endpoint, its daemon, a gateway before it, a control replica.
+//! Processes of the benchmark: an endpoint, its daemon, a gateway and a control replica.
 
 use crate::bench::latency::load;
 use crate::error::CommandError;
@@ -18,22 +18,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Service called.
+/// Name of the called service.
 pub const SERVICE: &str = "answers";
-/// Time for everything to be ready.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Pause between two looks whether it is.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Where everything runs.
+/// Time-out for the start of all processes.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which readiness is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Zone of all processes.
 const ZONE: &str = "zone-a";
 const REGION: &str = "region-a";
 
-/// The running processes; they are ended when this is dropped.
+/// The running processes, which are killed when this is dropped.
 #[derive(Debug)]
 pub struct Topology {
     endpoint_address: SocketAddr,
     gateway_address: SocketAddr,
-    sidecar: Process,
+    endpoint_daemon: Process,
     gateway: Process,
     _endpoint: Process,
     _control: Process,
@@ -41,10 +41,10 @@
 }
 
 impl Topology {
-    /// Starts everything and waits until a call passes.
+    /// Starts all processes and waits until a call through the gateway succeeds.
     ///
     /// # Errors
-    /// [`CommandError`] when a process can't be started or no call passes in time.
+    /// [`CommandError`] when a process can't be started or no call succeeds in time.
     pub fn start(service_time: Duration) -> Result<Self, CommandError> {
         let folder = RunFolder::new(None)?;
         let (control, control_address) = start_control(&folder)?;
@@ -53,13 +53,14 @@
             let settings = daemon_settings(name, &folder, control_address, sections);
             start_daemon(name, &folder, &settings)
         };
-        let (sidecar, _) = daemon("answers-1", &sidecar_sections(endpoint_address))?;
+        let (endpoint_daemon, _) =
+            daemon("answers-1", &endpoint_daemon_sections(endpoint_address))?;
         let (gateway, gateway_address) = daemon("gateway-1", "")?;
-        wait_for_a_call(gateway_address)?;
+        wait_for_successful_call(gateway_address)?;
         Ok(Self {
             endpoint_address,
             gateway_address,
-            sidecar,
+            endpoint_daemon,
             gateway,
             _endpoint: endpoint,
             _control: control,
@@ -68,35 +69,35 @@
     }
 
     /// Address of the endpoint itself.
-    pub fn direct(&self) -> SocketAddr {
+    pub fn endpoint_address(&self) -> SocketAddr {
         self.endpoint_address
     }
 
     /// Address of the gateway.
-    pub fn through(&self) -> SocketAddr {
+    pub fn gateway_address(&self) -> SocketAddr {
         self.gateway_address
     }
 
-    /// The processes whose work is counted.
+    /// Process ids of the gateway and the endpoint's daemon, whose resource usage is measured.
     pub fn daemon_pids(&self) -> [u32; 2] {
-        [self.gateway.0.id(), self.sidecar.0.id()]
+        [self.gateway.0.id(), self.endpoint_daemon.0.id()]
     }
 }
 
-/// A process that is ended when this is dropped. It also ends when its standard input does, which
-/// this holds open.
+/// A process that is killed when this is dropped. It also exits when its standard input ends, which is kept open
+/// by this.
 #[derive(Debug)]
 struct Process(Child);
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself, which the calls have shown.
+        // Fails if the process has already exited, which failed calls have then reported.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Starts a control group of one replica with its first bundle in force.
+/// Starts a control group of one replica and bootstraps it with a bundle.
 fn start_control(folder: &RunFolder) -> Result<(Process, SocketAddr), CommandError> {
     const NAME: &str = "control-1";
     let addresses = ReplicaAddresses {
@@ -105,28 +106,32 @@
     };
     let replica = PlannedReplica {
         name: NAME.to_owned(),
-        zone: ZoneName::new(ZONE).map_err(broken)?,
+        zone: ZoneName::new(ZONE).map_err(run_failed)?,
     };
-    let region = RegionName::new(REGION).map_err(broken)?;
+    let region = RegionName::new(REGION).map_err(run_failed)?;
     let settings = settings::replica(&replica, &region, &folder.data(NAME), addresses);
     let (process, address) =
         start_with_settings("run-control", "service", NAME, folder, &settings)?;
     let bundle = signed_bundle()?;
-    block_on(async { group::bootstrap(&[address], bundle).await.map_err(broken) })?;
+    block_on(async {
+        group::bootstrap(&[address], bundle)
+            .await
+            .map_err(run_failed)
+    })?;
     Ok((process, address))
 }
 
 fn start_endpoint(service_time: Duration) -> Result<(Process, SocketAddr), CommandError> {
     let micros = service_time.as_micros().to_string();
-    let words = [
+    let arguments = [
         "bench",
         "latency",
         "--be-endpoint",
         "--service-time",
         &micros,
     ];
-    let mut child = this_program()?
-        .args(words)
+    let mut child = own_executable()?
+        .args(arguments)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()?;
@@ -134,11 +139,11 @@
     let process = Process(child);
     let mut lines = lines_of(stdout);
     let address = lines.next().and_then(|line| line.parse().ok());
-    let address = address.ok_or_else(|| broken("the endpoint did not start"))?;
+    let address = address.ok_or_else(|| run_failed("the endpoint did not start"))?;
     Ok((process, address))
 }
 
-/// Starts a daemon; returns it with the address of its listener for applications.
+/// Starts a daemon; returns it with the address of its outbound listener.
 fn start_daemon(
     name: &str,
     folder: &RunFolder,
@@ -147,7 +152,7 @@
     start_with_settings("run-daemon", "outbound", name, folder, settings)
 }
 
-/// Starts a process of the system; returns it with the address of one of its listeners.
+/// Starts a daemon or control replica; returns it with the address of the named listener.
 fn start_with_settings(
     command: &str,
     listener: &str,
@@ -157,7 +162,7 @@
 ) -> Result<(Process, SocketAddr), CommandError> {
     let file = folder.settings(name);
     fs::write(&file, settings)?;
-    let mut child = this_program()?
+    let mut child = own_executable()?
         .args([command, "--settings"])
         .arg(file)
         .stdin(Stdio::piped())
@@ -167,13 +172,13 @@
     let process = Process(child);
     let mut lines = lines_of(stderr);
     let address = lines.by_ref().find_map(|line| address_of(listener, &line));
-    let address = address.ok_or_else(|| broken(format!("{name} did not start")))?;
-    // Its log goes on, and must be read on.
+    let address = address.ok_or_else(|| run_failed(format!("{name} did not start")))?;
+    // The rest of the log must be read, or the process blocks when the pipe is full.
     thread::spawn(move || lines.for_each(drop));
     Ok((process, address))
 }
 
-fn this_program() -> Result<Command, CommandError> {
+fn own_executable() -> Result<Command, CommandError> {
     Ok(Command::new(std::env::current_exe()?))
 }
 
@@ -182,7 +187,7 @@
     streams.flat_map(|stream| stream.lines().map_while(Result::ok))
 }
 
-/// The address in a log line about a listener.
+/// Address of the named listener, if the log line reports it.
 fn address_of(listener: &str, line: &str) -> Option<SocketAddr> {
     match parse_log(line)? {
         LogEvent::Listening {
@@ -193,25 +198,25 @@
     }
 }
 
-fn wait_for_a_call(gateway: SocketAddr) -> Result<(), CommandError> {
-    let until = Instant::now() + PATIENCE;
+fn wait_for_successful_call(gateway: SocketAddr) -> Result<(), CommandError> {
+    let deadline = Instant::now() + STARTUP_TIMEOUT;
     loop {
-        match load::try_once(gateway) {
+        match load::call_once(gateway) {
             Ok(()) => return Ok(()),
-            Err(error) if Instant::now() > until => return Err(error),
-            Err(_) => thread::sleep(PAUSE),
+            Err(error) if Instant::now() > deadline => return Err(error),
+            Err(_) => thread::sleep(POLL_INTERVAL),
         }
     }
 }
 
-fn broken(cause: impl std::fmt::Display) -> CommandError {
+fn run_failed(cause: impl std::fmt::Display) -> CommandError {
     CommandError::RunFailed(cause.to_string())
 }
 
-/// A bundle whose limits are above the bench's load: what is measured is the way of a call, not
-/// how long it waits where a service is full.
+/// A bundle whose limits are above the load of the benchmark, so that the measured latency does not include queueing
+/// at a service without free capacity.
 fn signed_bundle() -> Result<SignedBundle, CommandError> {
-    let operator = OperatorKey::from_secret("bench", &[1; 32]).map_err(broken)?;
+    let operator = OperatorKey::from_secret("bench", &[1; 32]).map_err(run_failed)?;
     let public_key = operator.public_key_hex();
     let text = format!(
         "version = 1\ndeployment = \"latency\"\n\
@@ -221,7 +226,7 @@
          [service.admission]\nqueue_length = 64\nmin_concurrency = 8\nmax_concurrency = 64\n\
          [service.routing]\nmax_connections = 64\n"
     );
-    let bundle = parse("latency.toml", &text).map_err(broken)?;
+    let bundle = parse("latency.toml", &text).map_err(run_failed)?;
     let bytes = canonical::encode(&bundle);
     let digest = digest::digest(&bytes);
     Ok(SignedBundle {
@@ -245,7 +250,7 @@
     )
 }
 
-fn sidecar_sections(endpoint: SocketAddr) -> String {
+fn endpoint_daemon_sections(endpoint: SocketAddr) -> String {
     format!(
         "inbound = \"127.0.0.1:0\"\n\
          [endpoint]\nname = \"answers-1\"\nservice = \"{SERVICE}\"\naddress = \"{endpoint}\"\n"
--- a/crates/bramblewheel-lab/src/bench/latency/usage.rs
+++ b/crates/bramblewheel-lab/src/bench/latency/usage.rs
@@ -1,4 +1,4 @@
-//! What another process has used and how busy the machine is, from `/proc`.
+//! Resource usage of other processes and processor utilization of the machine, from `/proc`.
 
 use crate::error::CommandError;
 use std::fs;
@@ -6,12 +6,12 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What a process has used since its start.
+/// Resources that a process has used since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Processor time in user and system mode together.
     pub cpu: Duration,
-    /// How often one of its threads went to sleep; each must be woken again.
+    /// Number of voluntary context switches of its threads; each one causes a wake-up.
     pub sleeps: u64,
 }
 
@@ -37,28 +37,27 @@
     }
 }
 
-/// One tick of the times in `/proc/PID/stat`. The kernel's interface fixes it at 100 a second on
-/// all platforms that the project runs on.
+/// Unit of the times in `/proc/PID/stat`. The kernel interface uses 100 ticks per second on all platforms that the
+/// project supports.
 const TICK: Duration = Duration::from_millis(10);
-/// Place of user time among the fields after the process's name, counted from 0; system time
-/// comes next. See proc(5).
-const USER_TIME: usize = 11;
+/// Index of the user time among the fields after the process name, from 0; the system time is next. See proc(5).
+const USER_TIME_INDEX: usize = 11;
 
-/// Line of a thread's `status` file that counts its sleeps.
-const SLEEPS: &str = "voluntary_ctxt_switches:";
+/// Prefix of the line with the number of sleeps in a thread's `status` file.
+const SLEEPS_PREFIX: &str = "voluntary_ctxt_switches:";
 
-/// What a process has used since its start.
+/// Reads the resources that a process has used since its start.
 ///
 /// # Errors
-/// [`CommandError::RunFailed`] when the process is gone.
+/// [`CommandError::RunFailed`] when the process has exited or its files can't be parsed.
 pub fn usage(pid: u32) -> Result<Usage, CommandError> {
     let process = format!("/proc/{pid}");
     let stat = read(&Path::new(&process).join("stat"))?;
-    let cpu = parse_stat(&stat).ok_or_else(|| broken(&process, "stat is not understood"))?;
+    let cpu = parse_stat(&stat).ok_or_else(|| run_failed(&process, "can't parse stat"))?;
     let threads = fs::read_dir(Path::new(&process).join("task"));
     let mut sleeps = 0;
-    for thread in threads.map_err(|error| broken(&process, error))? {
-        let thread = thread.map_err(|error| broken(&process, error))?;
+    for thread in threads.map_err(|error| run_failed(&process, error))? {
+        let thread = thread.map_err(|error| run_failed(&process, error))?;
         let status = read(&thread.path().join("status"))?;
         sleeps += parse_sleeps(&status).unwrap_or(0);
     }
@@ -66,29 +65,32 @@
 }
 
 fn read(file: &Path) -> Result<String, CommandError> {
-    fs::read_to_string(file).map_err(|error| broken(&file.display().to_string(), error))
+    fs::read_to_string(file).map_err(|error| run_failed(&file.display().to_string(), error))
 }
 
-fn broken(what: &str, error: impl std::fmt::Display) -> CommandError {
+fn run_failed(what: &str, error: impl std::fmt::Display) -> CommandError {
     CommandError::RunFailed(format!("{what}: {error}"))
 }
 
-/// Sleeps from the text of a thread's `status` file.
+/// Parses the number of sleeps in the text of a thread's `status` file.
 pub(super) fn parse_sleeps(status: &str) -> Option<u64> {
-    let line = status.lines().find_map(|line| line.strip_prefix(SLEEPS))?;
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix(SLEEPS_PREFIX))?;
     line.trim().parse().ok()
 }
 
-/// Processor time from the text of a `stat` file. The name, in parentheses, may hold anything.
+/// Parses the processor time in the text of a `stat` file. The process name, in parentheses, may contain any
+/// characters.
 pub(super) fn parse_stat(stat: &str) -> Option<Duration> {
     let (_, after_name) = stat.rsplit_once(')')?;
-    let mut fields = after_name.split_whitespace().skip(USER_TIME);
+    let mut fields = after_name.split_whitespace().skip(USER_TIME_INDEX);
     let user: u32 = fields.next()?.parse().ok()?;
     let system: u32 = fields.next()?.parse().ok()?;
     Some(TICK * user.checked_add(system)?)
 }
 
-/// Time that all processors of the machine have spent, in ticks.
+/// Time counters of all processors of the machine, in ticks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Machine {
     busy: u64,
@@ -96,23 +98,23 @@
 }
 
 impl Machine {
-    /// Reads the machine's counters.
+    /// Reads the current counters.
     ///
     /// # Errors
-    /// [`CommandError::RunFailed`] when they can't be read.
+    /// [`CommandError::RunFailed`] when they can't be read or parsed.
     pub fn now() -> Result<Self, CommandError> {
         const FILE: &str = "/proc/stat";
         let text = read(Path::new(FILE))?;
-        Self::parse(&text).ok_or_else(|| broken(FILE, "not understood"))
+        Self::parse(&text).ok_or_else(|| run_failed(FILE, "can't parse the first line"))
     }
 
-    /// Counters from the text of `/proc/stat`, whose first line sums up all processors: user,
-    /// nice, system, idle, waiting for disks, interrupts, soft interrupts, taken by the host.
+    /// Parses the text of `/proc/stat`, whose first line has the sums over all processors: user, nice, system, idle,
+    /// I/O wait, interrupts, soft interrupts, steal.
     pub(super) fn parse(stat: &str) -> Option<Self> {
-        const KINDS: usize = 8;
+        const KIND_COUNT: usize = 8;
         const IDLE: [usize; 2] = [3, 4];
         let line = stat.lines().next()?.strip_prefix("cpu ")?;
-        let ticks = line.split_whitespace().take(KINDS).map(str::parse);
+        let ticks = line.split_whitespace().take(KIND_COUNT).map(str::parse);
         let ticks = ticks.collect::<Result<Vec<u64>, _>>().ok()?;
         let total = ticks.iter().sum();
         let idle: u64 = IDLE.iter().filter_map(|kind| ticks.get(*kind)).sum();
@@ -122,7 +124,7 @@
         })
     }
 
-    /// How busy the machine was since an earlier reading, in per cent.
+    /// Processor utilization since an earlier reading, in per cent.
     pub fn busy_percent_since(self, earlier: Self) -> f64 {
         let total = self.total.saturating_sub(earlier.total).max(1);
         100.0 * self.busy.saturating_sub(earlier.busy) as f64 / total as f64
--- a/crates/bramblewheel-lab/src/bench/mod.rs
+++ b/crates/bramblewheel-lab/src/bench/mod.rs
@@ -1,3 +1,3 @@
-//! Benches, one folder each.
+//! Benchmarks, one module each.
 
 pub mod latency;
--- a/crates/bramblewheel-lab/src/check/history.rs
+++ b/crates/bramblewheel-lab/src/check/history.rs
@@ -1,4 +1,4 @@
-//! The records of a run, brought into a form that checkers can ask.
+//! Indexes the records of a run for the checkers.
 
 use crate::journal::{
     CallContext, Event, FaultKind, Record, ReplyFromDaemon, RootSend, SubCallEnd,
@@ -6,20 +6,20 @@
 use bramblewheel_types::RequestId;
 use std::collections::{BTreeMap, HashMap};
 
-/// A request's stay at an endpoint.
+/// A request that arrived at an endpoint.
 #[derive(Clone, Debug)]
 pub struct Arrival<'a> {
-    /// Endpoint.
+    /// Name of the endpoint.
     pub endpoint: &'a str,
-    /// What the endpoint was given with it.
+    /// Context that came with the request.
     pub context: &'a CallContext,
-    /// When it came.
+    /// Time of the arrival.
     pub received_us: u64,
-    /// When work for it began, if it did.
+    /// Time at which it began to run, if it did.
     pub ran_us: Option<u64>,
-    /// When it was answered or cancelled.
+    /// Time at which it was answered, refused or cancelled.
     pub ended_us: Option<u64>,
-    /// Whether the connection was closed on it.
+    /// Whether it was cancelled because the connection was closed.
     pub was_cancelled: bool,
 }
 
@@ -28,58 +28,58 @@
 pub struct Send<'a> {
     /// The send.
     pub sent: &'a RootSend,
-    /// When it was sent.
+    /// Time of sending.
     pub sent_us: u64,
-    /// Its end, if it was recorded.
+    /// End of the send, if recorded.
     pub end: Option<SendEnd>,
 }
 
-/// The end of a send, as its caller saw it.
+/// End of a send as seen by its caller.
 #[derive(Clone, Copy, Debug)]
 pub struct SendEnd {
-    /// When.
+    /// Time of the event.
     pub at_us: u64,
-    /// The answer, or why there is none.
+    /// The answer, or the reason why there is none.
     pub reply: ReplyFromDaemon,
 }
 
-/// Something that was done to a process, or its end.
+/// An action on a process, or its exit.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessEvent {
-    /// When.
+    /// Time of the event.
     pub at_us: u64,
-    /// What.
+    /// Kind of the event.
     pub kind: ProcessEventKind,
 }
 
 /// Kinds of [`ProcessEvent`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEventKind {
-    /// Done by the fleet runner.
+    /// Action of the fleet runner.
     Fault(FaultKind),
-    /// The process ended with this status, none by a signal.
+    /// The process exited with this status; none when a signal terminated it.
     Exited(Option<i32>),
 }
 
-/// The records of a run by what they concern.
+/// The records of a run, grouped by subject.
 #[derive(Debug, Default)]
 pub struct History<'a> {
-    /// Arrivals at endpoints.
+    /// Arrivals at endpoints by their number.
     pub arrivals: BTreeMap<u64, Arrival<'a>>,
     /// Sends of callers by their number.
     pub sends: BTreeMap<u64, Send<'a>>,
-    /// Sub-calls that ended, and when.
+    /// Sub-calls that ended, with the time of the end.
     pub sub_calls: Vec<(u64, &'a SubCallEnd)>,
-    /// What happened to each process.
+    /// Events of each process in the order of time.
     pub processes: BTreeMap<&'a str, Vec<ProcessEvent>>,
     /// Bundle versions in force at each daemon, in the order of time.
     pub versions: BTreeMap<&'a str, Vec<u64>>,
-    /// Requests that callers gave up before sending, by flow.
+    /// Number of requests that callers did not send, by flow.
     pub not_sent: BTreeMap<&'a str, u64>,
 }
 
 impl<'a> History<'a> {
-    /// Sorts records by what they concern.
+    /// Groups records by subject.
     pub fn new(records: &'a [Record]) -> Self {
         let mut history = Self::default();
         for record in records {
@@ -149,7 +149,7 @@
         self.processes.entry(process).or_default().push(event);
     }
 
-    /// Arrivals that ran, by the send at the root of their tree.
+    /// Arrivals that ran, by the send at the root of their call tree.
     pub fn runs_by_send(&self) -> HashMap<u64, Vec<&Arrival<'a>>> {
         let mut runs: HashMap<u64, Vec<&Arrival<'a>>> = HashMap::new();
         for arrival in self.arrivals.values() {
@@ -160,7 +160,7 @@
         runs
     }
 
-    /// Sends by their request, in the order of sending.
+    /// Sends by request, in the order of sending.
     pub fn sends_by_request(&self) -> BTreeMap<RequestId, Vec<&Send<'a>>> {
         let mut requests: BTreeMap<RequestId, Vec<&Send<'a>>> = BTreeMap::new();
         for send in self.sends.values() {
@@ -172,14 +172,14 @@
         requests
     }
 
-    /// Times at which a process was asked to stop, each with the time of its end.
+    /// Planned stops of a process: time of the request to stop and time of the exit, if recorded.
     pub fn planned_stops(&self, process: &str) -> Vec<(u64, Option<u64>)> {
         self.spans(process, FaultKind::PlannedStop, |kind| {
             matches!(kind, ProcessEventKind::Exited(_))
         })
     }
 
-    /// Spans that begin with one event of a process and end with another.
+    /// Time spans of a process from each `begin` action to the next event that `is_end` accepts.
     pub fn spans(
         &self,
         process: &str,
--- a/crates/bramblewheel-lab/src/check/leaving.rs
+++ b/crates/bramblewheel-lab/src/check/leaving.rs
@@ -1,7 +1,7 @@
-//! A leaving endpoint receives no new work after a bound.
+//! Checks that a leaving endpoint receives no new work after a time bound.
 //!
-//! An endpoint leaves when it says so in its load report, or when it or its daemon gets a planned
-//! stop. Refused arrivals count as well: work was sent there.
+//! An endpoint is leaving when its load report says so, or during a planned stop of the endpoint or its daemon.
+//! Refused arrivals count as well, because the work was sent there.
 
 use super::Finding;
 use super::history::{History, ProcessEventKind};
@@ -20,7 +20,7 @@
             let arrivals = history.arrivals.values();
             let mut arrivals = arrivals.filter(|arrival| arrival.endpoint == endpoint);
             let late = arrivals.find(|arrival| is_late(arrival.received_us));
-            finding.case(late.is_none(), || {
+            finding.add_case(late.is_none(), || {
                 let after_ms = late.map_or(0, |arrival| (arrival.received_us - from) / 1000);
                 format!("{endpoint} received work {after_ms} ms after it began to leave")
             });
@@ -29,17 +29,18 @@
     finding
 }
 
-/// Times from which an endpoint leaves until it is back.
+/// Time spans from the moment an endpoint begins to leave until it has returned.
 fn absences(history: &History<'_>, endpoint: &str) -> Vec<(u64, u64)> {
     let daemon = format!("daemon-{endpoint}");
-    let is_back = |kind| {
-        let back = [FaultKind::Started, FaultKind::Returned];
-        back.into_iter()
+    let has_returned = |kind| {
+        let return_kinds = [FaultKind::Started, FaultKind::Returned];
+        return_kinds
+            .into_iter()
             .any(|fault| kind == ProcessEventKind::Fault(fault))
     };
-    let mut spans = history.spans(endpoint, FaultKind::Leaving, is_back);
-    spans.extend(history.spans(endpoint, FaultKind::PlannedStop, is_back));
-    spans.extend(history.spans(&daemon, FaultKind::PlannedStop, is_back));
-    let until = |(from, to): (u64, Option<u64>)| (from, to.unwrap_or(u64::MAX));
-    spans.into_iter().map(until).collect()
+    let mut spans = history.spans(endpoint, FaultKind::Leaving, has_returned);
+    spans.extend(history.spans(endpoint, FaultKind::PlannedStop, has_returned));
+    spans.extend(history.spans(&daemon, FaultKind::PlannedStop, has_returned));
+    let open_ended = |(from, to): (u64, Option<u64>)| (from, to.unwrap_or(u64::MAX));
+    spans.into_iter().map(open_ended).collect()
 }
--- a/crates/bramblewheel-lab/src/check/mod.rs
+++ b/crates/bramblewheel-lab/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! Checkers: each reads the journals of a run and states whether a promise was kept.
+//! Checkers, each of which verifies one promise on the journals of a run.
 
 mod history;
 mod leaving;
@@ -18,23 +18,23 @@
 use crate::journal::Record;
 use std::time::Duration;
 
-/// What the checkers need to know of the run.
+/// Limits that the checkers apply to a run.
 #[derive(Clone, Copy, Debug)]
 pub struct CheckLimits {
-    /// Extra attempts that one request may cause: `limits.retry_tokens` of the bundle.
+    /// Largest number of extra attempts per request: `limits.retry_tokens` of the bundle.
     pub retry_tokens: u32,
-    /// Time after which a leaving endpoint may receive nothing new.
+    /// Time after which a leaving endpoint must receive no new work.
     pub leaving_bound: Duration,
 }
 
-/// What a checker found.
+/// Result of a checker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// Name of the checker.
     pub name: &'static str,
-    /// Cases that it looked at; with none, it has shown nothing.
+    /// Number of cases checked; with 0 the result says nothing.
     pub cases: u64,
-    /// What contradicts the promise.
+    /// Descriptions of the cases that violate the promise.
     pub violations: Vec<String>,
 }
 
@@ -47,20 +47,20 @@
         }
     }
 
-    fn case(&mut self, holds: bool, violation: impl FnOnce() -> String) {
+    fn add_case(&mut self, holds: bool, violation: impl FnOnce() -> String) {
         self.cases += 1;
         if !holds {
             self.violations.push(violation());
         }
     }
 
-    /// Whether nothing contradicts the promise.
+    /// Whether there are no violations.
     pub fn passed(&self) -> bool {
         self.violations.is_empty()
     }
 }
 
-/// Runs all checkers over the records of a run, which must be in the order of time.
+/// Runs all checkers on the records of a run, which must be sorted by time.
 pub fn check_all(records: &[Record], limits: CheckLimits) -> Vec<Finding> {
     let history = History::new(records);
     vec![
--- a/crates/bramblewheel-lab/src/check/not_run.rs
+++ b/crates/bramblewheel-lab/src/check/not_run.rs
@@ -1,8 +1,8 @@
-//! A request answered `NotRun` was not run, anywhere.
+//! Checks that a request answered `NotRun` was not run anywhere.
 //!
-//! A send answered `NotRun` left no run at any endpoint, at any depth, at any time. And a
-//! caller that resends and is answered `NotRun` may start anew under another key: then no earlier
-//! send of the request may have begun to run before that answer.
+//! A send answered `NotRun` must have no run at any endpoint, at any depth, at any time. If a resend is answered
+//! `NotRun`, no earlier send of the request may have begun to run before that answer either, because the caller may
+//! then start again under another key.
 
 use super::Finding;
 use super::history::{Arrival, History, Send};
@@ -20,18 +20,18 @@
             let CallerOutcome::NotRun { reason } = end.reply.outcome else {
                 continue;
             };
-            let own = first_run(&runs, send, u64::MAX);
-            finding.case(own.is_none(), || {
-                let endpoint = own.map_or("", |run| run.endpoint);
-                format!("request {request} told not-run ({reason}) but ran at {endpoint}")
+            let own_run = run_before(&runs, send, u64::MAX);
+            finding.add_case(own_run.is_none(), || {
+                let endpoint = own_run.map_or("", |run| run.endpoint);
+                format!("request {request} was answered not-run ({reason}) but ran at {endpoint}")
             });
-            let mut earlier = sends[..index].iter();
-            let earlier = earlier.find_map(|send| first_run(&runs, send, end.at_us));
-            finding.case(earlier.is_none(), || {
-                let endpoint = earlier.map_or("", |run| run.endpoint);
+            let mut earlier_sends = sends[..index].iter();
+            let earlier_run = earlier_sends.find_map(|send| run_before(&runs, send, end.at_us));
+            finding.add_case(earlier_run.is_none(), || {
+                let endpoint = earlier_run.map_or("", |run| run.endpoint);
                 let resend = send.sent.resend;
                 format!(
-                    "request {request} resend {resend} told not-run ({reason}) \
+                    "request {request} resend {resend} was answered not-run ({reason}) \
                      but an earlier send ran at {endpoint}"
                 )
             });
@@ -40,8 +40,8 @@
     finding
 }
 
-/// A run of a send that began before a moment.
-fn first_run<'a, 'b>(
+/// A run of a send that began before a given time, if there is one.
+fn run_before<'a, 'b>(
     runs: &'b HashMap<u64, Vec<&'b Arrival<'a>>>,
     send: &Send<'_>,
     before_us: u64,
--- a/crates/bramblewheel-lab/src/check/own_answer.rs
+++ b/crates/bramblewheel-lab/src/check/own_answer.rs
@@ -1,4 +1,4 @@
-//! Each caller receives the whole answer to its own request, and never a piece of another's.
+//! Checks that each caller receives the complete answer to its own request and no part of another answer.
 
 use super::Finding;
 use super::history::History;
@@ -8,25 +8,25 @@
     let mut finding = Finding::new("own-whole-answer");
     for send in history.sends.values() {
         if let Some(end) = send.end {
-            judge(&mut finding, &end.reply, || {
+            check_reply(&mut finding, &end.reply, || {
                 format!("request {}", send.sent.request)
             });
         }
     }
     for (_, sub_call) in &history.sub_calls {
         let call = sub_call.call;
-        judge(&mut finding, &sub_call.reply, || {
+        check_reply(&mut finding, &sub_call.reply, || {
             format!("sub-call {call:016x}")
         });
     }
     finding
 }
 
-fn judge(finding: &mut Finding, reply: &ReplyFromDaemon, who: impl FnOnce() -> String) {
+fn check_reply(finding: &mut Finding, reply: &ReplyFromDaemon, label: impl FnOnce() -> String) {
     if reply.outcome == CallerOutcome::Completed {
         let is_own = reply.own_whole == Some(true);
-        finding.case(is_own, || {
-            format!("{} got another answer than its own", who())
+        finding.add_case(is_own, || {
+            format!("{} received an answer other than its own", label())
         });
     }
 }
--- a/crates/bramblewheel-lab/src/check/planned_stop.rs
+++ b/crates/bramblewheel-lab/src/check/planned_stop.rs
@@ -1,15 +1,15 @@
-//! A planned stop interrupts no request in progress, and ends with status 0.
+//! Checks that a planned stop interrupts no request in progress and that the process exits with status 0.
 
 use super::Finding;
 use super::history::{History, ProcessEventKind, Send, SendEnd};
 use crate::journal::{CallerOutcome, Failure, FaultKind};
 
-/// No run was broken off at a stopping endpoint before its deadline, and no caller lost an answer
+/// Checks that no run at a stopping endpoint was interrupted before its deadline, and that no caller lost an answer
 /// at a stopping gateway.
 pub(super) fn check_requests(history: &History<'_>) -> Finding {
     let mut finding = Finding::new("planned-stop");
     for arrival in history.arrivals.values() {
-        let stops = stops_around(history, arrival.endpoint);
+        let stops = endpoint_stops(history, arrival.endpoint);
         let is_in_progress = |&(from, to): &(u64, u64)| {
             let began = arrival.ran_us.is_some_and(|at| at <= to);
             began && arrival.ended_us.is_none_or(|at| at >= from)
@@ -19,8 +19,8 @@
         };
         let deadline = arrival.received_us + arrival.context.timeout_ms * 1000;
         let is_past_deadline = arrival.ended_us.unwrap_or(to) >= deadline;
-        let is_ended = arrival.ended_us.is_some() && !arrival.was_cancelled;
-        finding.case(is_ended || is_past_deadline, || {
+        let has_finished = arrival.ended_us.is_some() && !arrival.was_cancelled;
+        finding.add_case(has_finished || is_past_deadline, || {
             let (request, endpoint) = (arrival.context.request, arrival.endpoint);
             format!("request {request} was interrupted at {endpoint} by a planned stop")
         });
@@ -37,28 +37,30 @@
     };
     let stops = history.planned_stops(&send.sent.gateway);
     let is_in_progress = |&(from, to): &(u64, Option<u64>)| {
-        send.sent_us <= from && to.is_none_or(|to| at_us <= to + EXIT_NOTICE_US) && at_us >= from
+        send.sent_us <= from
+            && to.is_none_or(|to| at_us <= to + EXIT_ATTRIBUTION_US)
+            && at_us >= from
     };
     if !stops.iter().any(is_in_progress) {
         return;
     }
-    let lost = matches!(
+    let is_lost = matches!(
         reply.outcome,
         CallerOutcome::Nothing {
             failure: Failure::Broken | Failure::NoOutcome
         }
     );
-    finding.case(!lost, || {
+    finding.add_case(!is_lost, || {
         let (request, gateway) = (send.sent.request, &send.sent.gateway);
         format!("request {request} lost its answer in a planned stop of {gateway}")
     });
 }
 
-/// Time after the end of a process within which a broken connection is put down to that end.
-const EXIT_NOTICE_US: u64 = 1_000_000;
+/// Time after the exit of a process during which a broken connection is attributed to that exit, in microseconds.
+const EXIT_ATTRIBUTION_US: u64 = 1_000_000;
 
-/// Stops of an endpoint or of the daemon beside it, which carries the endpoint's answers.
-fn stops_around(history: &History<'_>, endpoint: &str) -> Vec<(u64, u64)> {
+/// Planned stops of an endpoint or of its daemon, through which the endpoint's answers pass.
+fn endpoint_stops(history: &History<'_>, endpoint: &str) -> Vec<(u64, u64)> {
     let daemon = format!("daemon-{endpoint}");
     let processes = [endpoint, daemon.as_str()];
     let stops = processes.into_iter().flat_map(|p| history.planned_stops(p));
@@ -67,18 +69,18 @@
         .collect()
 }
 
-/// What a process is expected to do next.
+/// How a process is expected to continue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Expected {
-    /// Go on.
+    /// Keeps running.
     Run,
-    /// End by itself, with status 0.
+    /// Exits by itself with status 0.
     Stop,
-    /// End by a signal.
-    Die,
+    /// Is terminated by a signal.
+    Killed,
 }
 
-/// No process ended that was not asked to; every one that was asked ended with status 0.
+/// Checks that no process exited without being asked to, and that each planned stop ended with status 0.
 pub(super) fn check_exits(history: &History<'_>) -> Finding {
     let mut finding = Finding::new("clean-exit");
     for (process, events) in &history.processes {
@@ -87,23 +89,23 @@
             match event.kind {
                 ProcessEventKind::Fault(FaultKind::Started) => expected = Expected::Run,
                 ProcessEventKind::Fault(FaultKind::PlannedStop) => expected = Expected::Stop,
-                ProcessEventKind::Fault(FaultKind::Killed) => expected = Expected::Die,
+                ProcessEventKind::Fault(FaultKind::Killed) => expected = Expected::Killed,
                 ProcessEventKind::Fault(_) => {}
                 ProcessEventKind::Exited(status) => {
                     let is_clean = expected == Expected::Stop && status == Some(0);
-                    finding.case(is_clean || expected == Expected::Die, || {
-                        let asked = match expected {
+                    finding.add_case(is_clean || expected == Expected::Killed, || {
+                        let cause = match expected {
                             Expected::Run => "unasked",
-                            Expected::Stop | Expected::Die => "on a planned stop",
+                            Expected::Stop | Expected::Killed => "on a planned stop",
                         };
-                        format!("{process} ended {asked} with status {status:?}")
+                        format!("{process} ended {cause} with status {status:?}")
                     });
                 }
             }
         }
         if let Some(last) = events.last() {
-            let is_over = matches!(last.kind, ProcessEventKind::Exited(_));
-            finding.case(is_over, || format!("{process} did not end"));
+            let has_exited = matches!(last.kind, ProcessEventKind::Exited(_));
+            finding.add_case(has_exited, || format!("{process} did not end"));
         }
     }
     finding
--- a/crates/bramblewheel-lab/src/check/priority.rs
+++ b/crates/bramblewheel-lab/src/check/priority.rs
@@ -1,12 +1,11 @@
-//! The more important classes are the last to be shed.
+//! Checks that more important classes are shed last.
 //!
-//! For each called service the calls at the root and below are counted by class and by the second
-//! in which they ended, together with those refused as overloaded. Of any two classes, the share
-//! shed of the more important one must not exceed the other's by more than [`TOLERANCE`]. The
-//! shares are compared second by second, and the mean is taken with the smaller number of calls as
-//! weight: overload comes and goes, and a class that calls less while it lasts is shed less over
-//! the whole run without being preferred. Pairs of classes with a weight below [`MIN_WEIGHT`] are
-//! left out: they say little.
+//! For each service, calls at the root and below and those of them refused as overloaded are counted by class and by
+//! the second in which they ended. For any two classes, the share shed of the more important one must not exceed the
+//! other's by more than [`TOLERANCE`]. Shares are compared per second and averaged with the smaller number of calls as
+//! weight: overload varies over time, and a class with fewer calls during overload has a smaller share shed over the
+//! whole run without being preferred. Pairs of classes with a weight below [`MIN_WEIGHT`] are skipped, because they
+//! have too few calls for a comparison.
 
 use super::Finding;
 use super::history::History;
@@ -14,11 +13,11 @@
 use bramblewheel_types::{Criticality, NotRunReason, ServiceName};
 use std::collections::BTreeMap;
 
-/// How much larger the share shed of a more important class may be.
+/// Amount by which the share shed of the more important class may exceed that of the other.
 const TOLERANCE: f64 = 0.02;
-/// Calls, of the class with fewer in each second, below which two classes are not compared.
+/// Total weight below which two classes are not compared: the calls of the class with fewer calls in each window.
 const MIN_WEIGHT: f64 = 100.0;
-/// Time in which shares are compared, in microseconds.
+/// Length of the windows in which shares are compared, in microseconds.
 const WINDOW_US: u64 = 1_000_000;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -28,15 +27,15 @@
 }
 
 impl Count {
-    fn share(self) -> f64 {
+    fn shed_share(self) -> f64 {
         self.shed as f64 / self.calls as f64
     }
 }
 
-/// Counts of one class, by window.
+/// Counts of one class by window number.
 type Windows = BTreeMap<u64, Count>;
 
-/// Mean shares shed of two classes over the windows in which both called.
+/// Weighted mean shares shed of two classes over the windows in which both have calls.
 #[derive(Clone, Copy, Debug, Default)]
 struct Comparison {
     weight: f64,
@@ -55,7 +54,7 @@
                     continue;
                 }
                 let holds = compared.higher <= compared.lower + TOLERANCE;
-                finding.case(holds, || {
+                finding.add_case(holds, || {
                     let (higher, lower) = (compared.higher * 100.0, compared.lower * 100.0);
                     format!(
                         "{service} shed {higher:.1}% of {higher_class} \
@@ -76,8 +75,8 @@
         };
         let weight = higher.calls.min(lower.calls) as f64;
         sum.weight += weight;
-        sum.higher += weight * higher.share();
-        sum.lower += weight * lower.share();
+        sum.higher += weight * higher.shed_share();
+        sum.lower += weight * lower.shed_share();
     }
     Comparison {
         weight: sum.weight,
--- a/crates/bramblewheel-lab/src/check/retry_bound.rs
+++ b/crates/bramblewheel-lab/src/check/retry_bound.rs
@@ -1,10 +1,10 @@
-//! The retries of one request stay within the bound, however deep the tree.
+//! Checks that the retries of one request stay within the bound at any depth of the call tree.
 //!
 //! The bound of `docs/design/03-retry-bound.md` is, for `R` retry tokens,
-//! `sum over calls c of (attempts(c) - 1 - free(c)) + repeats <= R`. Attempts that cost nothing
-//! ran nothing, and the lab's endpoints repeat no sub-call, so that over the attempts that ran
-//! `sum over calls c of (ran(c) - 1) <= R`. Each send of the caller is a call of its own, with no
-//! tokens unless it is the first: the sum over all sends of a request is bounded by the same `R`.
+//! `sum over calls c of (attempts(c) - 1 - free(c)) + repeats <= R`. Free attempts did not run, and the lab's endpoints
+//! repeat no sub-call; for the attempts that ran, this gives `sum over calls c of (ran(c) - 1) <= R`. Each send of the
+//! caller is a separate call, and only the first has tokens, so the sum over all sends of a request has the same bound
+//! `R`.
 
 use super::Finding;
 use super::history::History;
@@ -22,8 +22,8 @@
     }
     for (request, calls) in runs {
         let extra: u64 = calls.values().map(|runs| runs - 1).sum();
-        finding.case(extra <= u64::from(retry_tokens), || {
-            format!("request {request} caused {extra} extra runs, allowed are {retry_tokens}")
+        finding.add_case(extra <= u64::from(retry_tokens), || {
+            format!("request {request} caused {extra} extra runs, expected at most {retry_tokens}")
         });
     }
     finding
--- a/crates/bramblewheel-lab/src/check/run_once.rs
+++ b/crates/bramblewheel-lab/src/check/run_once.rs
@@ -1,4 +1,4 @@
-//! A run-once operation begins to run at most once, whoever sends it how often.
+//! Checks that a run-once operation begins to run at most once, however many callers send it and how often.
 
 use super::Finding;
 use super::history::History;
@@ -13,7 +13,7 @@
         }
     }
     for (key, endpoints) in runs {
-        finding.case(endpoints.len() == 1, || {
+        finding.add_case(endpoints.len() == 1, || {
             let times = endpoints.len();
             format!(
                 "operation {key} ran {times} times: {}",
--- a/crates/bramblewheel-lab/src/check/sessions.rs
+++ b/crates/bramblewheel-lab/src/check/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions are never dropped: wherever a request of a session runs, at whatever gateway it came
-//! in and at any depth, it is known there as part of a session.
+//! Checks that sessions are not lost: a request of a session is marked as such at every endpoint where it arrives,
+//! through any gateway and at any depth.
 
 use super::Finding;
 use super::history::History;
@@ -13,7 +13,7 @@
         let Some(session) = send.sent.session else {
             continue;
         };
-        finding.case(arrival.context.in_session, || {
+        finding.add_case(arrival.context.in_session, || {
             let (request, gateway) = (send.sent.request, &send.sent.gateway);
             let endpoint = arrival.endpoint;
             format!("session {session} was not known: {request} through {gateway} at {endpoint}")
--- a/crates/bramblewheel-lab/src/check/tests.rs
+++ b/crates/bramblewheel-lab/src/check/tests.rs
@@ -1,4 +1,4 @@
-//! Each checker passes a good journal and fails a bad one.
+//! Each checker accepts a journal that keeps its promise and rejects one that violates it.
 
 use super::{CheckLimits, Finding, check_all};
 use crate::journal::{
@@ -86,23 +86,23 @@
     fn finding(&self, name: &str) -> Finding {
         let findings = check_all(&self.records, LIMITS);
         let found = findings.into_iter().find(|finding| finding.name == name);
-        found.expect("a checker of that name")
+        found.expect("a checker has that name")
     }
 
     fn passes(&self, name: &str) {
         let finding = self.finding(name);
         assert!(finding.passed(), "{finding:?}");
-        assert!(finding.cases > 0, "{name} looked at nothing");
+        assert!(finding.cases > 0, "{name} checked no case");
     }
 
     fn fails(&self, name: &str) {
         let finding = self.finding(name);
-        assert!(!finding.passed(), "{name} saw nothing wrong: {finding:?}");
+        assert!(!finding.passed(), "{name} found no violation: {finding:?}");
     }
 }
 
 fn service(name: &str) -> ServiceName {
-    ServiceName::new(name).expect("valid name")
+    ServiceName::new(name).expect("service name is valid")
 }
 
 fn root_send(send: u64, request: u128) -> RootSend {
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_send_told_not_run_must_not_have_run() {
+fn a_send_answered_not_run_must_not_have_run() {
     let mut run = Run::default();
     run.sent(1, 1, 1)
         .send_ended(2, 1, SHED)
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_resend_told_not_run_must_follow_no_run() {
+fn a_resend_answered_not_run_must_not_follow_a_run_of_an_earlier_send() {
     let mut run = Run::default();
     run.sent(1, 1, 7).received(2, 1, context(1, 1, 7)).ran(3, 1);
     run.send_ended(4, 1, CallerOutcome::Unknown);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_completed_call_must_bring_its_own_whole_answer() {
+fn a_completed_send_must_receive_the_whole_answer_to_its_request() {
     let mut run = Run::default();
     run.sent(1, 1, 1).send_ended(2, 1, CallerOutcome::Completed);
     run.passes("own-whole-answer");
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_sub_call_must_bring_its_own_whole_answer() {
+fn a_completed_sub_call_must_receive_the_whole_answer_to_its_request() {
     let reply = ReplyFromDaemon {
         outcome: CallerOutcome::Completed,
         status: Some(200),
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_planned_stop_may_not_outlive_a_deadline_for_it() {
+fn a_planned_stop_may_cancel_a_run_after_its_deadline() {
     let mut run = Run::default();
     run.received(1, 1, context(1, 1, 1)).ran(2, 1);
     run.fault(3, "kassa-1", FaultKind::PlannedStop);
@@ -273,14 +273,14 @@
 }
 
 #[test]
-fn a_process_must_not_end_unasked() {
+fn a_process_must_not_exit_without_being_asked_to() {
     let mut run = Run::default();
     run.fault(1, "kassa-1", FaultKind::Started);
     run.exited(2, "kassa-1", Some(0)).fails("clean-exit");
 }
 
 #[test]
-fn a_leaving_endpoint_must_get_no_work_after_the_bound() {
+fn a_leaving_endpoint_must_receive_no_work_after_the_bound() {
     let mut run = Run::default();
     run.received(1, 1, context(1, 1, 1));
     run.fault(2, "kassa-1", FaultKind::Leaving);
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn an_endpoint_that_is_back_may_get_work() {
+fn an_endpoint_whose_daemon_was_restarted_may_receive_work() {
     let mut run = Run::default();
     run.received(1, 1, context(1, 1, 1));
     run.fault(2, "daemon-kassa-1", FaultKind::PlannedStop);
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn more_important_calls_must_not_be_shed_more() {
+fn a_more_important_class_must_not_be_shed_more() {
     let shares = |critical: u64, low: u64| {
         let mut run = Run::default();
         for (class, shed) in [(Criticality::Critical, critical), (Criticality::Low, low)] {
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn a_class_that_stays_away_from_overload_is_not_preferred() {
+fn a_class_with_fewer_calls_during_overload_does_not_count_as_preferred() {
     let mut run = Run::default();
     let calls = [
         (0, Criticality::Normal, 200, 100),
@@ -353,19 +353,19 @@
 }
 
 #[test]
-fn a_session_must_be_known_wherever_its_requests_run() {
+fn a_request_of_a_session_must_be_in_session_at_every_endpoint() {
     let mut run = Run::default();
     run.sent(1, 1, 1).received(2, 1, context(1, 1, 1));
     run.passes("sessions");
-    let stranger = CallContext {
+    let without_session = CallContext {
         in_session: false,
         ..context(1, 2, 1)
     };
-    run.received(3, 2, stranger).fails("sessions");
+    run.received(3, 2, without_session).fails("sessions");
 }
 
 #[test]
-fn a_daemon_must_not_go_back_to_an_older_bundle() {
+fn a_daemon_must_not_return_to_an_older_bundle() {
     let in_force = |version| Event::BundleInForce {
         process: "gateway-1".to_owned(),
         version,
--- a/crates/bramblewheel-lab/tests/examples.rs
+++ b/crates/bramblewheel-lab/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples that the lab carries, and the scripts beside them, can be used.
+//! The example deployments compiled into the lab and the example scripts are valid.
 
 use bramblewheel_bundle::verify;
 use bramblewheel_lab::answer;
@@ -9,19 +9,21 @@
 use std::path::Path;
 
 #[test]
-fn deployments_have_bundles_for_all_their_services() {
+fn example_bundles_are_signed_and_cover_all_flows() {
     for (name, processes) in [("torgnett", 45), ("museum", 41)] {
-        let example = Deployments::example(name).expect("an example");
+        let example = Deployments::example(name).expect("example exists");
         let (deployment, bundle) = (example.deployment(), example.bundle(7));
         assert_eq!(Plan::new(&deployment).process_count(), processes);
         for flow in &deployment.flows {
-            let route = bundle.resolve(&flow.service, &flow.path).expect("a route");
+            let route = bundle
+                .resolve(&flow.service, &flow.path)
+                .expect("flow has a route");
             assert_eq!(route.repeatable, !flow.run_once, "{}", flow.name);
         }
         let signed = example.signed_bundle(7);
         let signatures = signed.signatures.iter();
         let signatures = signatures.map(|s| (s.operator.as_str(), s.signature.as_slice()));
-        verify(&bundle.operators, signed.digest, signatures).expect("enough signatures");
+        verify(&bundle.operators, signed.digest, signatures).expect("signatures are sufficient");
     }
 }
 
@@ -29,17 +31,17 @@
 fn example_scripts_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/scripts");
     let mut count = 0;
-    for entry in std::fs::read_dir(folder).expect("the folder of scripts") {
-        let path = entry.expect("an entry").path();
-        let text = std::fs::read_to_string(&path).expect("a script");
-        script::parse(&path.display().to_string(), &text).expect("a valid script");
+    for entry in std::fs::read_dir(folder).expect("folder of scripts can be read") {
+        let path = entry.expect("folder entry can be read").path();
+        let text = std::fs::read_to_string(&path).expect("script can be read");
+        script::parse(&path.display().to_string(), &text).expect("script is valid");
         count += 1;
     }
     assert!(count >= 4);
 }
 
 #[test]
-fn answers_differ_with_whatever_is_asked() {
+fn answers_depend_on_request_id_path_and_body() {
     let original = answer::body(RequestId(1), "/pay", b"a");
     assert_eq!(original, answer::body(RequestId(1), "/pay", b"a"));
     assert_ne!(original, answer::body(RequestId(2), "/pay", b"a"));
--- a/crates/bramblewheel-lab/tests/latency.rs
+++ b/crates/bramblewheel-lab/tests/latency.rs
@@ -1,15 +1,15 @@
-//! The latency bench measures with real processes and says what it found.
+//! The latency benchmark runs with real processes and reports its figures.
 
 use std::process::{Command, Stdio};
 
 #[test]
-fn the_bench_runs_without_a_terminal_and_reports_every_figure() {
+fn latency_benchmark_runs_without_a_terminal_and_reports_its_figures() {
     let output = Command::new(env!("CARGO_BIN_EXE_bramblewheel-lab"))
         .args(["bench", "latency", "--rates", "50"])
         .args(["--alternations", "1", "--window", "1", "--connections", "4"])
         .stdin(Stdio::null())
         .output()
-        .expect("the program runs");
+        .expect("lab can be started");
     let text = String::from_utf8_lossy(&output.stdout);
     let errors = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{errors}");
--- a/crates/bramblewheel-lab/tests/sim.rs
+++ b/crates/bramblewheel-lab/tests/sim.rs
@@ -1,4 +1,4 @@
-//! `sim run`: seeds in order, and errors that say what is wrong.
+//! `sim run` reports seeds in order and gives distinct exit statuses for violations and invalid input.
 
 use bramblewheel_lab::commands::sim::{SimCommand, SimOptions, SimRunOptions, run};
 use bramblewheel_lab::error::ExitStatus;
@@ -9,7 +9,7 @@
     let command = SimRunOptions {
         help: false,
         scenario: scenario.to_owned(),
-        seeds: "0..2".parse().expect("a range"),
+        seeds: "0..2".parse().expect("range is valid"),
         jobs: 2,
         report: None,
     };
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn ranges_of_seeds() {
-    let range: SeedRange = "17..20".parse().expect("a range");
+fn seed_ranges_are_parsed_and_invalid_ones_rejected() {
+    let range: SeedRange = "17..20".parse().expect("range is valid");
     assert_eq!((range.first, range.end, range.count()), (17, 20, 3));
     for wrong in ["", "5", "5..", "..5", "5..5", "6..5", "a..b", "-1..2"] {
         assert!(wrong.parse::<SeedRange>().is_err(), "{wrong}");
@@ -29,10 +29,12 @@
 }
 
 #[test]
-fn reports_come_in_the_order_of_seeds_and_are_the_same_each_time() {
-    let scenario = built_in("operators-race").expect("there").scenario();
-    let scenario = scenario.expect("valid");
-    let seeds = "3..9".parse().expect("a range");
+fn reports_are_in_the_order_of_seeds_and_reproducible() {
+    let scenario = built_in("operators-race")
+        .expect("scenario exists")
+        .scenario();
+    let scenario = scenario.expect("scenario is valid");
+    let seeds = "3..9".parse().expect("range is valid");
     let run_with = |jobs| {
         let mut reports = Vec::new();
         run_seeds(&scenario, seeds, jobs, |report| reports.push(report));
@@ -49,18 +51,20 @@
 }
 
 #[test]
-fn an_outcome_that_does_not_hold_and_a_wrong_file_have_their_exit_status() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let text = built_in("operators-race").expect("there").text;
+fn violated_outcomes_and_invalid_input_have_different_exit_statuses() {
+    let folder = tempfile::tempdir().expect("folder can be created");
+    let text = built_in("operators-race").expect("scenario exists").text;
     let unreachable = text.replace("min_accepted = 4", "min_accepted = 1000");
     let path = folder.path().join("unreachable.toml");
-    std::fs::write(&path, unreachable).expect("written");
-    let error = run(run_options(path.to_str().expect("text"))).expect_err("it can't hold");
+    std::fs::write(&path, unreachable).expect("file can be written");
+    let error =
+        run(run_options(path.to_str().expect("path is UTF-8"))).expect_err("outcome does not hold");
     assert_eq!(error.status(), ExitStatus::Failed);
-    std::fs::write(&path, text.replace("rounds", "ruonds")).expect("written");
-    let error = run(run_options(path.to_str().expect("text"))).expect_err("a wrong key");
+    std::fs::write(&path, text.replace("rounds", "ruonds")).expect("file can be written");
+    let error = run(run_options(path.to_str().expect("path is UTF-8")))
+        .expect_err("file has an unknown key");
     assert_eq!(error.status(), ExitStatus::BadInput);
     assert!(error.to_string().contains(":14: ruonds"), "{error}");
-    let error = run(run_options("no-such-scenario")).expect_err("no such scenario");
+    let error = run(run_options("no-such-scenario")).expect_err("scenario does not exist");
     assert_eq!(error.status(), ExitStatus::BadInput);
 }
