--- a/crates/bramblewheel-sim/src/requests/actor.rs
+++ b/crates/bramblewheel-sim/src/requests/actor.rs
@@ -17,9 +17,9 @@
     Ledger(LedgerService),
     /// The callers of one zone.
     Callers(Box<Callers>),
-    /// The callers of one zone, who do what they are told.
+    /// The callers of one zone, which send what a script says.
     Scripted(Box<ScriptedCallers>),
-    /// A control replica that keeps the ledger.
+    /// A control replica that holds the ledger.
     Replica(Box<Replica>),
 }
 
--- a/crates/bramblewheel-sim/src/requests/bound.rs
+++ b/crates/bramblewheel-sim/src/requests/bound.rs
@@ -1,16 +1,15 @@
-//! The best that any layer could do with the slots that remain; see
-//! `docs/design/10-overload-bound.md`.
+//! Upper bound on the rates that any layer can serve with the slots of a deployment.
 //!
-//! A linear programme: rates of whole requests by flow, none above what is offered, such that no
-//! service is asked for more slot time than its slots have.
+//! Solves a linear programme for the rates of whole requests by flow: no rate exceeds the offered one,
+//! and no service needs more slot time than its slots provide.
 
 use super::topology::{RouteIndex, Topology, ZoneIndex};
 use super::work::log_normal_mean;
 
-/// Smallest gain of a step that is still taken.
+/// Values of smaller magnitude count as zero in the simplex method.
 const TOLERANCE: f64 = 1e-9;
 
-/// A deployment whose services may be slower than usual.
+/// Capacity of a deployment whose services may be slowed down.
 #[derive(Clone, Debug)]
 pub struct Capacity<'a> {
     topology: &'a Topology,
@@ -18,7 +17,7 @@
 }
 
 impl<'a> Capacity<'a> {
-    /// A deployment at its usual speed.
+    /// Capacity at the usual speed.
     pub fn new(topology: &'a Topology) -> Self {
         Self {
             topology,
@@ -26,15 +25,15 @@
         }
     }
 
-    /// The same with one service slower by a factor.
+    /// The same with one service slowed by a factor.
     #[must_use]
     pub fn with_slowdown(mut self, service: usize, factor: f64) -> Self {
         self.slowdown[service] = factor;
         self
     }
 
-    /// Shortest mean time in which a route is answered, without any queueing; adds the slot time
-    /// that each service spends on it, in seconds.
+    /// Returns the shortest mean response time of a route, without queueing, and adds the slot time that
+    /// each service spends on it to `slot_time`; both in seconds.
     fn hold(&self, route: RouteIndex, slot_time: &mut [f64]) -> f64 {
         let route = &self.topology.routes[route.0];
         let work = log_normal_mean(route.work, route.work_sigma).as_secs_f64();
@@ -51,14 +50,14 @@
         own + calls
     }
 
-    /// Slot time in seconds that one request of a flow takes, by service.
+    /// Slot time that one request of a flow takes at each service, in seconds.
     pub fn slot_time(&self, flow: usize) -> Vec<f64> {
         let mut slot_time = vec![0.0; self.topology.services.len()];
         self.hold(self.topology.flows[flow].route, &mut slot_time);
         slot_time
     }
 
-    /// Slots of each service.
+    /// Total number of slots of each service.
     fn slots(&self) -> Vec<f64> {
         let slots = |service: &super::topology::Service| {
             let endpoints = service.endpoints.iter();
@@ -68,7 +67,7 @@
         self.topology.services.iter().map(slots).collect()
     }
 
-    /// Highest rate of the usual mix, requests a second, that the slots can serve.
+    /// Highest rate of the usual mix that the slots can serve, in requests per second.
     pub fn full_rate(&self) -> f64 {
         let mut per_request = vec![0.0; self.topology.services.len()];
         for (flow, shape) in self.topology.flows.iter().enumerate() {
@@ -83,8 +82,8 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Rates by class (in the order of `classes`) that maximise their sum weighted by `weights`
-    /// when all flows of a class are admitted in equal shares.
+    /// Rates by class, in the order of `classes`, that maximise their sum weighted by `weights` when all
+    /// flows of a class are admitted in equal shares.
     pub fn best_even_rates<C: PartialEq>(
         &self,
         rate: f64,
@@ -111,9 +110,9 @@
         self.maximise_rates(&times, &offered, weights)
     }
 
-    /// Rates by flow that maximise their sum weighted by `weights`, when `rate` requests a second
-    /// are offered in the usual mix. Weights that differ by large factors give the most important
-    /// flows all that they can use first.
+    /// Rates by flow that maximise their sum weighted by `weights` when `rate` requests per second are
+    /// offered in the usual mix. With weights that differ by large factors, the most important flows are
+    /// served first.
     pub fn best_rates(&self, rate: f64, weights: &[f64]) -> Vec<f64> {
         let flows = self.topology.flows.iter();
         let offered: Vec<f64> = flows.map(|flow| rate * flow.model.share).collect();
@@ -136,8 +135,8 @@
     }
 }
 
-/// Maximises `gains * x` for `x >= 0` and `row * x <= limit`, all limits being at least 0: the
-/// simplex method in its tableau form, with Bland's rule, so that it ends.
+/// Maximises `gains * x` for `x >= 0` and `row * x <= limit`, where all limits are at least 0. Uses the
+/// tableau simplex method with Bland's rule, which guarantees termination.
 pub fn maximise(gains: &[f64], limits: &[(Vec<f64>, f64)]) -> Vec<f64> {
     let variables = gains.len();
     let columns = variables + limits.len();
@@ -168,7 +167,7 @@
     solution
 }
 
-/// The row whose limit is reached first when the entering variable grows.
+/// The row whose limit is reached first as the entering variable grows.
 fn leaving_row(tableau: &[Vec<f64>], basis: &[usize], entering: usize) -> Option<usize> {
     let mut best: Option<(f64, usize)> = None;
     for (row, line) in tableau.iter().enumerate() {
--- a/crates/bramblewheel-sim/src/requests/callers.rs
+++ b/crates/bramblewheel-sim/src/requests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of one zone: an open loop of new requests, and hard retries.
+//! Callers of one zone: an open loop of new requests, with aggressive resends.
 
 use super::actor::RequestActor;
 use super::layer::LayerKind;
@@ -16,26 +16,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bits of a send's or request's number that count within one zone's callers.
+/// Low bits of a send's or request's number, which count within one zone; the high bits are the zone.
 const NUMBER_BITS: u32 = 40;
 
-/// What became of one request of a person.
+/// Result of one request of a person.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestResult {
-    /// Kind of request.
+    /// Flow of the request.
     pub flow: FlowIndex,
     /// When it was first sent.
     pub began: Timestamp,
-    /// When the whole answer came, if one came.
+    /// When the whole answer arrived, if it did.
     pub completed: Option<Timestamp>,
-    /// Times that it was sent.
+    /// Number of sends.
     pub sends: u32,
-    /// Id of the send that was answered in full, or of the last one.
+    /// Request id of the send that was answered in full, or of the last one.
     pub request: RequestId,
 }
 
 impl RequestResult {
-    /// Whether the whole answer came within the deadline.
+    /// Whether the whole answer arrived within the deadline.
     pub fn is_good(&self, topology: &Topology) -> bool {
         let deadline = Duration::from_millis(topology.flows[self.flow.0].model.deadline_ms);
         self.completed
@@ -49,13 +49,13 @@
     caller: String,
     has_id: bool,
     in_session: bool,
-    /// Which of the zone's sessions, if they have tokens.
+    /// Position among the zone's sessions, if sessions have tokens.
     session: Option<usize>,
     operation: Option<Operation>,
     resend: u32,
     /// Whether no connection could be opened for the last send.
     is_unsent: bool,
-    /// Where it was sent last.
+    /// Destination of the last send.
     last: Option<ProcessId>,
 }
 
@@ -79,14 +79,14 @@
     people: BTreeMap<u64, Person>,
     sends: HashMap<SendId, OpenSend>,
     told: HashSet<SendId>,
-    /// Tokens of the zone's sessions, none before they are opened.
+    /// Tokens of the zone's sessions; `None` until a session is opened.
     sessions: Vec<Option<String>>,
     numbers: u64,
     results: Vec<RequestResult>,
 }
 
 impl Callers {
-    /// Callers of a zone; `load` is that of all zones together.
+    /// Callers of a zone; `load` is the load of all zones together.
     pub fn new(
         topology: Arc<Topology>,
         zone: ZoneIndex,
@@ -110,13 +110,13 @@
         }
     }
 
-    /// Results of requests that are over, and of those still in progress as far as they are.
+    /// Results of finished requests, and the results so far of those in progress.
     pub fn results(&self) -> impl Iterator<Item = &RequestResult> {
         let open = self.people.values().map(|person| &person.result);
         self.results.iter().chain(open)
     }
 
-    /// Requests that are not over.
+    /// Number of requests in progress.
     pub fn open(&self) -> usize {
         self.people.len()
     }
@@ -134,7 +134,7 @@
     pub(super) fn timer(&mut self, context: &mut Context<'_, RequestActor>, timer: Timer) {
         match timer {
             Timer::Arrival => {
-                // Arrivals come at the peak rate and are thinned to the rate of the moment.
+                // Arrivals are drawn at the peak rate and thinned to the current rate.
                 let now = context.virtual_now();
                 let share = self.load.rate(now) / self.load.peak_rate();
                 if context.random().random_bool(share) {
@@ -165,7 +165,7 @@
         let caller = random.random_range(0..self.behaviour.callers_per_zone);
         let operation = model.run_once.then(|| Operation {
             key: OperationKey::new(&format!("operation-{number:x}"))
-                .expect("a short text of visible characters is a valid key"),
+                .expect("a short text of visible ASCII characters is a valid operation key"),
             minted_at_unix_millis: now.as_millis(),
         });
         let in_session = random.random_bool(model.in_session);
@@ -199,7 +199,7 @@
         person.result.sends += 1;
         let is_resend = person.result.sends > 1;
         if std::mem::take(&mut person.is_unsent) {
-            // Nobody took the last send, so this one is no resend.
+            // The last send reached no process, so this one does not count as a resend.
         } else if is_resend && person.has_id {
             person.resend += 1;
         } else if is_resend {
@@ -247,7 +247,7 @@
         self.sends.insert(send, open);
     }
 
-    /// A gateway, or without any layer an endpoint anywhere.
+    /// A gateway, or a random endpoint of the service if there is no layer.
     fn destination(
         &self,
         context: &mut Context<'_, RequestActor>,
--- a/crates/bramblewheel-sim/src/requests/check/facts.rs
+++ b/crates/bramblewheel-sim/src/requests/check/facts.rs
@@ -1,4 +1,4 @@
-//! A history sorted by request, run and process.
+//! Index of a history by send, run and process.
 
 use super::super::content::{Content, RunId};
 use super::super::faults::FaultRecord;
@@ -9,7 +9,7 @@
 use bramblewheel_types::{OperationKey, Outcome, RequestId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A send of a caller.
+/// A send by a caller.
 #[derive(Debug)]
 pub(super) struct Send {
     pub(super) at: Timestamp,
@@ -22,7 +22,7 @@
     pub(super) end: Option<SendEnd>,
 }
 
-/// How a send ended for its caller.
+/// End of a send.
 #[derive(Debug)]
 pub(super) struct SendEnd {
     pub(super) at: Timestamp,
@@ -30,14 +30,14 @@
     pub(super) outcome: CallerOutcome,
 }
 
-/// How a send ended, as its caller saw it.
+/// Outcome of a send, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallerOutcome {
-    /// The answer.
+    /// Answered, with the outcome and the content that the answer belongs to.
     Answer(Outcome, Option<Content>),
     /// No connection could be opened.
     NotReached,
-    /// Nothing, for as long as it waited.
+    /// The caller stopped waiting without an answer.
     Nothing,
 }
 
@@ -50,13 +50,13 @@
     pub(super) content: Content,
     pub(super) request: RequestId,
     pub(super) operation: Option<OperationKey>,
-    /// When it ended by itself, and whether it succeeded.
+    /// When the run ended on its own, and whether it succeeded.
     pub(super) ended: Option<(Timestamp, bool)>,
-    /// When it was stopped.
+    /// When the run was cancelled.
     pub(super) stopped: Option<Timestamp>,
 }
 
-/// How a sub-call ended, as the endpoint that made it saw it.
+/// End of a sub-call, as the calling endpoint saw it.
 #[derive(Debug)]
 pub(super) struct SubCallTold {
     pub(super) index: usize,
@@ -65,7 +65,7 @@
     pub(super) answered: Option<Content>,
 }
 
-/// Times during which something held.
+/// Time spans during which a condition held.
 #[derive(Debug, Default)]
 pub(super) struct Spans(Vec<(Timestamp, Timestamp)>);
 
@@ -92,18 +92,18 @@
     }
 }
 
-/// A history sorted by request, run and process.
+/// Index of a history by send, run and process.
 #[derive(Debug, Default)]
 pub(super) struct Facts {
     pub(super) sends: BTreeMap<SendId, Send>,
     pub(super) runs: BTreeMap<RunId, Run>,
     pub(super) sub_calls: Vec<SubCallTold>,
     pub(super) told_again: Vec<(usize, SendId)>,
-    /// Times during which a process was frozen or not there.
+    /// Time spans during which a process was frozen or stopped.
     pub(super) absent: BTreeMap<ProcessId, Spans>,
-    /// Times during which any zone was cut off.
+    /// Time spans during which any zone was cut off.
     pub(super) cut: Spans,
-    /// Runs by what they were asked for.
+    /// Runs by content.
     by_content: BTreeMap<Content, BTreeSet<RunId>>,
 }
 
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Runs that were asked for the same.
+    /// Runs of a content.
     pub(super) fn runs_of(&self, content: Content) -> impl Iterator<Item = &Run> {
         let runs = self.by_content.get(&content).into_iter().flatten();
         runs.map(|run| &self.runs[run])
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Whether a process was frozen or not there at any moment of a time.
+    /// Whether a process was frozen or stopped at any time in a span.
     pub(super) fn was_absent(&self, process: ProcessId, from: Timestamp, to: Timestamp) -> bool {
         self.absent
             .get(&process)
--- a/crates/bramblewheel-sim/src/requests/check/leaving.rs
+++ b/crates/bramblewheel-sim/src/requests/check/leaving.rs
@@ -1,4 +1,4 @@
-//! A leaving endpoint begins nothing new after a while, until it is started again.
+//! Checks that a leaving endpoint begins no runs after a bounded time, until it restarts.
 
 use super::super::faults::FaultRecord;
 use super::super::record::Record;
@@ -22,7 +22,7 @@
         violations.extend(late.map(|run| Violation {
             promise: Promise::LeavingLeftAlone,
             message: format!(
-                "endpoint {} began a run {:?} after it said that it leaves",
+                "endpoint {} began a run {:?} after it started to leave",
                 endpoint.0,
                 run.at.since(entry.at)
             ),
@@ -32,7 +32,7 @@
     violations
 }
 
-/// When the endpoint's process starts again.
+/// Time of the next start of the endpoint's process.
 fn next_start(evidence: &Evidence<'_>, endpoint: EndpointIndex, after: usize) -> Timestamp {
     let process = u32::try_from(endpoint.0).ok().map(ProcessId);
     let later = evidence.history[after..].iter();
--- a/crates/bramblewheel-sim/src/requests/check/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/check/mod.rs
@@ -1,7 +1,7 @@
-//! Checkers of the promises on requests.
+//! Checkers of the promises about requests.
 //!
-//! They know nothing of how daemons decide: they read what endpoints ran, what callers were told
-//! and, for the order in which calls are refused, what crossed the wire between daemons.
+//! They don't depend on how daemons decide: they read the runs at endpoints, the answers to callers
+//! and, for the order in which calls are refused, the traffic between daemons.
 
 mod facts;
 mod leaving;
@@ -23,32 +23,32 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What a checker holds against.
+/// A property that a checker verifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
-    /// What was told not to have run ran nowhere.
+    /// A request or sub-call reported as not run did not run anywhere.
     NotRunTruth,
     /// An operation runs at most once.
     RunAtMostOnce,
     /// Extra runs of one original request stay within the bound.
     RetryBound,
-    /// Who asks gets the whole answer to its own question.
+    /// Each caller gets the whole answer to its own request, or none.
     OwnWholeAnswer,
-    /// Nothing is shed while something less important waits at the same daemon.
+    /// No attempt is shed while a less important one waits at the same daemon.
     PriorityKept,
-    /// The most important classes are served best.
+    /// A class is not served worse than a less important one.
     ImportantLast,
-    /// No session ends but by its caller's wish.
+    /// Every daemon accepts every valid session.
     SessionsKept,
-    /// A leaving endpoint gets no new work after a while.
+    /// A leaving endpoint begins no runs after a bounded time.
     LeavingLeftAlone,
-    /// A planned stop interrupts nothing that is in progress.
+    /// A planned stop interrupts no request in progress, and completes.
     StopInterruptsNothing,
-    /// A final answer is given at once.
+    /// A final outcome is reported without delay.
     AnsweredAtOnce,
-    /// Each send is answered once.
+    /// Each send is answered exactly once.
     AnsweredOnce,
-    /// The run shows what it is meant to show.
+    /// The run meets the outcomes that its scenario requires.
     Meaningful,
 }
 
@@ -76,39 +76,39 @@
 pub struct Violation {
     /// The promise.
     pub promise: Promise,
-    /// What happened instead.
+    /// Description of the violation.
     pub message: String,
-    /// Positions in the history that show it.
+    /// Indices of the history entries that show it.
     pub evidence: Vec<usize>,
 }
 
-/// Bounds that a run is held to.
+/// Bounds that a run is checked against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Time after which a leaving endpoint gets no new work.
+    /// Time after which a leaving endpoint must not begin runs.
     pub leave_within: Duration,
-    /// Time from the last report about a request until its caller is answered.
+    /// Maximum time from the last report on a request until its caller is answered.
     pub answer_within: Duration,
-    /// Longest time that a planned stop takes.
+    /// Maximum duration of a planned stop.
     pub stop_within: Duration,
-    /// Whether classes are compared: only for runs in which they share their endpoints.
+    /// Whether classes are compared; meaningful only if they share endpoints.
     pub compare_classes: bool,
 }
 
-/// What a run left behind.
+/// Inputs of the checkers.
 #[derive(Clone, Copy, Debug)]
 pub struct Evidence<'a> {
-    /// All that happened.
+    /// History of the run.
     pub history: &'a [Entry<Record>],
     /// The deployment.
     pub topology: &'a Topology,
     /// The bundle with which the run began.
     pub bundle: &'a Bundle,
-    /// Bounds that the run is held to.
+    /// Bounds that the run is checked against.
     pub bounds: Bounds,
 }
 
-/// All broken promises, in the order of [`Promise`].
+/// Returns all violations.
 pub fn check(evidence: &Evidence<'_>) -> Vec<Violation> {
     let facts = Facts::new(evidence.history);
     let mut violations = Vec::new();
--- a/crates/bramblewheel-sim/src/requests/check/one_answer.rs
+++ b/crates/bramblewheel-sim/src/requests/check/one_answer.rs
@@ -1,4 +1,4 @@
-//! Each send is answered once: not twice, and never not at all by a gateway that was there.
+//! Checks that each send is answered once: not twice, and at all if its gateway was available.
 
 use super::facts::{CallerOutcome, Facts};
 use super::{Evidence, Promise, Violation};
--- a/crates/bramblewheel-sim/src/requests/check/outcome_truth.rs
+++ b/crates/bramblewheel-sim/src/requests/check/outcome_truth.rs
@@ -1,4 +1,5 @@
-//! What was told not to have run ran nowhere, before or after, in the whole call tree.
+//! Checks that a request or sub-call reported as not run did not run in its call tree, neither before
+//! nor after the report.
 
 use super::facts::{CallerOutcome, Facts, Run, Send};
 use super::{Promise, Violation};
@@ -18,7 +19,7 @@
         if let Some(run) = ran {
             violations.push(Violation {
                 promise: Promise::NotRunTruth,
-                message: format!("request {} was told not to have run", send.request),
+                message: format!("request {} was reported as not run but ran", send.request),
                 evidence: vec![send.index, run.index, end.index],
             });
         }
@@ -27,7 +28,7 @@
     violations
 }
 
-/// Runs by the request and the operation at the root of their tree.
+/// Runs by the request and the operation at the root of their call tree.
 struct RunIndex<'a> {
     by_request: BTreeMap<RequestId, Vec<&'a Run>>,
     by_operation: BTreeMap<&'a OperationKey, Vec<&'a Run>>,
@@ -69,7 +70,10 @@
         let run = facts.runs_of(told.content).next()?;
         Some(Violation {
             promise: Promise::NotRunTruth,
-            message: format!("sub-call {:?} was told not to have run", told.content),
+            message: format!(
+                "sub-call {:?} was reported as not run but ran",
+                told.content
+            ),
             evidence: vec![run.index, told.index],
         })
     })
--- a/crates/bramblewheel-sim/src/requests/check/planned_stop.rs
+++ b/crates/bramblewheel-sim/src/requests/check/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop interrupts nothing that is in progress, and comes to its end.
+//! Checks that a planned stop interrupts no request in progress, and completes.
 
 use super::super::faults::FaultRecord;
 use super::super::record::Record;
@@ -22,7 +22,8 @@
             None => {
                 let last = evidence.history.last().map_or(entry.at, |last| last.at);
                 if last.since(entry.at) > evidence.bounds.stop_within {
-                    let message = format!("process {} never came to its end", process.0);
+                    let message =
+                        format!("the planned stop of process {} did not complete", process.0);
                     violations.push(violation(message, vec![index]));
                 }
             }
@@ -31,7 +32,7 @@
     violations
 }
 
-/// How and when a process stops next.
+/// Index, time and cause of the next stop of a process.
 fn stop_after(
     evidence: &Evidence<'_>,
     process: ProcessId,
@@ -45,7 +46,7 @@
     stops.next()
 }
 
-/// Runs that an endpoint had begun and not ended.
+/// Violations by runs that the endpoint had begun and not ended.
 fn interrupted_runs(
     facts: &Facts,
     process: ProcessId,
@@ -59,12 +60,12 @@
         is_here && run.index < stop && !is_over && !facts.was_absent(process, run.at, before(at))
     });
     open.map(move |run| {
-        let message = format!("process {} ended in the middle of a run", process.0);
+        let message = format!("process {} stopped during a run", process.0);
         violation(message, vec![run.index, stop])
     })
 }
 
-/// Sends that a gateway had taken and not answered.
+/// Violations by sends that the gateway had accepted and not answered.
 fn interrupted_sends(
     facts: &Facts,
     process: ProcessId,
@@ -78,13 +79,13 @@
         let is_excused =
             facts.cut.overlap(send.at, end.at) || facts.was_absent(process, send.at, before(at));
         (is_cut && !is_excused).then(|| {
-            let message = format!("process {} ended before it answered", process.0);
+            let message = format!("process {} stopped before it answered", process.0);
             violation(message, vec![send.index, stop, end.index])
         })
     })
 }
 
-/// The moment before a time.
+/// The last timestamp before a time.
 fn before(at: Timestamp) -> Timestamp {
     Timestamp(at.0.saturating_sub(1))
 }
--- a/crates/bramblewheel-sim/src/requests/check/priority.rs
+++ b/crates/bramblewheel-sim/src/requests/check/priority.rs
@@ -1,5 +1,5 @@
-//! Nothing is shed while something less important waits at the same daemon, and over a whole run
-//! the more important classes are served better.
+//! Checks that no attempt is shed while a less important one waits at the same daemon, and that over a
+//! whole run no class is served worse than a less important one.
 
 use super::super::record::Record;
 use super::super::topology::EndpointIndex;
@@ -9,15 +9,15 @@
 use bramblewheel_types::{AttemptId, Criticality, NotRunReason, Outcome, ServiceName};
 use std::collections::BTreeMap;
 
-/// Importance of an attempt: class, then whether its root belongs to a session.
+/// Importance of an attempt: class, then whether its root request belongs to a session.
 type Importance = (Criticality, bool);
 
-/// Requests of a class below which its share says nothing.
+/// Number of requests below which the share of a class is not significant.
 const MIN_REQUESTS: usize = 20;
-/// Part of a class that chance may cost it against the next lower one.
+/// Tolerated random difference between the shares of adjacent classes.
 const TOLERANCE: f64 = 0.1;
 
-/// Attempts that wait at the daemon of each endpoint.
+/// Attempts that wait at the daemon of each endpoint, with the index of their arrival in the history.
 type Waiting = BTreeMap<EndpointIndex, BTreeMap<AttemptId, (Importance, usize)>>;
 
 pub(super) fn check(evidence: &Evidence<'_>) -> Vec<Violation> {
@@ -29,7 +29,7 @@
                 violations.extend(follow(&mut waiting, index, record));
             }
             Fact::Stopped(_) => {
-                // Processes of endpoints come first and in their order.
+                // The processes of endpoints come first, in the order of the endpoints.
                 if let Some(process) = entry.process {
                     waiting.remove(&EndpointIndex(process.0 as usize));
                 }
@@ -132,7 +132,7 @@
     facts: &Facts,
     evidence: &Evidence<'_>,
 ) -> BTreeMap<ServiceName, BTreeMap<Criticality, Share>> {
-    // Each person counts once, however often it sent.
+    // Each person counts once, regardless of the number of sends.
     let mut people = BTreeMap::new();
     for send in facts.sends.values() {
         let outcome = send.end.as_ref().map(|end| end.outcome);
--- a/crates/bramblewheel-sim/src/requests/check/prompt.rs
+++ b/crates/bramblewheel-sim/src/requests/check/prompt.rs
@@ -1,8 +1,8 @@
-//! What is known for good is answered at once, not held back until the deadline.
+//! Checks that a final outcome is reported without delay instead of at the deadline.
 //!
-//! The last report about a request is the last end of a run, the last answer of a daemon to an
-//! attempt, or the last refusal of a connection for one, in its call tree. Unknown outcomes wait
-//! for a report that never comes, so they are not looked at.
+//! The last report on a request is the last end of a run, answer of a daemon to an attempt, or refused
+//! connection for an attempt in its call tree. Unknown outcomes are not checked, since they wait for a
+//! report that never arrives.
 
 use super::super::record::Record;
 use super::facts::{CallerOutcome, Facts};
@@ -41,7 +41,7 @@
     violations
 }
 
-/// Times at which something became known about a request.
+/// Times of the reports on each request.
 fn reports(facts: &Facts, evidence: &Evidence<'_>) -> BTreeMap<RequestId, Vec<Timestamp>> {
     let mut reports: BTreeMap<RequestId, Vec<Timestamp>> = BTreeMap::new();
     let mut attempts = BTreeMap::new();
--- a/crates/bramblewheel-sim/src/requests/check/retry_bound.rs
+++ b/crates/bramblewheel-sim/src/requests/check/retry_bound.rs
@@ -1,7 +1,7 @@
-//! Extra runs of one original request stay within the bound.
+//! Checks that the extra runs of one original request stay within the bound.
 //!
-//! The bound is that of `docs/design/03-retry-bound.md`. A call is what was asked for, so each
-//! send of a caller is a call of its own; free re-routes run nothing and are not seen here.
+//! The bound is the number of retry tokens in the bundle. Runs are extra if they have the same content,
+//! so each send of a caller counts on its own. Reroutes run nothing and are not counted.
 
 use super::facts::Facts;
 use super::{Promise, Violation};
--- a/crates/bramblewheel-sim/src/requests/check/run_once.rs
+++ b/crates/bramblewheel-sim/src/requests/check/run_once.rs
@@ -1,4 +1,4 @@
-//! An operation runs at most once.
+//! Checks that an operation runs at most once.
 
 use super::facts::Facts;
 use super::{Promise, Violation};
--- a/crates/bramblewheel-sim/src/requests/check/sessions.rs
+++ b/crates/bramblewheel-sim/src/requests/check/sessions.rs
@@ -1,4 +1,4 @@
-//! No session ends but by its caller's wish: each daemon that is asked knows each session.
+//! Checks that every daemon accepts every valid session.
 
 use super::super::record::Record;
 use super::{Promise, Violation};
@@ -10,7 +10,7 @@
         if let Fact::Domain(Record::SessionRefused { send }) = &entry.fact {
             violations.push(Violation {
                 promise: Promise::SessionsKept,
-                message: format!("send {} was told that its session is none", send.0),
+                message: format!("the valid session of send {} was refused", send.0),
                 evidence: vec![index],
             });
         }
--- a/crates/bramblewheel-sim/src/requests/check/whole_answer.rs
+++ b/crates/bramblewheel-sim/src/requests/check/whole_answer.rs
@@ -1,4 +1,4 @@
-//! Who asks gets the whole answer to its own question, or none.
+//! Checks that each caller gets the whole answer to its own request, or none.
 
 use super::super::content::Content;
 use super::facts::{CallerOutcome, Facts};
@@ -34,7 +34,7 @@
     violations
 }
 
-/// What is wrong with an answer.
+/// Describes the fault of an answer, if it has one.
 fn fault(
     facts: &Facts,
     outcome: Outcome,
--- a/crates/bramblewheel-sim/src/requests/connections.rs
+++ b/crates/bramblewheel-sim/src/requests/connections.rs
@@ -1,22 +1,22 @@
-//! Connections from one process to others: reuse, limit, cost of opening.
+//! Connection pools from one process to others: reuse, limit and cost of opening.
 //!
-//! A connection carries one request at a time and is reused only after its answer was read
-//! whole, as in the daemon's `http::pool`.
+//! A connection carries one request at a time and is reused only after the whole answer was read, as in
+//! the daemon's `http::pool`.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// How a request gets its connection.
+/// Result of acquiring a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acquired {
     /// An idle connection is reused.
     Reused,
-    /// A new one is opened.
+    /// A new connection is opened.
     Opened,
-    /// The limit is reached; the request waits in line.
+    /// The limit is reached; the request is queued.
     Waits,
 }
 
-/// Connections to one other process; `R` names a waiting request.
+/// Connections to one process; `R` identifies a queued request.
 #[derive(Clone, Debug)]
 struct Pool<R> {
     open: u32,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Connections by the other process.
+/// Connection pools by destination process.
 #[derive(Clone, Debug)]
 pub struct Connections<P, R> {
     pools: BTreeMap<P, Pool<R>>,
@@ -49,7 +49,7 @@
 }
 
 impl<P: Ord, R: PartialEq> Connections<P, R> {
-    /// Takes a connection for `request`, or puts it in line when `limit` are open and in use.
+    /// Acquires a connection for `request`, or queues it if `limit` connections are open and in use.
     pub fn acquire(&mut self, to: P, limit: u32, request: R) -> Acquired {
         let pool = self.pools.entry(to).or_default();
         if pool.idle > 0 {
@@ -64,7 +64,7 @@
         Acquired::Waits
     }
 
-    /// Gives a connection back. Returns the request that waited longest, which now has one.
+    /// Releases a connection. Returns the longest-queued request, which takes it over, if any.
     pub fn release(&mut self, to: &P, reusable: bool) -> Option<(R, Acquired)> {
         let pool = self.pools.get_mut(to)?;
         let how = if reusable {
@@ -83,7 +83,7 @@
         None
     }
 
-    /// Takes a request out of the line; false if it does not wait.
+    /// Removes a request from the queue; false if it is not queued.
     pub fn give_up(&mut self, to: &P, request: &R) -> bool {
         let Some(pool) = self.pools.get_mut(to) else {
             return false;
@@ -92,7 +92,7 @@
         position.is_some_and(|position| pool.waiting.remove(position).is_some())
     }
 
-    /// Forgets the idle connections to a process that is found to be down.
+    /// Drops the idle connections to a process that is down or was restarted.
     pub fn reset(&mut self, to: &P) {
         if let Some(pool) = self.pools.get_mut(to) {
             pool.open -= pool.idle;
--- a/crates/bramblewheel-sim/src/requests/content.rs
+++ b/crates/bramblewheel-sim/src/requests/content.rs
@@ -1,19 +1,20 @@
-//! What requests and answers carry as their body, so that an answer can be told from another's.
+//! Body of requests and answers, which identifies the question that an answer belongs to.
 
 use super::message::SendId;
 
-/// One run of a request at an endpoint; unique in a simulation, over all restarts.
+/// One run of a request at an endpoint; unique in a simulation, across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId(pub u64);
 
-/// What is asked for. An endpoint's answer names it, so that who asked can tell whose answer came.
+/// Identifies what is requested. An endpoint's answer repeats it, so that checkers detect answers
+/// delivered to the wrong recipient.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Content {
-    /// A send of a caller outside.
+    /// A send of an external caller.
     Root(SendId),
-    /// A sub-call that an endpoint makes.
+    /// A sub-call made by an endpoint.
     SubCall {
-        /// The run that makes it.
+        /// The run that makes the sub-call.
         run: RunId,
         /// Position among the sub-calls of the run.
         position: u32,
@@ -22,11 +23,11 @@
 
 const ROOT: u8 = 0;
 const SUB_CALL: u8 = 1;
-/// Kind, number, position.
+/// Encoded size in bytes: kind, number, position.
 const LENGTH: usize = 1 + 8 + 4;
 
 impl Content {
-    /// Bytes as the ledger keeps them with the answer of a run-once operation.
+    /// Encodes the content as the ledger stores it in the answer of a run-once operation.
     pub fn encode(self) -> Vec<u8> {
         let (kind, number, position) = match self {
             Self::Root(send) => (ROOT, send.0, 0),
@@ -38,7 +39,7 @@
         bytes
     }
 
-    /// The reverse of [`encode`](Self::encode).
+    /// Inverse of [`encode`](Self::encode); `None` if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         if bytes.len() != LENGTH {
             return None;
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Hash by which a daemon recognises that the same is asked again.
+    /// Hash by which a daemon recognises a repetition of the same call.
     pub fn fingerprint(self) -> u64 {
         match self {
             Self::Root(send) => send.0,
--- a/crates/bramblewheel-sim/src/requests/double.rs
+++ b/crates/bramblewheel-sim/src/requests/double.rs
@@ -1,29 +1,29 @@
-//! Unsafe daemons, to see that each checker can fail. They stand around the real engine.
+//! Unsafe test doubles of the daemon, which wrap the real engine and prove that each checker can fail.
 
 use serde::Deserialize;
 
-/// What an unsafe daemon does wrong.
+/// Defect of an unsafe daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UnsafeDouble {
-    /// Tries each failed call again up to three times at its hop, without tokens.
+    /// Makes up to three attempts of each failed call at its own hop, without retry tokens.
     RetryPerHop,
-    /// Dispatches a run-once operation first and asks for its claim afterwards.
+    /// Dispatches a run-once operation before its claim is granted.
     ClaimAfterDispatch,
-    /// Says "not run" where nothing is known.
+    /// Reports "not run" where the outcome is unknown.
     NotRunOnTimeout,
-    /// Gives an answer to the oldest attempt that waits for the process it comes from.
+    /// Matches an answer to the oldest attempt that waits for the answering process.
     MatchByOrder,
-    /// Refuses attempts by their number alone, whatever their class.
+    /// Refuses attempts by the number in progress alone, regardless of class.
     ShedNewest,
-    /// Ends the process as soon as a planned stop begins.
+    /// Exits as soon as a planned stop begins.
     StopWithoutDrain,
-    /// Knows only the sessions that it opened itself since its start.
+    /// Accepts only the sessions that it opened itself since its start.
     SessionTiedToDaemon,
-    /// Holds refusals back until the deadline.
+    /// Delays refusals until the deadline.
     ParkedRefusals,
-    /// Does not look at its endpoint's wish to get no new work.
+    /// Ignores the draining flag in its endpoint's load report.
     IgnoreDrain,
-    /// Answers callers twice.
+    /// Answers each caller twice.
     AnswerTwice,
 }
--- a/crates/bramblewheel-sim/src/requests/endpoint.rs
+++ b/crates/bramblewheel-sim/src/requests/endpoint.rs
@@ -1,7 +1,7 @@
-//! One endpoint: slots, its own queue, service times, cold start, sub-calls, cancellation.
+//! Model of an endpoint: slots, its own queue, service times, cold start, sub-calls, cancellation.
 //!
-//! A request holds its slot until it has ended, also while it waits for its sub-calls. A failed
-//! sub-call fails the request, at once.
+//! A request holds its slot until it ends, also while it waits for sub-calls. A failed sub-call fails
+//! the request immediately.
 
 use super::content::{Content, RunId};
 use super::slab::{Key, Slab};
@@ -15,76 +15,76 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request that an endpoint runs or keeps in its queue.
+/// Key of a request that an endpoint runs or queues.
 pub type RunKey = Key<Run>;
 
-/// What an endpoint is asked to run.
+/// A request for an endpoint to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunRequest {
     /// Route called.
     pub route: RouteIndex,
     /// The original request.
     pub request: RequestId,
-    /// Number of the try; means something only to the layer.
+    /// Number of the attempt; interpreted only by the layer.
     pub attempt: u64,
-    /// Set when the request must not run twice.
+    /// Set if the request must not run twice.
     pub operation: Option<OperationKey>,
-    /// What is asked for.
+    /// Content of the request.
     pub content: Content,
 }
 
-/// One request at an endpoint.
+/// One request at an endpoint, running or queued.
 #[derive(Debug)]
 pub struct Run {
-    /// Its number in the simulation.
+    /// Id, unique in the simulation.
     pub id: RunId,
-    /// What is run.
+    /// The request.
     pub request: RunRequest,
     started: Option<Timestamp>,
     next_call: usize,
     waiting: usize,
 }
 
-/// What an endpoint wants done.
+/// An action that an endpoint requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointAction {
-    /// Call `work_done` after this time.
+    /// Call `work_done` after the given time.
     Work {
         /// The run.
         run: RunKey,
-        /// Time that the work takes.
+        /// Time until the work is done.
         takes: Duration,
     },
-    /// A request left the queue, if it was in it, and began to run.
+    /// A request began to run, directly or from the queue.
     Started {
-        /// Number of the run.
+        /// Id of the run.
         id: RunId,
-        /// What is run.
+        /// The request.
         request: RunRequest,
     },
-    /// Make a sub-call and call `sub_call_ended` with its end.
+    /// Make a sub-call and call `sub_call_ended` when it ends.
     SubCall {
         /// The run.
         run: RunKey,
         /// Position among the route's sub-calls.
         position: usize,
     },
-    /// The request ended.
+    /// A run ended.
     Ended {
-        /// The run; its key finds nothing any more.
+        /// The run; its key is no longer valid.
         run: RunKey,
-        /// Number of the run.
+        /// Id of the run.
         id: RunId,
-        /// What was run.
+        /// The request.
         request: RunRequest,
-        /// Time in a slot.
+        /// Time in the slot.
         held: Duration,
         /// Whether it succeeded.
         is_success: bool,
     },
 }
 
-/// One endpoint.
+/// Model of one endpoint.
 #[derive(Debug)]
 pub struct EndpointModel {
     topology: Arc<Topology>,
@@ -103,8 +103,8 @@
 }
 
 impl EndpointModel {
-    /// An endpoint that starts now; `shape` comes from the topology, and runs are numbered from
-    /// `next_run` on.
+    /// Creates an endpoint that starts now, with its entry in the topology; runs are numbered from
+    /// `next_run`.
     pub fn new(topology: Arc<Topology>, shape: Endpoint, next_run: u64, now: Timestamp) -> Self {
         Self {
             topology,
@@ -123,27 +123,27 @@
         }
     }
 
-    /// Factor by which all work takes longer than usual from now on.
+    /// Sets the factor by which all further work is slowed.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor;
     }
 
-    /// Reports from now on that it wants no new requests, but still takes what it is given.
+    /// Reports draining from now on, but still accepts requests.
     pub fn announce_drain(&mut self) {
         self.says_draining = true;
     }
 
-    /// Share of the runs that end in an error from now on.
+    /// Sets the share of runs that end in an error.
     pub fn set_failing(&mut self, share: f64) {
         self.fails = share;
     }
 
-    /// What is wrong with its load report from now on.
+    /// Sets the fault of the load report.
     pub fn set_report_fault(&mut self, fault: Option<ReportFault>) {
         self.report_fault = fault;
     }
 
-    /// Writes what it draws to a tape, or takes it from there.
+    /// Sets the tape that records or plays the draws.
     pub(super) fn set_tape(&mut self, tape: Option<Tape>) {
         self.tape = tape;
     }
@@ -153,17 +153,17 @@
         self.next_run
     }
 
-    /// Marks the endpoint as warm, as if it had started long ago.
+    /// Skips the cold start.
     pub fn warm_up(&mut self) {
         self.shape.cold_start = Duration::ZERO;
     }
 
-    /// A request that runs or waits.
+    /// A running or queued request.
     pub fn run(&self, run: RunKey) -> Option<&Run> {
         self.runs.get(run)
     }
 
-    /// Takes a request in; `None` when all connections are in use or the endpoint is leaving.
+    /// Accepts a request; `None` if all connections are in use.
     pub fn accept(
         &mut self,
         now: Timestamp,
@@ -215,7 +215,8 @@
         actions.push(EndpointAction::Work { run: key, takes });
     }
 
-    /// The whole work, or half of it when there are sub-calls in the middle.
+    /// Time of the next part of the work: half of a drawn whole if the route makes sub-calls in between,
+    /// otherwise all of it.
     fn part_of_work(
         &self,
         now: Timestamp,
@@ -233,7 +234,7 @@
         whole.mul_f64(self.slowdown * self.cold_factor(now) / parts)
     }
 
-    /// Falls from `cold_factor` to 1 over the cold start.
+    /// Current slow-down factor; falls linearly from `cold_factor` to 1 over the cold start.
     fn cold_factor(&self, now: Timestamp) -> f64 {
         let cold_start = self.shape.cold_start.as_secs_f64();
         if cold_start == 0.0 {
@@ -243,7 +244,7 @@
         1.0 + (self.shape.cold_factor - 1.0) * remaining.max(0.0)
     }
 
-    /// A part of the work is done.
+    /// Continues a run after a part of its work.
     pub fn work_done(
         &mut self,
         now: Timestamp,
@@ -275,7 +276,7 @@
         run.next_call = last;
     }
 
-    /// A sub-call ended.
+    /// Continues a run after a sub-call.
     pub fn sub_call_ended(
         &mut self,
         now: Timestamp,
@@ -307,8 +308,8 @@
         actions.push(EndpointAction::Work { run: key, takes });
     }
 
-    /// Stops a request, or takes it out of the queue; it leaves no further record. Returns the
-    /// time it held a slot, if it did.
+    /// Stops a running request or removes a queued one, without an `Ended` action. Returns the time that
+    /// it held a slot, if it did.
     pub fn cancel(
         &mut self,
         now: Timestamp,
@@ -358,7 +359,7 @@
         }
     }
 
-    /// The endpoint's own load report: as old as `lag_ms`, less a share of `flattery`.
+    /// The endpoint's load report: delayed by `lag_ms`, with `busy` reduced by the share `flattery`.
     pub fn report(&mut self, now: Timestamp) -> EndpointReport {
         let lag = Duration::from_millis(self.shape.report.lag_ms);
         self.samples.push_back((now, self.running));
@@ -376,12 +377,12 @@
     }
 }
 
-/// How a load report misleads.
+/// Fault of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReportFault {
-    /// Ten times the slots, and none in use.
+    /// Claims ten times the slots, none in use.
     Flattering,
-    /// No slot at all, and many in use.
+    /// Claims no slots, with ten times the slots in use.
     Alarming,
 }
 
--- a/crates/bramblewheel-sim/src/requests/faults.rs
+++ b/crates/bramblewheel-sim/src/requests/faults.rs
@@ -1,56 +1,56 @@
-//! Faults as the history shows them.
+//! Records of faults in the history.
 
 use super::topology::{EndpointIndex, ServiceIndex, ZoneIndex};
 use crate::kernel::ProcessId;
 
-/// A fault that began, or everything that ended.
+/// Start of a fault, or end of all network faults.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum FaultRecord {
-    /// A zone is cut off; `into` and `out_of` say which ways.
+    /// A zone is cut off in the directions given by `into` and `out_of`.
     ZoneCut {
         /// The zone.
         zone: ZoneIndex,
-        /// Whether what is sent into the zone is lost.
+        /// Whether messages into the zone are lost.
         into: bool,
-        /// Whether what is sent out of the zone is lost.
+        /// Whether messages out of the zone are lost.
         out_of: bool,
     },
-    /// Messages are lost, come twice or overtake each other.
+    /// Messages are lost, duplicated or reordered.
     Disorder,
-    /// An endpoint leaves, and said so first in this way.
+    /// An endpoint leaves.
     Leaving {
         /// The endpoint.
         endpoint: EndpointIndex,
-        /// How it became known.
+        /// First sign of it.
         seen_on: DrainSeenOn,
     },
     /// A planned stop of a machine begins.
     StopPlanned {
-        /// Its process.
+        /// Process of the machine.
         process: ProcessId,
     },
-    /// A service is slower by a factor of a hundredth of `percent`, or its runs fail.
+    /// The work of a service takes `percent` of the usual time.
     Slow {
         /// The service.
         service: ServiceIndex,
-        /// Time that work takes, in percent of the usual.
+        /// Time of the work, in percent of the usual time.
         percent: u64,
     },
     /// Runs of a service end in an error.
     Failing {
         /// The service.
         service: ServiceIndex,
-        /// Share of the runs.
+        /// Share of the runs, in percent.
         percent: u64,
     },
-    /// Load reports of an endpoint mislead.
+    /// The load report of an endpoint is wrong.
     MisleadingReport {
         /// The endpoint.
         endpoint: EndpointIndex,
     },
     /// A bundle came into force at a machine.
     Bundle {
-        /// Its process.
+        /// Process of the machine.
         process: ProcessId,
         /// Version of the bundle.
         version: u64,
@@ -59,13 +59,13 @@
     Healed,
 }
 
-/// How it becomes known first that an endpoint leaves.
+/// First sign that an endpoint leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DrainSeenOn {
     /// The endpoint's own load report.
     Report,
-    /// Its daemon was told to stop.
+    /// Its daemon received a request to stop.
     Daemon,
-    /// The platform's list, late.
+    /// The platform's endpoint list, which may lag.
     List,
 }
--- a/crates/bramblewheel-sim/src/requests/host.rs
+++ b/crates/bramblewheel-sim/src/requests/host.rs
@@ -1,4 +1,4 @@
-//! A machine of the deployment: an endpoint with the layer beside it, or a gateway.
+//! A machine of the deployment: an endpoint with its part of the layer, or a gateway.
 
 use super::actor::RequestActor;
 use super::endpoint::{EndpointAction, EndpointModel, ReportFault};
@@ -23,7 +23,7 @@
     pub request: RequestId,
     /// When the slot became free.
     pub ended: Timestamp,
-    /// Time in a slot, own work and waiting for sub-calls alike.
+    /// Time in the slot: own work and waiting for sub-calls.
     pub held: Duration,
 }
 
@@ -40,21 +40,21 @@
     actions: Vec<EndpointAction>,
     slot_uses: Vec<SlotUse>,
     counters: LayerCounters,
-    /// Number of the endpoint's next run, over all starts.
+    /// Number of the endpoint's next run, across restarts.
     next_run: u64,
     failing: f64,
     report_fault: Option<ReportFault>,
     options: LayerOptions,
     tape: Option<Tape>,
-    /// What the directory says beside what the topology does.
+    /// Directory entries that differ from the topology.
     listed: BTreeMap<EndpointId, DirectoryEndpoint>,
 }
 
-/// Runs that one endpoint may begin in a simulation.
+/// Low bits of a run's number, which count within one endpoint; the high bits are the endpoint.
 const RUN_BITS: u32 = 40;
 
 impl Host {
-    /// A machine, stopped at first; without an endpoint it is a gateway.
+    /// Creates a stopped machine; without an endpoint it is a gateway.
     pub fn new(
         topology: Arc<Topology>,
         zone: ZoneIndex,
@@ -82,29 +82,29 @@
         }
     }
 
-    /// A machine with more than the usual layer.
+    /// Sets the layer's options.
     pub(super) fn with_options(mut self, options: LayerOptions) -> Self {
         self.options = options;
         self
     }
 
-    /// A machine whose endpoint draws with a tape.
+    /// Sets the tape that records or plays the endpoint's draws.
     pub(super) fn with_tape(mut self, tape: Option<Tape>) -> Self {
         self.tape = tape;
         self
     }
 
-    /// Listing of an endpoint that the next start begins with; the running layer gets it separately.
+    /// Sets a directory entry that applies from the next start; the running layer gets it separately.
     pub fn set_listed(&mut self, entry: DirectoryEndpoint) {
         self.listed.insert(entry.endpoint.clone(), entry);
     }
 
-    /// The bundle that the next start begins with; the running layer gets it separately.
+    /// Sets the bundle that applies from the next start; the running layer gets it separately.
     pub fn set_bundle(&mut self, bundle: Arc<Bundle>) {
         self.settings.bundle = bundle;
     }
 
-    /// Share of the endpoint's runs that end in an error, also after a restart.
+    /// Sets the share of the endpoint's runs that end in an error, also after a restart.
     pub fn set_failing(&mut self, share: f64) {
         self.failing = share;
         if let Some(endpoint) = &mut self.endpoint {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// What is wrong with the endpoint's load report, also after a restart.
+    /// Sets the fault of the endpoint's load report, also after a restart.
     pub fn set_report_fault(&mut self, fault: Option<ReportFault>) {
         self.report_fault = fault;
         if let Some(endpoint) = &mut self.endpoint {
@@ -120,14 +120,14 @@
         }
     }
 
-    /// The endpoint reports that it wants no new work, and leaves it to its daemon to see to that.
+    /// Makes the endpoint report that it drains; its daemon has to enforce that.
     pub fn announce_drain(&mut self) {
         if let Some(endpoint) = &mut self.endpoint {
             endpoint.announce_drain();
         }
     }
 
-    /// Something happens to the layer, from outside of the simulated world.
+    /// Passes an instruction of the scenario to the layer.
     pub(super) fn instruct(
         &mut self,
         context: &mut Context<'_, RequestActor>,
@@ -138,17 +138,17 @@
         });
     }
 
-    /// Slot time spent so far.
+    /// Slot time spent so far, by request.
     pub fn slot_uses(&self) -> &[SlotUse] {
         &self.slot_uses
     }
 
-    /// What the layer did, over all starts.
+    /// Counters of the layer, across restarts.
     pub fn counters(&self) -> LayerCounters {
         self.counters
     }
 
-    /// Makes the endpoint's work slower, also after a restart.
+    /// Slows the endpoint's work by a factor, also after a restart.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor;
         if let Some(endpoint) = &mut self.endpoint {
@@ -264,7 +264,7 @@
         call(layer.as_mut(), &mut environment);
     }
 
-    /// Does what the endpoint wants, until it wants nothing more.
+    /// Executes the endpoint's actions until none are left.
     fn carry_out(&mut self, context: &mut Context<'_, RequestActor>) {
         while !self.actions.is_empty() {
             for action in std::mem::take(&mut self.actions) {
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/attempts.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way to other daemons, and the connections that carry them.
+//! Outbound attempts and their connections.
 
 use super::DaemonLayer;
 use crate::kernel::ProcessId;
@@ -12,15 +12,15 @@
 use bramblewheel_core::event::{AttemptResult, Event};
 use bramblewheel_types::{AttemptId, CallId};
 
-/// An attempt on its way to another daemon.
+/// An outbound attempt in progress.
 #[derive(Clone, Debug)]
 pub(super) struct OutAttempt {
     pub(super) to: ProcessId,
     pub(super) context: Box<CallContext>,
     pub(super) content: Content,
-    /// Rises with each attempt.
+    /// Sequence number; increases with each attempt.
     pub(super) number: u64,
-    /// On a new connection, a refusal proves that nothing was sent.
+    /// Whether the connection is new; if so, a refused connection proves that nothing was sent.
     pub(super) is_fresh: bool,
     pub(super) state: OutState,
 }
@@ -65,7 +65,7 @@
         self.use_connection(environment, attempt, acquired);
     }
 
-    /// A process that ended closed its connections; idle ones to it are not used again.
+    /// Drops the idle connections to a process that restarted, since its stop closed them.
     fn drop_closed_connections(&mut self, environment: &Environment<'_, '_>, to: ProcessId) {
         let starts = environment.context.starts_of(to);
         if self.known_starts.insert(to, starts) != Some(starts) {
@@ -152,7 +152,7 @@
         self.bodies.remove(&attempt);
     }
 
-    /// Nobody listens at the other end of an attempt's connection.
+    /// Handles an attempt whose destination accepts no connections.
     pub(super) fn connection_refused(
         &mut self,
         environment: &mut Environment<'_, '_>,
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/calls.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/calls.rs
@@ -1,4 +1,4 @@
-//! Calls made here, by callers and by runs of the endpoint: their start, answer and end.
+//! Outbound calls by callers and by runs of the endpoint: start, answer and cancellation.
 
 use super::DaemonLayer;
 use crate::kernel::ProcessId;
@@ -13,7 +13,7 @@
 use bramblewheel_core::event::Event;
 use bramblewheel_types::{AttemptId, CallId, Outcome, Timestamp};
 
-/// Whose call it is.
+/// Origin of a call.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Owner {
     Caller {
@@ -24,15 +24,15 @@
     Run(RunKey),
 }
 
-/// A call in progress at its maker.
+/// An outbound call in progress.
 #[derive(Clone, Debug)]
 pub(super) struct OutCall {
     pub(super) owner: Owner,
     pub(super) content: Content,
-    /// Token of a session that was opened with it.
+    /// Token of the session that the call opened.
     pub(super) opened: Option<String>,
     pub(super) session_refused: bool,
-    /// For the double that retries at every hop.
+    /// Number of the attempt, for the double that retries at every hop.
     pub(super) tried: u32,
     pub(super) request: Option<CallRequest>,
 }
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/directory.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/directory.rs
@@ -1,10 +1,10 @@
-//! The directory that a daemon starts with: the endpoints of the services it calls.
+//! Initial directory of a daemon: the endpoints of the services that it calls.
 
 use crate::requests::process_layout::ProcessLayout;
 use crate::requests::topology::{EndpointIndex, ServiceIndex, Topology};
 use bramblewheel_core::event::{DirectoryEndpoint, DirectoryUpdate};
 
-/// The services that a daemon calls: those its endpoint calls, or all for a gateway.
+/// Services that a daemon calls: those that its endpoint calls, or all for a gateway.
 pub(super) fn called_services(
     topology: &Topology,
     endpoint: Option<EndpointIndex>,
@@ -18,7 +18,7 @@
     }
 }
 
-/// All endpoints of the called services, none of them draining.
+/// Directory of all endpoints of the called services, none of them draining.
 pub(super) fn directory(
     topology: &Topology,
     layout: ProcessLayout,
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/dispatch.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/dispatch.rs
@@ -1,4 +1,4 @@
-//! What the simulator tells a daemon, handed to the part of it that handles it.
+//! Dispatches events of the simulator to the handlers of a daemon.
 
 use super::DaemonLayer;
 use super::directory::{called_services, directory};
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/doubles.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/doubles.rs
@@ -1,4 +1,4 @@
-//! Where the unsafe doubles differ from the daemon.
+//! Behaviour of the unsafe doubles where they differ from the daemon.
 
 use super::DaemonLayer;
 use super::attempts::OutState;
@@ -11,9 +11,9 @@
 use bramblewheel_core::event::{Event, Feedback};
 use bramblewheel_types::{AttemptId, CallId, Millis, NotRunReason, Outcome};
 
-/// Attempts beyond which the double that sheds the newest refuses.
+/// Number of inbound attempts from which the double that sheds the newest refuses.
 const SHED_BEYOND: usize = 4;
-/// Tries of each call by the double that retries at every hop.
+/// Attempts of each call by the double that retries at every hop.
 const TRIES_PER_HOP: u32 = 3;
 
 impl DaemonLayer {
@@ -31,7 +31,8 @@
         outcome
     }
 
-    /// The double that retries at every hop.
+    /// Starts another attempt of a failed call for the double that retries at every hop; returns whether
+    /// it did.
     pub(super) fn tries_again(&mut self, call: &OutCall, outcome: Outcome) -> bool {
         let may_try = self.is(UnsafeDouble::RetryPerHop) && call.tried < TRIES_PER_HOP;
         let Some(mut request) = call.request.clone() else {
@@ -40,7 +41,7 @@
         if !may_try || outcome == Outcome::Completed {
             return false;
         }
-        // Otherwise the engine would take it for a repeat.
+        // With the same fingerprint, the engine would treat the call as a repeat.
         request.fingerprint += 1 << 32;
         self.next_call += 1;
         let id = CallId(self.next_call);
@@ -60,7 +61,7 @@
         self.is(UnsafeDouble::ShedNewest) && self.inbound.len() >= SHED_BEYOND
     }
 
-    /// The attempt that an answer is for.
+    /// The attempt that an answer is assigned to.
     pub(super) fn matched(&self, from: ProcessId, stated: AttemptId) -> AttemptId {
         if !self.is(UnsafeDouble::MatchByOrder) {
             return stated;
@@ -82,7 +83,7 @@
     }
 }
 
-/// Refuses an attempt for overload, without the engine.
+/// Refuses an attempt as overloaded, bypassing the engine.
 pub(super) fn shed(environment: &mut Environment<'_, '_>, to: ProcessId, attempt: AttemptId) {
     let outcome = Outcome::NotRun {
         reason: NotRunReason::Overloaded,
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/drive.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/drive.rs
@@ -1,4 +1,4 @@
-//! Drives the engine: gives it events, and carries out the actions it decides on.
+//! Drives the engine: feeds it events and executes its actions.
 
 use super::DaemonLayer;
 use crate::requests::content::Content;
@@ -12,7 +12,7 @@
 use bramblewheel_types::{AttemptId, Timestamp};
 use std::time::Duration;
 
-/// Time between a complete drain and the end of the process; that of the daemon.
+/// Time from the end of the drain to the exit of the process; same value as in the real daemon.
 const DRAIN_LINGER: Duration = Duration::from_secs(1);
 
 impl DaemonLayer {
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/inbound.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/inbound.rs
@@ -1,4 +1,4 @@
-//! Attempts that other daemons sent here, their dispatch to the endpoint, and its load reports.
+//! Inbound attempts, their dispatch to the endpoint, and the endpoint's load reports.
 
 use super::DaemonLayer;
 use super::doubles::shed;
@@ -15,11 +15,11 @@
 use bramblewheel_types::AttemptId;
 use std::time::Duration;
 
-/// Time between two looks at the endpoint's load report; that of the daemon.
+/// Interval of the endpoint's load reports; same value as in the real daemon.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// HTTP status of a success, as stored for run-once operations.
+/// HTTP status that is stored for successful run-once operations.
 const STATUS_SUCCESS: u16 = 200;
-/// HTTP status of an error, as stored for run-once operations.
+/// HTTP status that is stored for failed run-once operations.
 const STATUS_ERROR: u16 = 500;
 
 impl DaemonLayer {
@@ -110,12 +110,12 @@
     }
 }
 
-/// The route that a context names; it was made from this topology.
+/// The route that a context names; contexts are made from the same topology.
 fn route_of(topology: &Topology, context: &CallContext) -> RouteIndex {
     let service = topology.service_index(&context.service);
     let position = topology
         .routes
         .iter()
         .position(|route| Some(route.service) == service && route.path == context.path);
-    RouteIndex(position.expect("contexts name routes of the deployment"))
+    RouteIndex(position.expect("each context names a route of the deployment"))
 }
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! A daemon: the real engine, driven by messages and timers as the tokio shell drives it.
+//! A daemon: the real engine, driven by simulated messages and timers instead of the tokio shell.
 
 mod attempts;
 mod calls;
@@ -29,10 +29,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a claim is asked for; that of the daemon.
+/// Time-out of a claim; same value as in the real daemon.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One daemon.
+/// A simulated daemon.
 pub struct DaemonLayer {
     engine: Engine,
     bundle: Arc<Bundle>,
@@ -44,23 +44,23 @@
     next_call: u64,
     attempts: HashMap<AttemptId, OutAttempt>,
     connections: Connections<ProcessId, AttemptId>,
-    /// Start of each other process when it was last called.
+    /// Number of starts of each other process when it was last called.
     known_starts: HashMap<ProcessId, Option<u32>>,
-    /// Inbound attempts that are not answered yet: who waits, and what is called.
+    /// Unanswered inbound attempts: the waiting process and the request.
     inbound: HashMap<AttemptId, (ProcessId, RunRequest)>,
     runs: HashMap<AttemptId, RunKey>,
     ledger: LedgerClient,
     sessions: Sessions,
-    /// Bodies of the answers that came for attempts in progress.
+    /// Bodies of the answers that are being handled, by attempt.
     bodies: HashMap<AttemptId, Content>,
     double: Option<UnsafeDouble>,
     parked: Vec<(ProcessId, CallerAnswer)>,
-    /// Set by a planned stop: time from its end to the next start.
+    /// Time from the end of a planned stop to the restart; set when the stop begins.
     restarts_after: Option<Duration>,
 }
 
 impl DaemonLayer {
-    /// A daemon that starts now.
+    /// Creates a daemon that starts now.
     pub(super) fn new(
         topology: &Topology,
         zone: ZoneIndex,
@@ -81,7 +81,8 @@
             Some(local) => local.endpoint.to_string(),
             None => format!("gateway-{zone_name}"),
         };
-        let daemon = DaemonId::new(&name).expect("endpoint and zone names make a valid name");
+        let daemon =
+            DaemonId::new(&name).expect("endpoint and zone names give a valid daemon name");
         let is_tied = options.double == Some(UnsafeDouble::SessionTiedToDaemon);
         let sessions = Sessions::new(zone_name.clone(), is_tied);
         let [engine_seed, ledger_seed] = seeds(options, context);
@@ -116,7 +117,7 @@
     }
 }
 
-/// Seeds of a daemon's engine and of its ledger client.
+/// Seeds of a daemon's engine and of its ledger client, which uses its seed as incarnation.
 fn seeds(options: &LayerOptions, context: &mut Context<'_, RequestActor>) -> [u64; 2] {
     let Some(seed) = options.seed else {
         return [context.random().next_u64(), context.random().next_u64()];
--- a/crates/bramblewheel-sim/src/requests/layer/direct.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/direct.rs
@@ -1,7 +1,7 @@
-//! Calls without bramblewheel: a random endpoint, a fixed number of tries, a fixed timeout.
+//! Calls without bramblewheel: random routing, a fixed number of attempts and a fixed time-out.
 //!
-//! No deadline travels with a call and nobody cancels: an endpoint finds out that its caller has
-//! gone only when it writes the answer.
+//! Calls carry no deadline and are not cancelled: an endpoint finds out that its caller has
+//! disconnected only when it writes the answer.
 
 use super::super::connections::{Acquired, Connections};
 use super::super::content::Content;
@@ -16,10 +16,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Names a call at its maker.
+/// Key of a call at the calling machine.
 pub type OutCallKey = Key<OutCall>;
 
-/// How calls are made.
+/// Settings of the direct layer.
 #[derive(Clone, Copy, Debug)]
 pub struct DirectSettings {
     max_tries: u32,
@@ -27,26 +27,26 @@
 }
 
 impl DirectSettings {
-    /// One try, with the timeout that is usual where nobody set one.
+    /// One attempt, with a time-out that is a common default.
     pub const NONE: Self = Self {
         max_tries: 1,
         try_timeout: Duration::from_secs(5),
     };
-    /// Three tries of a second each.
+    /// Three attempts with a time-out of 1 s each.
     pub const NAIVE: Self = Self {
         max_tries: 3,
         try_timeout: Duration::from_secs(1),
     };
 }
 
-/// Whose call it is.
+/// Origin of a call.
 #[derive(Clone, Copy, Debug)]
 enum Owner {
     Caller(ProcessId, SendId),
     Run(RunKey),
 }
 
-/// A call in progress at its maker.
+/// An outbound call in progress.
 #[derive(Debug)]
 pub struct OutCall {
     owner: Owner,
@@ -58,14 +58,14 @@
     to: ProcessId,
 }
 
-/// Who waits for a run of the local endpoint.
+/// The process that waits for a run of the local endpoint.
 #[derive(Clone, Copy, Debug)]
 enum Origin {
     Caller(ProcessId, SendId),
     Host(ProcessId, OutCallKey, u32),
 }
 
-/// One machine's calls without bramblewheel.
+/// One machine's part of the direct layer.
 #[derive(Debug)]
 pub struct DirectLayer {
     settings: DirectSettings,
@@ -76,7 +76,7 @@
 }
 
 impl DirectLayer {
-    /// No calls yet.
+    /// Creates the layer without calls.
     pub fn new(settings: DirectSettings) -> Self {
         Self {
             settings,
@@ -139,7 +139,7 @@
         environment.context.send(call.to, message);
     }
 
-    /// A try ended; `reusable` says whether its connection can be used again.
+    /// Handles the end of an attempt; `reusable` states whether its connection can be used again.
     fn try_ended(
         &mut self,
         environment: &mut Environment<'_, '_>,
--- a/crates/bramblewheel-sim/src/requests/layer/ledger_client.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/ledger_client.rs
@@ -1,7 +1,7 @@
-//! A daemon's requests to the ledger, repeated until they are answered.
+//! Client of the ledger; repeats requests until they are answered.
 //!
-//! The ledger is the single process that stands for the control replicas, or the replicas
-//! themselves; then each request is a batch of one operation.
+//! The ledger is either the single ledger process or the control replicas. Control replicas get each
+//! request as a batch of one operation.
 
 use super::super::message::{Message, Timer};
 use super::super::process_layout::ProcessLayout;
@@ -15,33 +15,33 @@
 use bramblewheel_types::{AttemptId, OperationKey};
 use std::time::Duration;
 
-/// Time after which unanswered requests are repeated.
+/// Interval at which unanswered requests are repeated.
 const REPEAT_AFTER: Duration = Duration::from_millis(200);
 
 #[derive(Debug)]
 struct Pending {
     attempt: AttemptId,
     request: LedgerRequest,
-    /// Number of the last message that asked for it.
+    /// Number of the last message that carried the request.
     asked: u64,
 }
 
-/// Requests to the ledger that are not answered yet.
+/// Unanswered requests to the ledger.
 #[derive(Debug)]
 pub(super) struct LedgerClient {
     pending: Vec<Pending>,
     is_armed: bool,
     replicas: u32,
-    /// Replica that is asked.
+    /// Replica that receives the requests.
     target: u32,
-    /// Whether the replica answered since the last repetition.
+    /// Whether a replica answered since the last repetition.
     has_reply: bool,
     incarnation: u64,
     asked: u64,
 }
 
 impl LedgerClient {
-    /// A client of `replicas` control replicas, or with 0 of the process that stands for them.
+    /// Creates a client of `replicas` control replicas, or of the single ledger process if 0.
     pub(super) fn new(replicas: u32, incarnation: u64) -> Self {
         Self {
             pending: Vec::new(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Asks the ledger.
+    /// Sends a request to the ledger.
     pub(super) fn ask(
         &mut self,
         environment: &mut Environment<'_, '_>,
@@ -73,13 +73,13 @@
         self.arm(environment);
     }
 
-    /// A claim that is given up is not asked for again.
+    /// Drops a pending claim that is being released, so that it is not repeated.
     fn forget_claim(&mut self, attempt: AttemptId) {
         self.pending
             .retain(|pending| pending.attempt != attempt || !is_claim(&pending.request));
     }
 
-    /// The process that stands for the replicas answered; false if nothing of the kind was asked.
+    /// Handles an answer of the single ledger process; false if no such request is pending.
     pub(super) fn answered(
         &mut self,
         attempt: AttemptId,
@@ -94,7 +94,7 @@
         self.pending.len() < before
     }
 
-    /// A replica answered. Returns what it says of a claim.
+    /// Handles the reply of a replica; returns the answer if the request was a claim.
     pub(super) fn replied(
         &mut self,
         environment: &mut Environment<'_, '_>,
@@ -139,7 +139,7 @@
         self.target = (self.target + 1) % self.replicas.max(1);
     }
 
-    /// Time to ask again.
+    /// Repeats the unanswered requests.
     pub(super) fn repeat(&mut self, environment: &mut Environment<'_, '_>) {
         self.is_armed = false;
         if !std::mem::take(&mut self.has_reply) {
--- a/crates/bramblewheel-sim/src/requests/layer/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/mod.rs
@@ -1,4 +1,4 @@
-//! What stands between callers and endpoints: nothing, a naive layer, or bramblewheel.
+//! The layer between callers and endpoints: none, a naive one, or bramblewheel.
 
 pub mod daemon;
 pub mod direct;
@@ -21,19 +21,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Which layer a run uses.
+/// Kind of layer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LayerKind {
-    /// Callers and endpoints choose an endpoint at random, once.
+    /// Random routing, one attempt per call.
     None,
-    /// Three tries at each hop, random routing, first in first out.
+    /// Random routing, up to three attempts at each hop, first-in first-out queues.
     Naive,
     /// The engines of bramblewheel.
     Bramblewheel,
 }
 
 impl LayerKind {
-    /// All kinds, worst first.
+    /// All kinds, from no protection to the most.
     pub const ALL: [Self; 3] = [Self::None, Self::Naive, Self::Bramblewheel];
 
     /// Whether callers send to the gateway of their zone.
@@ -42,12 +42,12 @@
     }
 }
 
-/// A layer and what it is told at its start.
+/// A layer and its configuration.
 #[derive(Clone, Debug)]
 pub struct LayerSettings {
-    /// Which layer.
+    /// Kind of layer.
     pub kind: LayerKind,
-    /// Bundle in force; only bramblewheel looks at it.
+    /// Bundle in force; used by bramblewheel only.
     pub bundle: Arc<Bundle>,
 }
 
@@ -75,39 +75,39 @@
     }
 }
 
-/// What the layer of a scenario is told beside its settings.
+/// Further options of a layer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LayerOptions {
-    /// What is wrong with it.
+    /// Unsafe double to use instead of the correct daemon.
     pub double: Option<UnsafeDouble>,
-    /// Control replicas that keep the ledger; 0 for the single process that stands for them.
+    /// Number of control replicas that hold the ledger; 0 for the single ledger process.
     pub replicas: u32,
-    /// Seed of the daemons' own draws, if they must not depend on those of their endpoints.
+    /// Seed of the daemons' draws, if they must not depend on the draws of their endpoints.
     pub seed: Option<u64>,
 }
 
-/// Something that happens to a layer from outside of the simulated world.
+/// An instruction of the scenario to a layer.
 #[derive(Clone, Debug)]
 pub enum Instruction {
     /// A bundle comes into force.
     Install(Arc<Bundle>),
-    /// The directory says something new.
+    /// The directory changes.
     Directory(DirectoryUpdate),
-    /// New sessions are signed with the key of this number; older ones stay known.
+    /// New sessions are signed with the key of this number; older sessions stay valid.
     SignSessionsWith(u32),
-    /// A planned stop; the process is started again after a while.
+    /// A planned stop, followed by a restart.
     StopPlanned {
-        /// Time from its end to its next start.
+        /// Time from the end of the stop to the restart.
         down: Duration,
     },
 }
 
-/// What layers count.
+/// Counters of a layer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LayerCounters {
-    /// Calls by callers and endpoints.
+    /// Calls made by callers and endpoints.
     pub calls: u64,
-    /// Tries of them that were sent.
+    /// Attempts of these calls that were sent.
     pub attempts: u64,
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-/// What a layer can do while it handles an event.
+/// Access of a layer to its machine while it handles an event.
 pub struct Environment<'a, 'b> {
     pub(super) context: &'a mut Context<'b, RequestActor>,
     pub(super) topology: &'a Topology,
@@ -131,14 +131,14 @@
 }
 
 impl Environment<'_, '_> {
-    /// Hands a request to the endpoint; `None` if it does not take it.
+    /// Passes a request to the endpoint; `None` if the endpoint does not accept it.
     pub(super) fn run(&mut self, request: RunRequest) -> Option<RunKey> {
         let now = self.context.now();
         let endpoint = self.endpoint.as_mut()?;
         endpoint.accept(now, request, self.context.random(), self.actions)
     }
 
-    /// Stops a request at the endpoint.
+    /// Cancels a run of the endpoint.
     pub(super) fn cancel_run(&mut self, run: RunKey) {
         let now = self.context.now();
         let Some(endpoint) = self.endpoint.as_mut() else {
@@ -160,14 +160,14 @@
         }
     }
 
-    /// Records something that concerns the local endpoint; a gateway records nothing.
+    /// Adds a record about the local endpoint to the history; does nothing on a gateway.
     pub(super) fn record_at_endpoint(&mut self, record: impl FnOnce(EndpointIndex) -> Record) {
         if let Some(endpoint) = self.endpoint_index {
             self.context.record(record(endpoint));
         }
     }
 
-    /// Tells the endpoint how a sub-call ended.
+    /// Reports the end of a sub-call to the endpoint.
     pub(super) fn end_sub_call(&mut self, run: RunKey, is_success: bool) {
         let now = self.context.now();
         if let Some(endpoint) = self.endpoint.as_mut() {
@@ -178,16 +178,16 @@
 
 /// One machine's part of a layer.
 pub trait Layer {
-    /// The machine starts.
+    /// Handles the start of the machine.
     fn start(&mut self, environment: &mut Environment<'_, '_>);
 
-    /// A message arrives.
+    /// Handles a message.
     fn receive(&mut self, environment: &mut Environment<'_, '_>, from: ProcessId, message: Message);
 
-    /// A timer is due.
+    /// Handles a timer.
     fn timer(&mut self, environment: &mut Environment<'_, '_>, timer: Timer);
 
-    /// A message reached a machine that is down.
+    /// Handles a message that could not be delivered because the destination is down.
     fn undelivered(
         &mut self,
         environment: &mut Environment<'_, '_>,
@@ -195,10 +195,10 @@
         message: Message,
     );
 
-    /// The local endpoint asks for a sub-call.
+    /// Handles a sub-call of the local endpoint.
     fn sub_call(&mut self, environment: &mut Environment<'_, '_>, run: RunKey, position: usize);
 
-    /// The local endpoint ended a request.
+    /// Handles the end of a run at the local endpoint.
     fn run_ended(
         &mut self,
         environment: &mut Environment<'_, '_>,
@@ -207,6 +207,6 @@
         is_success: bool,
     );
 
-    /// Something happens to the layer from outside of the simulated world.
+    /// Handles an instruction of the scenario.
     fn instruct(&mut self, _environment: &mut Environment<'_, '_>, _instruction: Instruction) {}
 }
--- a/crates/bramblewheel-sim/src/requests/layer/sessions.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/sessions.rs
@@ -1,29 +1,29 @@
-//! The sessions that a gateway opens and recognises, with the real tokens.
+//! Sessions that a gateway opens and verifies, with real tokens.
 
 use bramblewheel_core::session::{self, Session, SessionKey};
 use bramblewheel_types::{Criticality, Timestamp, ZoneName};
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// Keys that all gateways hold; a rotation moves on to the next while the others stay known.
+/// Number of keys that all gateways hold. A rotation switches to the next key; the others stay valid.
 const KEY_COUNT: u32 = 2;
-/// Bytes of a key.
+/// Length of a key in bytes.
 const KEY_LENGTH: usize = session::MIN_KEY_LENGTH;
 
-/// The sessions of one gateway.
+/// Sessions of one gateway.
 #[derive(Debug)]
 pub(super) struct Sessions {
     keys: Vec<SessionKey>,
     signs_with: u32,
     zone: ZoneName,
-    /// For an unsafe double: it knows what it opened itself, and nothing else.
+    /// Tokens that this gateway opened, for the unsafe double that accepts no others.
     opened: Option<BTreeSet<String>>,
 }
 
 impl Sessions {
     pub(super) fn new(zone: ZoneName, is_tied_to_daemon: bool) -> Self {
         let key = |id: u32| {
-            SessionKey::new(id, vec![id as u8; KEY_LENGTH]).expect("the key is long enough")
+            SessionKey::new(id, vec![id as u8; KEY_LENGTH]).expect("the key has the minimum length")
         };
         Self {
             keys: (1..=KEY_COUNT).map(key).collect(),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// New sessions are signed with the key of this number from now on.
+    /// Sets the number of the key that signs new sessions.
     pub(super) fn sign_with(&mut self, number: u32) {
         self.signs_with = number.clamp(1, KEY_COUNT);
     }
--- a/crates/bramblewheel-sim/src/requests/ledger.rs
+++ b/crates/bramblewheel-sim/src/requests/ledger.rs
@@ -1,7 +1,7 @@
-//! The ledger of run-once operations as one process that answers after a quorum's delay.
+//! The ledger of run-once operations as a single process that answers after the delay of a quorum.
 //!
-//! It stands for the control replicas; what the daemons see of it are the messages
-//! [`Message::AskLedger`] and [`Message::LedgerAnswer`] only.
+//! It replaces the control replicas; daemons talk to it with [`Message::AskLedger`] and
+//! [`Message::LedgerAnswer`] only.
 
 use super::actor::RequestActor;
 use super::message::{Message, Timer};
@@ -24,19 +24,19 @@
     request: LedgerRequest,
 }
 
-/// The ledger.
+/// The ledger process.
 #[derive(Debug)]
 pub struct LedgerService {
     commit_time: Duration,
     operations: BTreeMap<OperationKey, Operation>,
-    /// Attempts whose claim was given back; a late duplicate of the claim gets nothing.
+    /// Attempts whose claim was released; a late duplicate of such a claim is not granted.
     released: BTreeMap<(OperationKey, AttemptId), ()>,
     pending: BTreeMap<u64, Pending>,
     received: u64,
 }
 
 impl LedgerService {
-    /// A ledger whose commits take `commit_time`.
+    /// Creates an empty ledger whose commits take `commit_time`.
     pub fn new(commit_time: Duration) -> Self {
         Self {
             commit_time,
--- a/crates/bramblewheel-sim/src/requests/load.rs
+++ b/crates/bramblewheel-sim/src/requests/load.rs
@@ -1,4 +1,4 @@
-//! How many requests callers make, and how hard they try again.
+//! Load profile and resend behaviour of callers.
 
 use super::topology::Topology;
 use bramblewheel_types::Timestamp;
@@ -7,20 +7,20 @@
 /// Rate of new requests over virtual time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadProfile {
-    /// New requests a second, over all callers, outside the surge.
+    /// New requests per second of all callers outside the surge.
     pub base_rate: f64,
-    /// Factor on the rate during the surge.
+    /// Factor of the rate during the surge.
     pub surge: f64,
-    /// Beginning of the surge.
+    /// Start of the surge.
     pub surge_begins: Timestamp,
     /// End of the surge.
     pub surge_ends: Timestamp,
-    /// No new requests from here on.
+    /// End of new requests.
     pub ends: Timestamp,
 }
 
 impl LoadProfile {
-    /// New requests a second at a time.
+    /// New requests per second at a time.
     pub fn rate(&self, at: Timestamp) -> f64 {
         if at >= self.ends {
             return 0.0;
@@ -29,33 +29,33 @@
         self.base_rate * if is_surge { self.surge } else { 1.0 }
     }
 
-    /// The highest rate at any time.
+    /// Highest rate of the profile.
     pub fn peak_rate(&self) -> f64 {
         self.base_rate * self.surge.max(1.0)
     }
 }
 
-/// How callers behave when they don't get their answer.
+/// Behaviour of callers whose request is not answered or fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallerBehaviour {
-    /// Most sends of one request, the first included.
+    /// Maximum number of sends of one request, including the first.
     pub max_sends: u32,
-    /// Shortest pause before the next send; whatever the refusal asks for is ignored.
+    /// Minimum pause before the next send; the pause that a refusal asks for is ignored.
     pub pause: Duration,
-    /// Share of the callers that name their request, so that a resend can be recognised.
+    /// Share of requests that keep their id, so that a resend can be recognised.
     pub with_id: f64,
-    /// Callers that are told apart, in each zone.
+    /// Number of distinct callers in each zone.
     pub callers_per_zone: u32,
-    /// Time that a caller waits beyond its deadline before it closes its connection.
+    /// Time beyond its deadline after which a caller closes its connection.
     pub patience: Duration,
     /// Whether resends go to the gateways of other zones.
     pub roams: bool,
-    /// Sessions with tokens in each zone; 0 if requests of sessions carry no token.
+    /// Number of sessions with tokens in each zone; 0 if requests of sessions carry no token.
     pub sessions_per_zone: u32,
 }
 
 impl Default for CallerBehaviour {
-    /// Callers that retry hard: four sends, at once, half of them without an id.
+    /// Aggressive callers: four sends with pauses of 50 to 100 ms, half of the requests without an id.
     fn default() -> Self {
         Self {
             max_sends: 4,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Chooses a flow by its share; `point` lies between 0 and 1.
+/// Selects a flow by its share; `point` lies between 0 and 1.
 pub(super) fn flow_at(topology: &Topology, point: f64) -> usize {
     let mut sum = 0.0;
     for (index, flow) in topology.flows.iter().enumerate() {
--- a/crates/bramblewheel-sim/src/requests/measure.rs
+++ b/crates/bramblewheel-sim/src/requests/measure.rs
@@ -1,23 +1,23 @@
-//! Goodput over time, and the time to recover.
+//! Goodput over time and time to recover.
 
 use super::simulation::RequestSimulation;
 use bramblewheel_types::{Criticality, Timestamp};
 use std::time::Duration;
 
-/// Length of a bucket of time.
+/// Length of a time bucket.
 pub const BUCKET: Duration = Duration::from_millis(100);
-/// Share of its level before that goodput must reach again.
+/// Share of its earlier level that goodput must reach again.
 const RECOVERED_SHARE: f64 = 0.95;
-/// Time for which it must stay there.
+/// Time for which goodput must stay at that level.
 const STAYS_FOR: Duration = Duration::from_secs(10);
 const CLASSES: usize = Criticality::ALL.len();
 
 /// A span of virtual time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
-    /// Beginning.
+    /// Start.
     pub begins: Timestamp,
-    /// End, not included.
+    /// End, exclusive.
     pub ends: Timestamp,
 }
 
@@ -27,20 +27,20 @@
         at >= self.begins && at < self.ends
     }
 
-    /// Its length in seconds.
+    /// Length in seconds.
     pub fn seconds(&self) -> f64 {
         self.ends.since(self.begins).as_secs_f64()
     }
 }
 
-/// Requests of one bucket of time, by class.
+/// Requests of one time bucket, by rank of their class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Bucket {
     /// Requests first sent in this bucket.
     pub offered: [u32; CLASSES],
-    /// Of these, those answered whole within their deadline, whenever that was.
+    /// The offered requests that were answered whole within their deadline, in this bucket or later.
     pub good: [u32; CLASSES],
-    /// Whole answers within the deadline that came in this bucket.
+    /// Whole answers within the deadline that arrived in this bucket.
     pub answered: [u32; CLASSES],
     /// Sends of the requests first sent in this bucket.
     pub sends: u32,
@@ -53,7 +53,7 @@
     pub buckets: Vec<Bucket>,
 }
 
-/// Reads a run that is over; requests first sent after `until` are left out.
+/// Measures a finished run; requests first sent after `until` are left out.
 pub fn measure(run: &RequestSimulation, classes: &[Criticality], until: Timestamp) -> Measurement {
     let count = bucket_of(until);
     let mut buckets = vec![Bucket::default(); count];
@@ -87,14 +87,14 @@
         &self.buckets[bucket_of(window.begins).min(last)..last]
     }
 
-    /// Whole answers a second that came in a window.
+    /// Whole answers per second that arrived within their deadline in a window.
     pub fn goodput(&self, window: Window) -> f64 {
         let answered = self.within(window).iter().flat_map(|b| b.answered);
         f64::from(answered.sum::<u32>()) / window.seconds()
     }
 
-    /// Share of the requests of a class first sent in a window that were answered whole in time;
-    /// none if there were no requests.
+    /// Share of the requests of a class first sent in a window that were answered whole in time; `None`
+    /// if there were no requests.
     pub fn good_share(&self, window: Window, class: Criticality) -> Option<f64> {
         let rank = class.rank();
         let buckets = self.within(window);
@@ -111,11 +111,11 @@
         f64::from(sends) / f64::from(offered.max(1))
     }
 
-    /// Time from the end of the cause to the first moment from which goodput stays at 95% of its
-    /// level before for 10 s; none if there is no such moment.
+    /// Time from the end of the cause until goodput returns to at least 95% of its earlier level and stays
+    /// there for 10 s; `None` if it does not.
     ///
-    /// Goodput is taken relative to the requests first sent in the same bucket, so that the
-    /// randomness of arrivals does not count as a fall.
+    /// Goodput is measured relative to the requests first sent in the same bucket, so that random
+    /// fluctuation of arrivals does not count as a drop.
     pub fn recovery_time(&self, before: Window, cause_ends: Timestamp) -> Option<Duration> {
         let level = share(self.within(before));
         let needed = (STAYS_FOR.as_millis() / BUCKET.as_millis()) as usize;
--- a/crates/bramblewheel-sim/src/requests/message.rs
+++ b/crates/bramblewheel-sim/src/requests/message.rs
@@ -1,4 +1,4 @@
-//! What the processes of a request simulation send each other, and their timers.
+//! Messages between the processes of a request simulation, and their timers.
 
 use super::content::Content;
 use super::endpoint::{RunKey, RunRequest};
@@ -11,7 +11,7 @@
 use bramblewheel_types::{AttemptId, Criticality, OperationKey, Outcome, RequestId};
 use std::time::Duration;
 
-/// One send of a request by a caller; unique in a run.
+/// One send of a request by a caller; unique in a simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SendId(pub u64);
 
@@ -20,139 +20,139 @@
 pub struct RootRequest {
     /// This send.
     pub send: SendId,
-    /// Id of the original request, also drawn for callers that name none.
+    /// Id of the original request; also drawn for callers that state none.
     pub request: RequestId,
-    /// Number of the resend under the same id.
+    /// Number of resends so far under the same id.
     pub resend: u32,
-    /// Kind of request.
+    /// Flow of the request.
     pub flow: FlowIndex,
     /// Route called.
     pub route: RouteIndex,
     /// Name of the caller.
     pub caller: String,
-    /// How long the caller waits.
+    /// Time that the caller allows for the answer.
     pub timeout: Duration,
-    /// Class that the caller asks for; that of the bundle if none.
+    /// Class that the caller requests; the bundle's class if `None`.
     pub criticality: Option<Criticality>,
-    /// What it says of its session.
+    /// Session that the request claims.
     pub session: SessionClaim,
-    /// Present when the request must not run twice.
+    /// Set if the request must not run twice.
     pub operation: Option<Operation>,
 }
 
-/// What a request says of its session.
+/// Session that a request claims.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionClaim {
-    /// It belongs to none.
+    /// No session.
     None,
-    /// It belongs to one; no token is looked at.
+    /// Some session; no token is checked.
     Assumed,
-    /// One is to be opened with it.
+    /// The request opens a session.
     Open,
-    /// The token of one.
+    /// The session of this token.
     Token(String),
 }
 
-/// What a caller is told.
+/// Answer to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerAnswer {
     /// The send answered.
     pub send: SendId,
-    /// How it ended.
+    /// Outcome of the send.
     pub outcome: Outcome,
-    /// What the answer is an answer to, if it has a body of an endpoint.
+    /// Content that the answer belongs to, if its body comes from an endpoint.
     pub body: Option<Content>,
-    /// Token of the session that was opened.
+    /// Token of the session that the request opened.
     pub opened: Option<String>,
-    /// Whether the token sent was not accepted.
+    /// Whether the token of the request was refused.
     pub session_refused: bool,
 }
 
-/// What processes send each other.
+/// A message between processes.
 #[derive(Clone, Debug)]
 pub enum Message {
     /// A caller's request.
     Request(Box<RootRequest>),
     /// The caller closed its connection.
     GiveUp(SendId),
-    /// The answer to a caller.
+    /// Answer to a caller.
     Answer(Box<CallerAnswer>),
-    /// A call without bramblewheel.
+    /// A call of the direct layer, without bramblewheel.
     DirectCall {
-        /// The call at its maker.
+        /// Key of the call at the calling machine.
         call: OutCallKey,
-        /// Number of the try.
+        /// Number of the attempt, from 1.
         tried: u32,
-        /// What is to be run.
+        /// Request to run.
         request: RunRequest,
     },
-    /// The answer to a call without bramblewheel.
+    /// Answer to a call of the direct layer.
     DirectAnswer {
-        /// The call at its maker.
+        /// Key of the call at the calling machine.
         call: OutCallKey,
-        /// Number of the try.
+        /// Number of the attempt, from 1.
         tried: u32,
-        /// What the answer is an answer to, if it succeeded.
+        /// Content that the answer belongs to, if the call succeeded.
         body: Option<Content>,
     },
-    /// A daemon hands an attempt to another; the deadline crosses as remaining time.
+    /// An attempt from one daemon to another; the deadline is sent as remaining time.
     Attempt {
-        /// The context; its deadline is on the sender's clock and not to be used.
+        /// The context; its deadline is on the sender's clock and must not be used.
         context: Box<CallContext>,
         /// Time until the deadline.
         remaining: Duration,
-        /// What is asked for.
+        /// Content of the request.
         content: Content,
     },
-    /// The answer to an attempt.
+    /// Answer to an attempt.
     AttemptAnswer {
         /// The attempt.
         attempt: AttemptId,
         /// Its outcome.
         outcome: Outcome,
-        /// Reports of the called daemon.
+        /// Load feedback of the called daemon.
         feedback: Feedback,
-        /// What the answer is an answer to, if it has a body of an endpoint.
+        /// Content that the answer belongs to, if its body comes from an endpoint.
         body: Option<Content>,
     },
     /// The calling daemon closed the attempt's connection.
     AttemptCancelled(AttemptId),
-    /// A daemon asks the ledger; repeated until it is answered.
+    /// A daemon's request to the ledger; repeated until it is answered.
     AskLedger {
-        /// The attempt on whose behalf.
+        /// The attempt that needs it.
         attempt: AttemptId,
-        /// What is asked.
+        /// The request.
         request: LedgerRequest,
     },
-    /// The ledger's answer.
+    /// Answer of the ledger.
     LedgerAnswer {
-        /// The attempt on whose behalf was asked.
+        /// The attempt that needed it.
         attempt: AttemptId,
         /// The operation.
         key: OperationKey,
-        /// Answer to a claim, or none for what only had to be recorded.
+        /// Answer to a claim; `None` for requests that are only recorded.
         answer: Option<ClaimAnswer>,
     },
-    /// Between control replicas.
+    /// A message between control replicas.
     Peer(Box<PeerEnvelope>),
-    /// To a control replica.
+    /// A request to a control replica.
     ControlRequest(Box<ControlRequest>),
-    /// Of a control replica.
+    /// A reply of a control replica.
     ControlReply(Box<ControlReply>),
 }
 
-/// A message between control replicas with what the connection began with.
+/// A message between control replicas, with the greeting of its connection.
 #[derive(Clone, Debug)]
 pub struct PeerEnvelope {
-    /// Who speaks to whom.
+    /// Sender and recipient.
     pub hello: Hello,
     /// The message.
     pub message: PeerMessage,
 }
 
 impl Message {
-    /// Whether the network may lose it, deliver it twice or out of order. Requests can't come
-    /// twice, since they are bound to connections; their answers are tried on purpose.
+    /// Whether the network may lose, duplicate or reorder the message. Requests and caller answers are
+    /// bound to connections and excluded; answers to attempts are included on purpose, as a test.
     pub fn is_disorderly(&self) -> bool {
         !matches!(
             self,
@@ -161,35 +161,36 @@
     }
 }
 
-/// What timers bring back.
+/// Payload of timers.
 #[derive(Clone, Debug)]
 pub enum Timer {
-    /// The endpoint did a part of its work.
+    /// A run finished a part of its work.
     Work(RunKey),
-    /// The engine may have something to do.
+    /// The engine's next wake-up is due.
     Tick,
-    /// The endpoint's load is to be asked.
+    /// The endpoint's load report is due.
     Report,
     /// The connection for an attempt is open.
     Connected(AttemptId),
-    /// Unanswered ledger requests are to be repeated.
+    /// Unanswered ledger requests are due to be repeated.
     RepeatLedger,
     /// The connection for a direct call is open.
     DirectConnected(OutCallKey, u32),
-    /// A try of a direct call is given up.
+    /// An attempt of a direct call timed out.
     DirectTimeout(OutCallKey, u32),
-    /// A new request of the callers may be due.
+    /// The next candidate for a new request of the callers.
     Arrival,
     /// A caller sends again.
     Resend(u64),
-    /// A caller gives a send up.
+    /// A caller stops waiting for a send.
     GiveUp(SendId),
-    /// The ledger answers.
+    /// The commit of a ledger request is complete.
     LedgerReady(u64),
-    /// A control replica may have something to do.
+    /// The control replica's next wake-up is due.
     Replica,
-    /// A planned stop is complete, and late requests had time to be refused.
+    /// The drain of a planned stop is complete and the linger time, in which late requests are refused,
+    /// has passed.
     Lingered,
-    /// A refusal that an unsafe double held back is given.
+    /// A refusal that an unsafe double held back is due.
     Parked(u64),
 }
--- a/crates/bramblewheel-sim/src/requests/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/mod.rs
@@ -1,8 +1,8 @@
-//! Requests through a deployment: callers, endpoints and the layer between them.
+//! Simulation of requests through a deployment: callers, endpoints and the layer between them.
 //!
-//! Each machine of the deployment is one process of the kernel: an endpoint with its daemon, or a
-//! gateway. The layer is nothing, a naive one, or the real engines of `bramblewheel-core`, so that
-//! all three are measured by the same models.
+//! Each machine of the deployment is one simulated process: an endpoint with its daemon, or a gateway.
+//! The layer is absent, naive, or made of the real engines of `bramblewheel-core`, so that the same
+//! models measure all three.
 
 mod actor;
 pub mod bound;
--- a/crates/bramblewheel-sim/src/requests/overload.rs
+++ b/crates/bramblewheel-sim/src/requests/overload.rs
@@ -1,5 +1,5 @@
-//! Overload as one experiment: a deep service slows, demand surges, callers retry hard, then the
-//! cause ends.
+//! Overload experiment: a deep service slows down, demand surges and callers retry aggressively, until
+//! the cause ends.
 
 use super::bound::Capacity;
 use super::layer::{LayerCounters, LayerKind, LayerSettings};
@@ -15,26 +15,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Demand outside the surge, as a share of the highest rate that all slots could serve.
+/// Demand outside the surge, as a share of the highest rate that the slots can serve.
 pub const BASE_LOAD: f64 = 0.4;
-/// Factor by which the deep service is slower during the cause.
+/// Factor by which the deep service slows down during the cause.
 pub const SLOWDOWN: f64 = 2.0;
-/// Until here the run settles in.
+/// End of the warm-up, which is not measured.
 const SETTLED: Timestamp = Timestamp::from_millis(2_000);
-/// Beginning of the cause.
+/// Start of the cause: slow-down and surge.
 pub const CAUSE_BEGINS: Timestamp = Timestamp::from_millis(7_000);
 /// End of the cause.
 pub const CAUSE_ENDS: Timestamp = Timestamp::from_millis(17_000);
-/// No new requests from here on.
+/// End of new requests.
 pub const LOAD_ENDS: Timestamp = Timestamp::from_millis(37_000);
-/// By then the last request has been answered or given up.
+/// By this time every request has been answered or given up.
 const RUN_ENDS: Timestamp = Timestamp::from_millis(42_000);
-/// What is remembered of the history is looked at this often.
+/// Interval at which the history is evaluated and dropped from memory.
 const STEP: Duration = Duration::from_millis(500);
-/// Factor between the weights of two classes in the bound.
+/// Ratio of the weights of adjacent classes in the bound.
 const CLASS_WEIGHT: f64 = 1e3;
 
-/// One deployment with its bundle.
+/// The experiment for one deployment and its bundle.
 #[derive(Clone, Debug)]
 pub struct Subject {
     /// The deployment.
@@ -43,24 +43,24 @@
     pub bundle: Arc<Bundle>,
 }
 
-/// What is measured of one run.
+/// Measurements of one run.
 #[derive(Clone, Debug)]
 pub struct OverloadRun {
     /// Goodput over time.
     pub measurement: Measurement,
-    /// Share of the slot time that went to requests without a whole answer in time, from the
-    /// cause's beginning to 5 s after its end.
+    /// Share of the slot time spent on requests without a whole answer in time, from the start of the
+    /// cause to 5 s after its end.
     pub wasted_share: f64,
-    /// Sends and attempts per send and attempt that would have been made without any retry.
+    /// Sends per request times attempts per call: 1 without any retry.
     pub retry_amplification: f64,
-    /// Operations that ran more than once.
+    /// Number of operations that ran more than once.
     pub repeated_operations: u64,
     /// Digest of the run's history.
     pub digest: HistoryDigest,
 }
 
 impl Subject {
-    /// The service that most others call: the deep one that slows.
+    /// The service that slows down: the one with the most calling services.
     pub fn deep_service(&self) -> ServiceIndex {
         let services = 0..self.topology.services.len();
         let callers = |service: usize| {
@@ -72,7 +72,7 @@
         ServiceIndex(deepest.expect("a deployment has services"))
     }
 
-    /// Class of each flow's requests.
+    /// Class of each flow.
     pub fn classes(&self) -> Vec<Criticality> {
         let flows = self.topology.flows.iter();
         let class = |flow: &super::topology::Flow| {
@@ -82,12 +82,12 @@
         flows.map(class).collect()
     }
 
-    /// Demand outside the surge, in requests a second.
+    /// Demand outside the surge, in requests per second.
     pub fn base_rate(&self) -> f64 {
         Capacity::new(&self.topology).full_rate() * BASE_LOAD
     }
 
-    /// Classes of the flows, the most important first.
+    /// Distinct classes of the flows, the most important first.
     pub fn used_classes(&self) -> Vec<Criticality> {
         let mut classes = self.classes();
         classes.sort_unstable_by(|one, other| other.cmp(one));
@@ -99,9 +99,8 @@
         Capacity::new(&self.topology).with_slowdown(self.deep_service().0, SLOWDOWN)
     }
 
-    /// The bound: best rates by class during the cause, in the order of
-    /// [`Self::used_classes`], the most important class first and all kinds of requests of one
-    /// class alike.
+    /// The bound: highest rates by class during the cause, in requests per second and in the order of
+    /// [`Self::used_classes`]. More important classes go first; all flows of one class get equal shares.
     pub fn bound(&self, surge: f64) -> Vec<f64> {
         let classes = self.used_classes();
         let weights: Vec<f64> = classes.iter().map(|class| weight(*class)).collect();
@@ -110,7 +109,7 @@
             .best_even_rates(rate, &self.classes(), &classes, &weights)
     }
 
-    /// Sum of the best rates if the cheap kinds of requests of a class went first.
+    /// Sum of the highest rates if the cheap flows of each class went first.
     pub fn bound_cheap_first(&self, surge: f64) -> f64 {
         let weights: Vec<f64> = self.classes().into_iter().map(weight).collect();
         let rate = self.base_rate() * surge;
@@ -118,7 +117,7 @@
         rates.iter().sum()
     }
 
-    /// Sum of the best rates if no class went before another.
+    /// Sum of the highest rates if all classes had equal weight.
     pub fn bound_any_class(&self, surge: f64) -> f64 {
         let weights = vec![1.0; self.topology.flows.len()];
         let rate = self.base_rate() * surge;
@@ -146,7 +145,8 @@
         }
     }
 
-    /// Runs the experiment once. `fault` is called at the beginning and at the end of the cause.
+    /// Runs the experiment once. `fault` is called with `true` at the start and with `false` at the end
+    /// of the cause.
     pub fn run(
         &self,
         kind: LayerKind,
@@ -181,18 +181,18 @@
     CLASS_WEIGHT.powi(class.rank() as i32)
 }
 
-/// Before the cause.
+/// Window before the cause, without the warm-up.
 pub const BEFORE: Window = Window {
     begins: SETTLED,
     ends: CAUSE_BEGINS,
 };
-/// During the cause.
+/// Window of the cause.
 pub const CAUSE: Window = Window {
     begins: CAUSE_BEGINS,
     ends: CAUSE_ENDS,
 };
 
-/// Runs on and counts how often each operation runs.
+/// Continues the run until a time and counts the runs of each operation.
 fn advance(
     run: &mut RequestSimulation,
     until: Timestamp,
--- a/crates/bramblewheel-sim/src/requests/overload_scenario.rs
+++ b/crates/bramblewheel-sim/src/requests/overload_scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios of kind `overload`: a deployment under a surge, with stated outcomes.
+//! Scenarios of kind `overload`: a deployment under a surge, with required outcomes.
 
 use super::layer::LayerKind;
 use super::overload::{BEFORE, CAUSE, CAUSE_ENDS, OverloadRun, Subject};
@@ -22,10 +22,10 @@
 }
 
 impl ExampleName {
-    /// The deployment and its bundle.
+    /// The experiment with the deployment and its bundle.
     ///
     /// # Panics
-    /// Never: a test reads both.
+    /// If the embedded example files are invalid; a test parses both.
     pub fn subject(self) -> Subject {
         let (deployment, bundle) = match self {
             Self::Torgnett => (
@@ -39,15 +39,15 @@
         };
         let deployment = deployment::parse("deployment", deployment);
         let bundle = bramblewheel_bundle::parse("bundle", bundle);
-        let deployment = deployment.expect("the examples are valid");
+        let deployment = deployment.expect("the example deployment is valid");
         Subject {
             topology: Arc::new(Topology::new(&deployment)),
-            bundle: Arc::new(bundle.expect("the examples are valid")),
+            bundle: Arc::new(bundle.expect("the example bundle is valid")),
         }
     }
 }
 
-/// The keys of a scenario of kind `overload`.
+/// Scenario file of kind `overload`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadScenario {
@@ -57,46 +57,46 @@
     _kind: String,
     #[serde(rename = "summary")]
     _summary: String,
-    /// What happens.
+    /// Events of the run.
     pub overload: OverloadPlan,
-    /// What must come out.
+    /// Required outcomes.
     pub outcomes: OverloadOutcomes,
 }
 
-/// What happens, from 7 s to 17 s of the run.
+/// Events between 7 s and 17 s of the run.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadPlan {
     /// The deployment.
     pub deployment: ExampleName,
-    /// Factor on the demand.
+    /// Factor of the demand.
     pub surge: f64,
-    /// Zone that is cut off from the others meanwhile.
+    /// Zone that is cut off from the others in that time.
     pub cut_zone: Option<ZoneName>,
 }
 
-/// What must come out on each seed. Besides, no operation may run more than once.
+/// Required outcomes of each seed. In addition, no operation may run more than once.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadOutcomes {
-    /// Least goodput during the cause, in per cent of the bound.
+    /// Minimum goodput during the cause, in percent of the bound.
     pub min_percent_of_bound: f64,
-    /// Least share of the requests of a class that are answered whole in time, in per cent.
+    /// Minimum share of the requests of a class that are answered whole in time, in percent.
     #[serde(default)]
     pub min_good_percent: BTreeMap<Criticality, f64>,
-    /// Longest time to recover.
+    /// Maximum time to recover, in milliseconds.
     pub max_recovery_ms: u64,
-    /// Largest share of slot time that goes to requests without a whole answer, in per cent.
+    /// Maximum share of slot time spent on requests without a whole answer in time, in percent.
     pub max_wasted_percent: f64,
-    /// Most tries per call, over all hops and the callers' own.
+    /// Maximum retry amplification: sends per request times attempts per call.
     pub max_retry_amplification: f64,
 }
 
 impl OverloadScenario {
-    /// Reads the keys of this kind.
+    /// Parses and checks a scenario of this kind.
     ///
     /// # Errors
-    /// [`ScenarioError`] with file, line and key.
+    /// Returns [`ScenarioError`] with file, line and key.
     pub fn parse(source: &SourceText<'_>) -> Result<Self, ScenarioError> {
         let scenario: Self = source.deserialize()?;
         let surge = scenario.overload.surge;
@@ -116,12 +116,12 @@
         zones.position(|other| other == zone).map(ZoneIndex)
     }
 
-    /// Runs the scenario on one seed with bramblewheel and checks its outcomes.
+    /// Runs the scenario on one seed with bramblewheel and checks the outcomes.
     pub fn run(&self, seed: u64) -> SeedReport {
         self.run_with(LayerKind::Bramblewheel, seed)
     }
 
-    /// Runs the scenario with any layer.
+    /// Like [`run`](Self::run), with any layer.
     pub fn run_with(&self, layer: LayerKind, seed: u64) -> SeedReport {
         let subject = self.overload.deployment.subject();
         let cut_zone = self.overload.cut_zone.as_ref();
--- a/crates/bramblewheel-sim/src/requests/record.rs
+++ b/crates/bramblewheel-sim/src/requests/record.rs
@@ -1,5 +1,5 @@
-//! What the history of a request simulation holds: what endpoints ran, what callers were told,
-//! and what was seen on the wire between daemons.
+//! Facts in the history of a request simulation: runs at endpoints, answers to callers, and traffic
+//! between daemons.
 
 use super::content::{Content, RunId};
 use super::faults::FaultRecord;
@@ -15,23 +15,23 @@
     Sent {
         /// This send.
         send: SendId,
-        /// The person on whose behalf; all sends of one person ask for the same.
+        /// The person that sends; all sends of one person ask for the same content.
         person: u64,
-        /// Where to.
+        /// Destination.
         to: ProcessId,
-        /// Kind of request.
+        /// Flow of the request.
         flow: FlowIndex,
         /// Name of the caller.
         caller: String,
-        /// Whether it belongs to a session.
+        /// Whether the request belongs to a session.
         in_session: bool,
         /// The original request.
         request: RequestId,
-        /// Number of the send under this id, from 0.
+        /// Number of resends so far under this id.
         resend: u32,
-        /// Set when the request must not run twice.
+        /// Set if the request must not run twice.
         operation: Option<OperationKey>,
-        /// Whether the token of a session comes with it.
+        /// Whether the send carries a session token.
         has_token: bool,
     },
     /// An endpoint began to run a request.
@@ -40,16 +40,16 @@
         endpoint: EndpointIndex,
         /// This run.
         run: RunId,
-        /// What was asked for.
+        /// Content of the request.
         content: Content,
         /// The original request.
         request: RequestId,
         /// The attempt.
         attempt: u64,
-        /// Set when the request must not run twice.
+        /// Set if the request must not run twice.
         operation: Option<OperationKey>,
     },
-    /// An endpoint ended a run by itself.
+    /// A run ended on its own.
     Ended {
         /// The endpoint.
         endpoint: EndpointIndex,
@@ -58,29 +58,29 @@
         /// Whether it succeeded.
         is_success: bool,
     },
-    /// A run was stopped because nobody waited for it any more.
+    /// A run was cancelled because no caller waits for it any more.
     Stopped {
         /// The endpoint.
         endpoint: EndpointIndex,
         /// The run.
         run: RunId,
     },
-    /// A caller was told how its send ended.
+    /// A caller received the answer to a send.
     Told {
         /// This send.
         send: SendId,
         /// The original request.
         request: RequestId,
-        /// Number of the send under this id.
+        /// Number of resends so far under this id.
         resend: u32,
-        /// Set when the request must not run twice.
+        /// Set if the request must not run twice.
         operation: Option<OperationKey>,
-        /// What it was told.
+        /// Outcome in the answer.
         outcome: Outcome,
-        /// What the answer is an answer to, if it has a body of an endpoint.
+        /// Content that the answer belongs to, if its body comes from an endpoint.
         answered: Option<Content>,
     },
-    /// A send that had been answered was answered again.
+    /// An answered send was answered again.
     ToldAgain {
         /// The send.
         send: SendId,
@@ -96,25 +96,25 @@
         send: SendId,
         /// The original request.
         request: RequestId,
-        /// Number of the send under this id.
+        /// Number of resends so far under this id.
         resend: u32,
-        /// Set when the request must not run twice.
+        /// Set if the request must not run twice.
         operation: Option<OperationKey>,
     },
-    /// A caller that holds a session was told that there is none.
+    /// The session token of a send was refused.
     SessionRefused {
         /// The send.
         send: SendId,
     },
-    /// An endpoint was told how its sub-call ended.
+    /// An endpoint received the answer to a sub-call.
     SubCallTold {
         /// The run that made the sub-call.
         run: RunId,
         /// Position among the sub-calls of the run.
         position: u32,
-        /// What it was told.
+        /// Outcome in the answer.
         outcome: Outcome,
-        /// What the answer is an answer to, if it has a body of an endpoint.
+        /// Content that the answer belongs to, if its body comes from an endpoint.
         answered: Option<Content>,
     },
     /// On the wire: an attempt reached the daemon of an endpoint.
@@ -125,12 +125,12 @@
         attempt: AttemptId,
         /// The original request.
         request: RequestId,
-        /// Its class.
+        /// Class of the request.
         criticality: Criticality,
-        /// Whether its root belongs to a session.
+        /// Whether the root request belongs to a session.
         in_session: bool,
     },
-    /// On the wire: a daemon asked for the claim of an attempt, with a slot in hand.
+    /// On the wire: a daemon requested the claim of an attempt, with a slot reserved for it.
     Claimed {
         /// The endpoint.
         endpoint: EndpointIndex,
@@ -150,10 +150,10 @@
         endpoint: EndpointIndex,
         /// The attempt.
         attempt: AttemptId,
-        /// What it answered.
+        /// Outcome in the answer.
         outcome: Outcome,
     },
-    /// On the wire: the calling daemon took an attempt back.
+    /// On the wire: the calling daemon cancelled an attempt.
     Withdrawn {
         /// The endpoint.
         endpoint: EndpointIndex,
--- a/crates/bramblewheel-sim/src/requests/replica.rs
+++ b/crates/bramblewheel-sim/src/requests/replica.rs
@@ -1,5 +1,5 @@
-//! A control replica that keeps the ledger of run-once operations: the real node over files in
-//! memory that lose what was not synced.
+//! A control replica that holds the ledger of run-once operations: the real node on an in-memory file
+//! system that loses data which was not synced.
 
 use super::actor::RequestActor;
 use super::message::{Message, PeerEnvelope, Timer};
@@ -24,24 +24,25 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Data folder of the replica.
+/// Data folder.
 const FOLDER: &str = "data";
-/// Size of a segment in bytes: small, so that a run goes through several.
+/// Segment size in bytes; small, so that a run fills several segments.
 const SEGMENT_SIZE: u64 = 16 * 1024;
-/// How often a leader starts a round of messages.
+/// Interval of the leader's heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(50);
-/// Silence of the leader after which a follower campaigns.
+/// Time without contact to the leader after which a follower starts an election.
 const ELECTION: Duration = Duration::from_millis(200);
-/// Silence after which a daemon is taken out of the directory; there are none here.
+/// Time without contact after which a daemon is removed from the directory. No daemon registers in this
+/// simulation.
 const DAEMON_LEASE: Duration = Duration::from_secs(60);
-/// Entries after which the log is cut by a snapshot.
+/// Number of entries after which a snapshot truncates the log.
 const SNAPSHOT_INTERVAL: u64 = 64;
-/// The group.
+/// Id of the group.
 const GROUP: u64 = 7;
-/// The one operator of the group's first bundle.
+/// The only operator of the group's first bundle.
 const OPERATOR: &str = "operator";
 
-/// A control replica with its machine.
+/// A control replica and its machine.
 pub struct Replica {
     number: u32,
     process: ProcessId,
@@ -50,7 +51,7 @@
     incarnation: Option<Incarnation>,
 }
 
-/// What one start of the process has in memory.
+/// In-memory state of one start of the process.
 struct Incarnation {
     node: ControlNode,
     durable: Durable<MemoryFileSystem>,
@@ -61,8 +62,8 @@
 }
 
 impl Replica {
-    /// The replica of that number with an empty folder; `random` is the machine's, not the
-    /// process's.
+    /// Creates the replica of that number with an empty folder; `random` belongs to the machine, not to
+    /// the process.
     pub fn new(number: u32, process: ProcessId, random: Pcg64Mcg) -> Self {
         Self {
             number,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Whether it leads the group.
+    /// Whether the replica leads the group.
     pub fn is_leader(&self) -> bool {
         let node = self
             .incarnation
@@ -82,7 +83,7 @@
         node.is_some_and(|node| node.replica().role() == Role::Leader)
     }
 
-    /// Identity and addresses, while it runs.
+    /// Identity and addresses, while the replica runs.
     pub fn address(&self) -> Option<&ReplicaAddress> {
         self.incarnation
             .as_ref()
@@ -97,7 +98,7 @@
         let name = format!("control-{}", self.number + 1);
         let fresh = ReplicaId(self.random.random());
         let (durable, restored) = Durable::open(self.files.clone(), config, &name, fresh)
-            .expect("the disk of this simulation fails only by losing power");
+            .expect("the simulated disk fails only by losing power");
         let here = ProcessLayout::address(self.process);
         let address = ReplicaAddress {
             replica: durable.identity().replica.0,
@@ -114,7 +115,7 @@
             seed: context.random().random(),
         };
         let node = ControlNode::new(config, restored, now(context))
-            .expect("what this program wrote is a state of this program");
+            .expect("the restored state was written by this program");
         self.incarnation = Some(Incarnation {
             node,
             durable,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Makes the first state of the group; the same request goes to all voters.
+    /// Bootstraps the group; the same request goes to all voters.
     pub(super) fn bootstrap(
         &mut self,
         context: &mut Context<'_, RequestActor>,
@@ -146,7 +147,7 @@
         self.request(context, self.process, request);
     }
 
-    /// Hands leadership over, as the first step of a planned stop.
+    /// Transfers leadership, as the first step of a planned stop.
     pub(super) fn hand_over(&mut self, context: &mut Context<'_, RequestActor>) {
         let now = now(context);
         if let Some(incarnation) = &mut self.incarnation {
@@ -214,7 +215,7 @@
         self.drive(context);
     }
 
-    /// Carries out what the node asks for, then sets the timer.
+    /// Executes the node's output until none is left, then sets the timer.
     fn drive(&mut self, context: &mut Context<'_, RequestActor>) {
         let Some(incarnation) = &mut self.incarnation else {
             return;
@@ -227,7 +228,7 @@
             incarnation
                 .durable
                 .apply(&output)
-                .expect("the disk of this simulation fails only by losing power");
+                .expect("the simulated disk fails only by losing power");
             incarnation.node.persisted(now(context));
             incarnation.send(context, output);
         }
@@ -260,7 +261,7 @@
                 continue;
             };
             if to == context.process() {
-                assert_eq!(body, ReplyBody::Done, "the group is made of valid parts");
+                assert_eq!(body, ReplyBody::Done, "bootstrap of the group failed");
                 continue;
             }
             let reply = ControlReply { id, body };
@@ -269,7 +270,7 @@
     }
 }
 
-/// Wall clocks begin at the epoch, as those of the callers do.
+/// Current time; wall clocks begin at the epoch, like those of the callers.
 fn now(context: &Context<'_, RequestActor>) -> Now {
     let monotonic = context.now();
     Now {
@@ -278,7 +279,7 @@
     }
 }
 
-/// The request that makes a group of these voters.
+/// The request that bootstraps a group of these voters.
 pub(super) fn bootstrap_request(voters: Vec<ReplicaAddress>) -> BootstrapRequest {
     BootstrapRequest {
         group: GROUP,
@@ -287,10 +288,10 @@
     }
 }
 
-/// A bundle for the group; the daemons of this simulation get theirs from the scenario.
+/// First bundle of the group; the simulated daemons get their bundle from the scenario instead.
 fn first_bundle() -> SignedBundle {
-    let key = OperatorKey::from_secret(OPERATOR, &[1; 32]).expect("a valid name");
-    let service = ServiceName::new("service").expect("a valid name");
+    let key = OperatorKey::from_secret(OPERATOR, &[1; 32]).expect("the operator's name is valid");
+    let service = ServiceName::new("service").expect("the service name is valid");
     let policy = ServicePolicy {
         criticality: Criticality::Normal,
         deadline: defaults::DEADLINE,
--- a/crates/bramblewheel-sim/src/requests/scenario/examples.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/examples.rs
@@ -1,6 +1,6 @@
-//! The example deployments that a scenario can name.
+//! Example deployments that scenarios can name.
 
-/// Deployment and bundle of an example.
+/// Texts of the deployment and the bundle of an example; `None` if the name is unknown.
 pub(super) fn files_of(deployment: &str) -> Option<(&'static str, &'static str)> {
     macro_rules! example {
         ($name:literal) => {
--- a/crates/bramblewheel-sim/src/requests/scenario/figures.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/figures.rs
@@ -1,4 +1,4 @@
-//! Counts of what a run shows, by name; a name that was never counted is absent.
+//! Counts of the events of a run by name. A name without events is absent.
 
 use super::super::content::Content;
 use super::super::message::SendId;
@@ -26,9 +26,9 @@
     figures: BTreeMap<&'static str, u64>,
     /// Whether the request of each person was completed.
     completed: BTreeMap<u64, bool>,
-    /// What ran at least once.
+    /// Contents that ran at least once.
     ran: BTreeSet<Content>,
-    /// The person behind each send.
+    /// Person of each send.
     persons: BTreeMap<SendId, u64>,
 }
 
--- a/crates/bramblewheel-sim/src/requests/scenario/file.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/file.rs
@@ -10,33 +10,33 @@
 pub struct RequestScenario {
     /// Name.
     pub name: String,
-    /// Always `requests`.
+    /// Kind: always `requests`.
     pub kind: String,
-    /// One line on what it tries.
+    /// One-line summary.
     pub summary: String,
-    /// What is deployed.
+    /// Deployment and control group.
     pub world: WorldTable,
-    /// How many requests callers make.
+    /// Load of the callers.
     #[serde(default)]
     pub load: LoadTable,
-    /// How callers behave.
+    /// Caller behaviour.
     #[serde(default)]
     pub callers: CallersTable,
-    /// What fails, in the order of the file.
+    /// Faults, in the order of the file.
     #[serde(default)]
     pub fault: Vec<Spanned<Fault>>,
-    /// What must hold beside the promises that hold in every scenario.
+    /// Requirements in addition to the promises that hold in every scenario.
     #[serde(default)]
     pub outcomes: Outcomes,
 }
 
-/// What is deployed.
+/// Deployment and control group.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorldTable {
-    /// Deployment and bundle of this name among the examples.
+    /// Name of the example deployment and bundle.
     pub deployment: String,
-    /// Control replicas that keep the ledger of run-once operations.
+    /// Number of control replicas that hold the ledger of run-once operations.
     #[serde(default = "three")]
     pub control_replicas: u32,
 }
@@ -45,19 +45,19 @@
     3
 }
 
-/// How many requests callers make.
+/// Load of the callers.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadTable {
-    /// New requests a second, over all callers.
+    /// New requests per second of all callers.
     pub rate: f64,
-    /// Time during which new requests come, in milliseconds.
+    /// Time during which new requests arrive, in milliseconds.
     pub run_ms: u64,
-    /// Factor on the rate during the surge.
+    /// Factor of the rate during the surge.
     pub surge: f64,
-    /// Beginning of the surge.
+    /// Start of the surge, in milliseconds.
     pub surge_at_ms: u64,
-    /// Length of the surge.
+    /// Length of the surge, in milliseconds.
     pub surge_for_ms: u64,
 }
 
@@ -73,22 +73,22 @@
     }
 }
 
-/// How callers behave.
+/// Caller behaviour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallersTable {
-    /// Most sends of one request, the first included.
+    /// Maximum number of sends of one request, including the first.
     pub max_sends: u32,
-    /// Shortest pause before the next send.
+    /// Minimum pause before the next send, in milliseconds.
     pub pause_ms: u64,
-    /// Share of the callers that keep their request id and count their resends, in percent.
-    /// Callers of run-once operations are assumed to.
+    /// Share of requests that keep their request id and count their resends, in percent.
+    /// Callers of run-once operations are expected to do so.
     pub with_id_percent: u8,
-    /// Whether resends go to the gateways of any zone.
+    /// Whether resends go to gateways of other zones.
     pub roams: bool,
-    /// Sessions with tokens in each zone; 0 for sessions that need none.
+    /// Number of sessions with tokens in each zone; 0 for sessions without tokens.
     pub sessions_per_zone: u32,
-    /// Time that a caller waits beyond its deadline.
+    /// Time that a caller waits beyond its deadline, in milliseconds.
     pub patience_ms: u64,
 }
 
@@ -105,44 +105,44 @@
     }
 }
 
-/// When a fault comes, and how often.
+/// A fault: kind, target, time and number of occurrences.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What fails.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// Which kind of machine, for faults of one machine.
+    /// Kind of machine, for faults of one machine.
     #[serde(default)]
     pub machine: MachineKind,
-    /// Which service, for faults of services; any if none is named.
+    /// Service, for faults of services and endpoints; drawn if absent.
     pub service: Option<String>,
-    /// Moment.
+    /// Start, in milliseconds.
     pub at_ms: MillisRange,
-    /// How long it lasts; a stopped process stays down for as long.
+    /// Duration in milliseconds; a stopped process stays down for this time.
     #[serde(default = "default_for_ms")]
     pub for_ms: MillisRange,
-    /// How often it comes, each time at a moment of its own.
+    /// Number of occurrences, each with its own start.
     #[serde(default = "once")]
     pub times: Range,
-    /// Which way is cut.
+    /// Direction of a cut.
     #[serde(default)]
     pub direction: Direction,
-    /// Size in percent: of the usual time of work for `slow`, of the runs for `failing`.
+    /// Size in percent: of the usual work time for `slow`, of the runs for `failing`.
     #[serde(default = "hundred")]
     pub percent: Range,
-    /// Chance in percent that a message is lost, for `disorder`.
+    /// Probability in percent that a message is lost, for `disorder`.
     #[serde(default)]
     pub loss_percent: u8,
-    /// Chance in percent that a message comes twice, for `disorder`.
+    /// Probability in percent that a message is duplicated, for `disorder`.
     #[serde(default)]
     pub duplicate_percent: u8,
-    /// Chance in percent that a message is overtaken, for `disorder`.
+    /// Probability in percent that a message is reordered, for `disorder`.
     #[serde(default)]
     pub reorder_percent: u8,
-    /// Where it shows first that an endpoint leaves, for `leaving`.
+    /// First sign that an endpoint leaves, for `leaving`.
     #[serde(default)]
     pub seen_on: SeenOn,
-    /// How late the platform's list is, for `leaving`.
+    /// Lag of the platform's endpoint list in milliseconds, for `leaving`.
     #[serde(default = "no_time")]
     pub list_lag_ms: MillisRange,
 }
@@ -163,41 +163,41 @@
     Range::exactly(100)
 }
 
-/// What fails.
+/// Kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// A process is killed and started again.
+    /// A process is killed and restarted.
     Kill,
-    /// A replica's machine loses power: what is not synced is lost, torn or kept.
+    /// A replica's machine loses power: data that is not synced is lost, torn or kept.
     PowerLoss,
     /// A process is frozen.
     Freeze,
     /// A zone is cut off from the others.
     ZoneCut,
-    /// Messages other than requests are lost, come twice or overtake each other.
+    /// Messages other than requests are lost, duplicated or reordered.
     Disorder,
     /// A service is slow.
     Slow,
     /// Runs of a service end in an error.
     Failing,
-    /// An endpoint leaves, and is then stopped as planned and started again.
+    /// An endpoint leaves; it is then stopped as planned and restarted.
     Leaving,
     /// A planned stop of one machine.
     StopPlanned,
-    /// Planned stops of all machines, each begun `for_ms` after the one before came back.
+    /// Planned stops of all machines, each `for_ms` after the restart of the one before.
     RollingStop,
-    /// The load report of an endpoint claims ten times the slots, and none in use.
+    /// The load report of an endpoint claims ten times the slots, none in use.
     FlatteringReport,
-    /// The load report of an endpoint claims that there are no slots at all.
+    /// The load report of an endpoint claims that there are no slots.
     AlarmingReport,
-    /// A new bundle comes into force, at each machine at another moment within `for_ms`.
+    /// A new bundle comes into force, on each machine at a different time within `for_ms`.
     NewBundle,
-    /// Gateways sign new sessions with the next key, each from another moment on.
+    /// Gateways start to sign new sessions with the next key, each at a different time within `for_ms`.
     RotateSessionKey,
 }
 
-/// Which machine a fault concerns.
+/// Kind of machine that a fault hits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MachineKind {
@@ -208,56 +208,56 @@
     Gateway,
     /// A control replica.
     Replica,
-    /// The control replica that leads, or any if none does.
+    /// The control replica that leads, or a drawn one if none does.
     Leader,
 }
 
-/// Which way is cut.
+/// Direction of a cut.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// Both ways.
+    /// Both directions.
     #[default]
     Both,
-    /// Nothing comes in.
+    /// Messages into the zone.
     In,
-    /// Nothing goes out.
+    /// Messages out of the zone.
     Out,
-    /// Each time one of the three, drawn.
+    /// One of the three, drawn for each occurrence.
     Any,
 }
 
-/// Where it shows first that an endpoint leaves.
+/// First sign that an endpoint leaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SeenOn {
-    /// On the endpoint's own load report; the list follows.
+    /// The endpoint's own load report; the platform's list follows.
     #[default]
     Report,
-    /// On the answers of its daemon, which was told; the list follows.
+    /// The answers of its daemon, which was asked to stop; the platform's list follows.
     Daemon,
-    /// On the platform's list alone.
+    /// Only the platform's list.
     List,
 }
 
-/// What must hold beside the promises that hold in every scenario.
+/// Requirements in addition to the promises that hold in every scenario.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Outcomes {
-    /// Time after which a leaving endpoint begins nothing new.
+    /// Time after which a leaving endpoint must not begin runs, in milliseconds.
     pub leave_within_ms: u64,
-    /// Time from the last report about a request until its caller is answered.
+    /// Maximum time from the last report on a request until its caller is answered, in milliseconds.
     pub answer_within_ms: u64,
-    /// Longest time that a planned stop takes.
+    /// Maximum duration of a planned stop, in milliseconds.
     pub stop_within_ms: u64,
-    /// Whether the share of completed requests must not fall with the importance of a class.
+    /// Whether more important classes must not have a lower share of completed requests.
     pub compare_classes: bool,
-    /// Share of the requests that must be completed, in percent, in each run.
+    /// Minimum share of completed requests in each run, in percent.
     pub min_completed_percent: u64,
-    /// Whether callers may be told `Failed` or `Unknown`, or nothing.
+    /// Whether sends may end as `Failed`, `Unknown` or unanswered.
     pub allow_unknown: bool,
-    /// Figures that must not be 0 over all seeds together: a run in which nothing happens holds
-    /// every promise.
+    /// Figures whose total over all seeds must not be 0; guards against runs that hold every promise
+    /// because nothing happens in them.
     pub shows: Vec<String>,
 }
 
@@ -275,14 +275,14 @@
     }
 }
 
-/// Longest run, so that a slip of the pen does not run for ever.
+/// Maximum length of a run; guards against typing errors in a file.
 const MAX_RUN_MS: u64 = 600_000;
 
 impl RequestScenario {
-    /// Reads and checks the keys of this kind.
+    /// Parses and checks a scenario of this kind.
     ///
     /// # Errors
-    /// [`ScenarioError`] with file, line and key.
+    /// Returns [`ScenarioError`] with file, line and key.
     pub fn parse(source: &SourceText<'_>) -> Result<Self, ScenarioError> {
         let scenario: Self = source.deserialize()?;
         if scenario.load.rate <= 0.0 || scenario.load.surge <= 0.0 {
@@ -293,13 +293,13 @@
             return Err(source.error("load.run_ms", message));
         }
         if scenario.callers.with_id_percent > 100 {
-            return Err(source.error("callers.with_id_percent", "no more than 100 percent"));
+            return Err(source.error("callers.with_id_percent", "must be at most 100"));
         }
         if scenario.callers.max_sends == 0 {
             return Err(source.error("callers.max_sends", "must be at least 1"));
         }
         if super::examples::files_of(&scenario.world.deployment).is_none() {
-            return Err(source.error("world.deployment", "no example has this name"));
+            return Err(source.error("world.deployment", "no example deployment has this name"));
         }
         for (index, fault) in scenario.fault.iter().enumerate() {
             check_fault(source, index, fault, scenario.world.control_replicas)?;
@@ -328,18 +328,21 @@
     ];
     for (key, range) in ranges {
         if range.is_reversed() {
-            return error(key, "begins above its end");
+            return error(key, "the start of the range is above its end");
         }
     }
     let wants_replica = matches!(fault.machine, MachineKind::Replica | MachineKind::Leader);
     if wants_replica && replicas == 0 {
-        return error("machine", "there are no control replicas");
+        return error("machine", "the scenario has no control replicas");
     }
     if fault.kind == FaultKind::PowerLoss && !wants_replica {
-        return error("machine", "only a replica keeps anything on its disk");
+        return error(
+            "machine",
+            "must be a replica: other machines store nothing on disk",
+        );
     }
     if fault.kind == FaultKind::Failing && fault.percent.highest > 100 {
-        return error("percent", "no more than 100 percent of the runs can fail");
+        return error("percent", "must be at most 100 for failing runs");
     }
     let percents = [
         fault.loss_percent,
@@ -347,7 +350,7 @@
         fault.reorder_percent,
     ];
     if percents.iter().any(|&percent| percent > 90) {
-        return error("loss_percent", "no more than 90 percent");
+        return error("loss_percent", "must be at most 90");
     }
     Ok(())
 }
--- a/crates/bramblewheel-sim/src/requests/scenario/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios of kind `requests`: a deployment under load and faults, held to the promises.
+//! Scenarios of kind `requests`: a deployment under load and faults, checked against the promises.
 
 mod examples;
 mod figures;
--- a/crates/bramblewheel-sim/src/requests/scenario/plan.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/plan.rs
@@ -1,26 +1,26 @@
-//! When which fault begins and ends, drawn once per seed.
+//! Schedule of the faults of a run, drawn once per seed.
 
 use super::file::{Fault, FaultKind, RequestScenario};
 use bramblewheel_types::Timestamp;
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// One coming of a fault.
+/// One occurrence of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Occurrence {
-    /// Position of the fault in the file.
+    /// Index of the fault in the file.
     pub(super) fault: usize,
-    /// When it begins.
+    /// Start.
     pub(super) at: Timestamp,
-    /// How long it lasts.
+    /// Duration.
     pub(super) lasts: Duration,
-    /// Size, for faults that have one.
+    /// Size in percent, for faults that have one.
     pub(super) percent: u64,
-    /// How late the platform's list is.
+    /// Lag of the platform's endpoint list.
     pub(super) list_lag: Duration,
 }
 
-/// All faults of a run, in the order of their beginnings.
+/// Draws all fault occurrences of a run, ordered by start.
 pub(super) fn draw(scenario: &RequestScenario, random: &mut Pcg64Mcg) -> Vec<Occurrence> {
     let mut plan = Vec::new();
     for (index, fault) in scenario.fault.iter().enumerate() {
--- a/crates/bramblewheel-sim/src/requests/scenario/run.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/run.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario on one seed, and checks it.
+//! Runs a scenario on one seed and checks the result.
 
 use super::super::check::{Bounds, Evidence, Promise, Violation, check};
 use super::super::double::UnsafeDouble;
@@ -19,30 +19,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long is waited at most for the last requests to end.
+/// Maximum time after the end of the load for the last requests to end.
 const MAX_SETTLING: Duration = Duration::from_secs(120);
-/// How often it is looked whether they have.
+/// Interval of the checks whether they have ended.
 const LOOK_EVERY: Duration = Duration::from_millis(500);
-/// Number of the stream of randomness that chooses the targets of faults.
+/// Number of the random stream that selects the targets of faults.
 const TARGETS: u32 = 1 << 16;
 
-/// What a run of one seed came to.
+/// Result of a run on one seed.
 #[derive(Clone, Debug)]
 pub struct RequestRun {
-    /// All that happened.
+    /// History of the run.
     pub history: Vec<Entry<Record>>,
-    /// Digest of the history: the same seed gives the same.
+    /// Digest of the history; equal for equal seeds.
     pub digest: HistoryDigest,
-    /// Promises that were broken.
+    /// Broken promises.
     pub violations: Vec<Violation>,
-    /// Counts, by name.
+    /// Counts by name.
     pub figures: BTreeMap<&'static str, u64>,
 }
 
-/// Runs a scenario on one seed, with unsafe daemons if a double is named.
+/// Runs a scenario on one seed, with unsafe daemons if a double is given.
 ///
 /// # Panics
-/// When the example files that it names are not valid; a test holds that they are.
+/// If the example files that the scenario names are invalid; a test parses them.
 pub fn run(scenario: &RequestScenario, seed: u64, double: Option<UnsafeDouble>) -> RequestRun {
     let settings = settings(scenario, seed);
     let topology = Arc::clone(&settings.topology);
@@ -88,17 +88,17 @@
     }
 }
 
-/// The deployment and the bundle of a scenario, and the bounds that its runs are held to.
+/// Deployment and bundle of a scenario, and the bounds that its runs are checked against.
 ///
 /// # Panics
-/// As [`run`].
+/// Like [`run`].
 pub fn held_to(scenario: &RequestScenario) -> (Arc<Topology>, Bundle, Bounds) {
     let settings = settings(scenario, 0);
     let bundle = Bundle::clone(&settings.layer.bundle);
     (settings.topology, bundle, bounds(&scenario.outcomes))
 }
 
-/// Runs until no request is open and no fault is to come.
+/// Runs until no request is open and no fault step is left, for at most `MAX_SETTLING` beyond the load.
 fn settle(world: &mut World, load_ends: Timestamp) {
     let latest = load_ends + MAX_SETTLING;
     let mut until = load_ends;
@@ -114,9 +114,10 @@
 
 fn settings(scenario: &RequestScenario, seed: u64) -> RequestSettings {
     let name = &scenario.world.deployment;
-    let (deployment, bundle) = files_of(name).expect("the scenario was checked");
-    let deployment = crate::deployment::parse(name, deployment).expect("example deployment");
-    let bundle = bramblewheel_bundle::parse(name, bundle).expect("example bundle");
+    let (deployment, bundle) = files_of(name).expect("a checked scenario names an example");
+    let deployment =
+        crate::deployment::parse(name, deployment).expect("the example deployment is valid");
+    let bundle = bramblewheel_bundle::parse(name, bundle).expect("the example bundle is valid");
     let load = scenario.load;
     let callers = scenario.callers;
     let surge_begins = Timestamp::from_millis(load.surge_at_ms);
@@ -155,7 +156,7 @@
     }
 }
 
-/// Outcomes of the scenario beside the promises.
+/// Checks the outcomes that the scenario requires in addition to the promises.
 fn stated_outcomes(outcomes: &Outcomes, figures: &BTreeMap<&'static str, u64>) -> Vec<Violation> {
     let figure = |name| figures.get(name).copied().unwrap_or(0);
     let mut violations = Vec::new();
--- a/crates/bramblewheel-sim/src/requests/scenario/world/listing.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/listing.rs
@@ -1,4 +1,4 @@
-//! What the platform's list of endpoints says, and endpoints that leave and come back.
+//! The platform's list of endpoints, and endpoints that leave and return.
 
 use super::stops::LOOK_FOR_START;
 use super::{Step, World};
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Once an endpoint has started again, its daemon registers; the platform's list follows.
+    /// Once an endpoint has restarted, its daemon registers; the platform's list follows after the lag.
     pub(super) fn await_start(&mut self, endpoint: EndpointIndex, starts: u32, lag: Duration) {
         let process = self.simulation.layout().host(endpoint);
         let kernel = self.simulation.kernel();
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The platform's list says something new of an endpoint to every daemon.
+    /// Sends every daemon a directory update for an endpoint.
     pub(super) fn list(&mut self, endpoint: EndpointIndex, is_leaving: bool) {
         let topology = Arc::clone(self.simulation.topology());
         let shape = &topology.endpoints[endpoint.0];
--- a/crates/bramblewheel-sim/src/requests/scenario/world/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/mod.rs
@@ -1,4 +1,4 @@
-//! The world of a scenario, and what faults do to it.
+//! The simulated world of a scenario, and the steps that apply faults to it.
 
 mod listing;
 mod network;
@@ -23,7 +23,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Something that is done at a moment.
+/// A step at a planned time.
 #[derive(Clone, Debug)]
 enum Step {
     Begin(Occurrence),
@@ -36,16 +36,16 @@
     StopPlanned(ProcessId),
     StopReplica(u32),
     List(EndpointIndex, bool),
-    /// Wait for the next start of an endpoint after this one; the platform's list is late.
+    /// Wait until an endpoint has started more often than this count; the platform's list lags by the time.
     AwaitStart(EndpointIndex, u32, Duration),
-    /// Stop the machine of this position as planned, then the next.
+    /// Begin a planned stop of the machine at this position; the next one follows after the pause.
     RollOn(usize, Duration),
     AwaitRoll(usize, ProcessId, u32, Duration),
     Install(ProcessId),
     SignSessions(ProcessId),
 }
 
-/// The world of a scenario.
+/// The simulated world of a scenario.
 pub(super) struct World {
     pub(super) simulation: RequestSimulation,
     faults: Vec<Fault>,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Plans a fault.
+    /// Schedules a fault.
     pub(super) fn plan(&mut self, occurrence: Occurrence) {
         self.at(occurrence.at, Step::Begin(occurrence));
     }
@@ -94,7 +94,7 @@
         self.at(self.simulation.kernel().now() + delay, step)
     }
 
-    /// Runs up to a time; whether steps are left.
+    /// Runs up to a time; returns whether steps are left.
     pub(super) fn run_until(&mut self, end: Timestamp) -> bool {
         while let Some(entry) = self.steps.first_entry() {
             let (at, _) = *entry.key();
--- a/crates/bramblewheel-sim/src/requests/scenario/world/network.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/network.rs
@@ -1,4 +1,4 @@
-//! Faults of the network: cuts of zones, and disorder.
+//! Network faults: zone cuts and message disorder.
 
 use super::{Step, World};
 use crate::kernel::Disorder;
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// A cut in force.
+/// An active cut of a zone.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Cut {
     zone: ZoneIndex,
@@ -44,7 +44,7 @@
         self.apply_network();
     }
 
-    /// Sets the network to the cuts and disorders in force.
+    /// Applies all active cuts and the latest active disorder to the network.
     pub(super) fn apply_network(&mut self) {
         self.simulation.heal();
         self.record(FaultRecord::Healed);
--- a/crates/bramblewheel-sim/src/requests/scenario/world/rollout.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/rollout.rs
@@ -1,4 +1,4 @@
-//! Planned changes that reach every daemon in turn: a new bundle, a new session key.
+//! Planned changes that reach each daemon at a different time: a new bundle, a new session key.
 
 use super::{Step, World};
 use crate::kernel::ProcessId;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Number of the key that sessions are signed with after a rotation.
+/// Number of the key that signs sessions after a rotation.
 const NEXT_SESSION_KEY: u32 = 2;
 
 impl World {
--- a/crates/bramblewheel-sim/src/requests/scenario/world/services.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/services.rs
@@ -1,4 +1,4 @@
-//! Faults of services and their endpoints: slow, failing, and misleading reports.
+//! Faults of services and their endpoints: slow work, failing runs, wrong load reports.
 
 use super::{Step, World};
 use crate::requests::endpoint::ReportFault;
--- a/crates/bramblewheel-sim/src/requests/scenario/world/stops.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/stops.rs
@@ -1,4 +1,4 @@
-//! Stops of processes: at once, as planned, and of every machine in turn.
+//! Stops of processes: immediate, planned, and rolling over all machines.
 
 use super::{Step, World};
 use crate::kernel::{ProcessId, ProcessState, StopCause};
@@ -7,17 +7,17 @@
 use crate::requests::topology::EndpointIndex;
 use std::time::Duration;
 
-/// Time from the end of a planned stop to the next start.
+/// Time from the end of a planned stop to the restart.
 const RESTART_AFTER: Duration = Duration::from_millis(200);
-/// How often it is looked whether a stopped endpoint has started again.
+/// Interval of the checks whether a stopped process has restarted.
 pub(super) const LOOK_FOR_START: Duration = Duration::from_millis(100);
-/// Time until all daemons know that another said to the control group that it drains.
+/// Time until a daemon's registration as draining has reached all other daemons.
 const REGISTRATION: Duration = Duration::from_millis(300);
-/// Time that a control replica has to hand its leadership over before it ends.
+/// Time that a control replica has to transfer its leadership before it stops.
 const HAND_OVER: Duration = Duration::from_millis(100);
 
 impl World {
-    /// Stops a process at once and starts it again after a while.
+    /// Stops a process immediately and restarts it after the given time.
     pub(super) fn stop(&mut self, process: ProcessId, cause: StopCause, down: Duration) {
         let kernel = self.simulation.kernel_mut();
         kernel.stop(process, cause);
@@ -28,7 +28,7 @@
         match self.simulation.kernel().state(process) {
             ProcessState::Running => {}
             ProcessState::Frozen => {
-                // The wish to stop waits until the process goes on.
+                // A frozen process can't handle the stop request, so it is sent again later.
                 self.after(LOOK_FOR_START, Step::StopPlanned(process));
                 return;
             }
@@ -47,7 +47,7 @@
             .instruct(process, Instruction::StopPlanned { down });
     }
 
-    /// Has a control replica hand its leadership over, then stops it.
+    /// Makes a control replica transfer its leadership, then stops it.
     pub(super) fn hand_over(&mut self, replica: u32) {
         self.simulation.hand_over(replica);
         self.after(HAND_OVER, Step::StopReplica(replica));
@@ -58,8 +58,8 @@
         self.stop(process, StopCause::Exited, RESTART_AFTER);
     }
 
-    /// Stops every machine, one after the other: endpoints, gateways, replicas. The next is
-    /// stopped once the one before has started again, and some time later.
+    /// Stops the machine at a position: endpoints, then gateways, then replicas. The next one follows a
+    /// pause after this one has restarted.
     pub(super) fn roll_on(&mut self, position: usize, pause: Duration) {
         let layout = self.simulation.layout();
         let hosts = self.hosts();
--- a/crates/bramblewheel-sim/src/requests/scenario/world/targets.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/targets.rs
@@ -1,4 +1,4 @@
-//! Whom a fault strikes: named by the scenario, or drawn.
+//! Targets of faults: named by the scenario, or drawn.
 
 use super::World;
 use crate::kernel::ProcessId;
--- a/crates/bramblewheel-sim/src/requests/scripted.rs
+++ b/crates/bramblewheel-sim/src/requests/scripted.rs
@@ -1,4 +1,4 @@
-//! Callers of one zone that do what they are told, and try nothing again by themselves.
+//! Callers of one zone that send what a script says and never resend on their own.
 
 use super::actor::RequestActor;
 use super::message::{CallerAnswer, Message, RootRequest, SendId, SessionClaim, Timer};
@@ -12,34 +12,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One send of a request, at a stated time.
+/// One send of a request at a given time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptedSend {
     /// This send.
     pub send: SendId,
-    /// The request that it is a send of.
+    /// The person whose request is sent.
     pub person: u64,
-    /// When it is sent.
+    /// Time of the send.
     pub at: Timestamp,
-    /// Where the caller is.
+    /// Zone of the caller.
     pub zone: ZoneIndex,
-    /// Whose gateway it is sent to.
+    /// Zone of the gateway that receives the send.
     pub gateway: ZoneIndex,
     /// Id of the original request.
     pub request: RequestId,
-    /// Number of the resend under the same id.
+    /// Number of resends so far under the same id.
     pub resend: u32,
-    /// Kind of request.
+    /// Flow of the request.
     pub flow: FlowIndex,
     /// Name of the caller.
     pub caller: String,
-    /// How long the caller waits for the whole answer.
+    /// Time that the caller allows for the whole answer.
     pub timeout: Duration,
-    /// Class that the caller asks for; that of the bundle if none.
+    /// Class that the caller requests; the bundle's class if `None`.
     pub criticality: Option<Criticality>,
-    /// Whether it belongs to a session.
+    /// Whether the request belongs to a session.
     pub in_session: bool,
-    /// Present when the request must not run twice.
+    /// Set if the request must not run twice.
     pub operation: Option<Operation>,
 }
 
@@ -49,7 +49,7 @@
     position: usize,
 }
 
-/// Callers of one zone that send what a script says.
+/// Callers of one zone that follow a script.
 #[derive(Debug)]
 pub struct ScriptedCallers {
     layout: ProcessLayout,
@@ -61,7 +61,7 @@
 }
 
 impl ScriptedCallers {
-    /// Callers with their sends; they wait for `patience` beyond their deadlines.
+    /// Creates callers with their sends; each waits for `patience` beyond its deadline.
     pub fn new(topology: Arc<Topology>, patience: Duration, script: Vec<ScriptedSend>) -> Self {
         Self {
             layout: ProcessLayout::new(&topology),
--- a/crates/bramblewheel-sim/src/requests/simulation.rs
+++ b/crates/bramblewheel-sim/src/requests/simulation.rs
@@ -1,4 +1,4 @@
-//! A deployment under load: builds the processes and reads what became of the requests.
+//! A deployment under load: builds the processes, runs them and collects the results of the requests.
 
 use super::actor::RequestActor;
 use super::callers::{Callers, RequestResult};
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time that a replica takes to sync its log, for the ledger's commits.
+/// Time that a replica takes to sync its log, as part of the ledger's commit time.
 const SYNC_TIME: Duration = Duration::from_millis(1);
 
-/// What is simulated.
+/// Inputs of a simulation.
 #[derive(Clone, Debug)]
 pub struct RequestSettings {
     /// The deployment.
@@ -29,18 +29,18 @@
     pub layer: LayerSettings,
     /// The load.
     pub load: LoadProfile,
-    /// How callers behave.
+    /// Caller behaviour.
     pub callers: CallerBehaviour,
     /// Seed of the run.
     pub seed: u64,
 }
 
-/// What a run takes from outside instead of drawing it.
+/// Inputs of a run that are given instead of drawn.
 #[derive(Clone, Debug, Default)]
 pub struct Script {
-    /// Where endpoints write or find what they draw.
+    /// Recorder or player of the endpoints' random draws.
     pub tape: Option<Tape>,
-    /// What callers send; they draw it if there is none.
+    /// Sends of the callers; drawn if absent.
     pub sends: Option<Vec<ScriptedSend>>,
 }
 
@@ -57,12 +57,12 @@
         Self::with_options(settings, LayerOptions::default())
     }
 
-    /// As [`new`](Self::new), with control replicas or an unsafe layer.
+    /// Like [`new`](Self::new), with control replicas or an unsafe layer.
     pub fn with_options(settings: &RequestSettings, options: LayerOptions) -> Self {
         Self::with_script(settings, options, &Script::default())
     }
 
-    /// As [`with_options`](Self::with_options), with draws written down or taken from a script.
+    /// Like [`with_options`](Self::with_options), with draws recorded or played back.
     pub fn with_script(settings: &RequestSettings, options: LayerOptions, script: &Script) -> Self {
         let streams = Streams::new(settings.seed);
         let topology = Arc::clone(&settings.topology);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// A commit takes a message to another zone and back, and a sync.
+    /// Adds the ledger; a commit takes one round trip between zones and one sync.
     fn add_ledger(&mut self) {
         let commit_time = self.topology.delay_between_zones() * 2 + SYNC_TIME;
         let ledger = LedgerService::new(commit_time);
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The control replicas, one zone after the other, as one group.
+    /// Adds the control replicas as one group, spread over the zones in turn.
     fn add_replicas(&mut self, count: u32) {
         let zones = self.topology.zones.len();
         let mut voters = Vec::new();
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Something happens to the layer of a machine, if it runs.
+    /// Passes an instruction to the layer of a machine, if the machine runs.
     pub fn instruct(&mut self, process: ProcessId, instruction: Instruction) {
         self.simulation.with(process, |actor, context| {
             if let RequestActor::Host(host) = actor {
@@ -172,7 +172,7 @@
         });
     }
 
-    /// Hands the leadership of a control replica over, if it leads.
+    /// Makes a control replica transfer its leadership, if it leads.
     pub fn hand_over(&mut self, replica: u32) {
         let process = self.layout.replica(replica);
         self.simulation.with(process, |actor, context| {
@@ -182,7 +182,7 @@
         });
     }
 
-    /// Number of the control replica that leads, if one does.
+    /// Number of the control replica that leads, if any.
     pub fn leader(&self, replicas: u32) -> Option<u32> {
         (0..replicas).find(
             |number| match self.simulation.actor(self.layout.replica(*number)) {
@@ -192,7 +192,7 @@
         )
     }
 
-    /// The machine of an endpoint, or a gateway.
+    /// The host of an endpoint or a gateway.
     pub fn host_at(&mut self, process: ProcessId) -> &mut Host {
         self.host_mut(process)
     }
@@ -202,7 +202,7 @@
         self.simulation.run_until(end);
     }
 
-    /// Makes all work of a service slower by a factor.
+    /// Slows all work of a service by a factor.
     pub fn set_slowdown(&mut self, service: ServiceIndex, factor: f64) {
         let topology = Arc::clone(&self.topology);
         for endpoint in &topology.services[service.0].endpoints {
@@ -211,12 +211,12 @@
         }
     }
 
-    /// Cuts a zone off from the others and from their callers; its own callers still reach it.
+    /// Cuts a zone off from the other zones and their callers; its own callers still reach it.
     pub fn cut_zone(&mut self, zone: ZoneIndex) {
         self.cut_ways(zone, true, true);
     }
 
-    /// Cuts the ways into a zone, out of it, or both, as [`cut_zone`](Self::cut_zone) does.
+    /// Like [`cut_zone`](Self::cut_zone), for messages into the zone, out of it, or both.
     pub fn cut_ways(&mut self, zone: ZoneIndex, into: bool, out_of: bool) {
         let others = self.other_zones(zone);
         let inside = [ProcessLayout::zone(zone), self.layout.caller_zone(zone)];
@@ -245,17 +245,17 @@
             .collect()
     }
 
-    /// What is simulated underneath, for faults on single processes.
+    /// The simulation kernel, for faults of single processes.
     pub fn kernel_mut(&mut self) -> &mut Simulation<RequestActor> {
         &mut self.simulation
     }
 
-    /// What is simulated underneath.
+    /// The simulation kernel.
     pub fn kernel(&self) -> &Simulation<RequestActor> {
         &self.simulation
     }
 
-    /// Where the processes are.
+    /// Mapping of machines to processes.
     pub fn layout(&self) -> ProcessLayout {
         self.layout
     }
@@ -265,7 +265,7 @@
         &self.topology
     }
 
-    /// Takes the history's entries since the last call out of memory.
+    /// Removes and returns the history's entries since the last call.
     pub fn take_history(&mut self) -> Vec<Entry<Record>> {
         self.simulation.history_mut().take_entries()
     }
@@ -273,11 +273,11 @@
     fn host_mut(&mut self, process: ProcessId) -> &mut Host {
         match self.simulation.actor_mut(process) {
             RequestActor::Host(host) => host,
-            _ => unreachable!("the layout names hosts for endpoints and gateways"),
+            _ => unreachable!("the layout maps endpoints and gateways to hosts only"),
         }
     }
 
-    /// Endpoints' machines, then gateways.
+    /// Hosts of the endpoints, then of the gateways.
     pub fn hosts(&self) -> impl Iterator<Item = &Host> {
         let endpoints = (0..self.topology.endpoints.len()).map(EndpointIndex);
         let gateways = (0..self.topology.zones.len()).map(ZoneIndex);
@@ -290,7 +290,7 @@
         })
     }
 
-    /// Requests of callers that are not over.
+    /// Number of callers' requests in progress.
     pub fn open_requests(&self) -> usize {
         let zones = (0..self.topology.zones.len()).map(ZoneIndex);
         let callers = zones.map(|zone| self.simulation.actor(self.layout.callers(zone)));
@@ -302,7 +302,7 @@
             .sum()
     }
 
-    /// What became of each person's request.
+    /// Result of each person's request.
     pub fn results(&self) -> impl Iterator<Item = &RequestResult> {
         let zones = (0..self.topology.zones.len()).map(ZoneIndex);
         zones
@@ -320,7 +320,7 @@
         self.hosts().flat_map(Host::slot_uses)
     }
 
-    /// What the layers of all machines counted.
+    /// Sum of the layer counters of all machines.
     pub fn counters(&self) -> LayerCounters {
         let mut sum = LayerCounters::default();
         for host in self.hosts() {
@@ -340,7 +340,7 @@
     let between = exactly(topology.delay_between_zones());
     let random = streams.stream(Purpose::Network);
     let mut network = Network::new(2 * zones, inside, between, random);
-    // The second half of the network zones are those of callers; each send opens a connection.
+    // The second half of the network zones holds the callers. Each send of a caller opens a connection.
     let to_clients = exactly(topology.client_delay());
     let from_clients = exactly(topology.client_delay() + topology.connect_time());
     for zone in (0..zones).map(ZoneIndex) {
--- a/crates/bramblewheel-sim/src/requests/slab.rs
+++ b/crates/bramblewheel-sim/src/requests/slab.rs
@@ -1,8 +1,8 @@
-//! Storage with small keys that are never reused.
+//! Slab storage with generational keys, which are never reused.
 
 use std::marker::PhantomData;
 
-/// Key of an entry; a key of a removed entry finds nothing.
+/// Key of an entry; the key of a removed entry matches nothing.
 #[derive(Debug)]
 pub struct Key<T> {
     index: u32,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// An entry, if it is still there.
+    /// An entry, if it has not been removed.
     pub fn get(&self, key: Key<T>) -> Option<&T> {
         let entry = self.entries.get(key.index as usize)?;
         if entry.generation != key.generation {
@@ -76,7 +76,7 @@
         entry.value.as_ref()
     }
 
-    /// An entry to be changed, if it is still there.
+    /// A mutable entry, if it has not been removed.
     pub fn get_mut(&mut self, key: Key<T>) -> Option<&mut T> {
         let entry = self.entries.get_mut(key.index as usize)?;
         if entry.generation != key.generation {
@@ -85,7 +85,7 @@
         entry.value.as_mut()
     }
 
-    /// Takes an entry out.
+    /// Removes an entry and returns it.
     pub fn remove(&mut self, key: Key<T>) -> Option<T> {
         let entry = self.entries.get_mut(key.index as usize)?;
         if entry.generation != key.generation {
--- a/crates/bramblewheel-sim/src/requests/tape.rs
+++ b/crates/bramblewheel-sim/src/requests/tape.rs
@@ -1,7 +1,7 @@
-//! What endpoints draw in a run, written down or played back.
+//! Records the random draws of endpoints, or plays them back.
 //!
-//! A run is known by its position in the call tree of its root's send, so that a tape fits also when
-//! the layer sends an attempt to another endpoint than it did when the tape was written.
+//! A run is identified by its position in the call tree of its root send, so that a tape still applies
+//! when the layer sends an attempt to another endpoint than it did during recording.
 
 use super::content::{Content, RunId};
 use super::message::SendId;
@@ -12,15 +12,15 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Name of the run that a send itself asks for.
+/// Text form of the path of a root run.
 const ROOT: &str = "root";
 
-/// Position of a run in a call tree: the positions of the sub-calls that lead to it, from 1.
+/// Position of a run in a call tree: the positions, counted from 1, of the sub-calls that lead to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallPath(Vec<NonZeroU32>);
 
 impl CallPath {
-    /// The sub-call at a position, counted from 0.
+    /// Path of the sub-call at a position, counted from 0.
     pub fn sub_call(&self, position: u32) -> Self {
         let mut path = self.0.clone();
         path.push(NonZeroU32::MIN.saturating_add(position));
@@ -58,23 +58,23 @@
     }
 }
 
-/// What one run drew.
+/// Draws of one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunDraws {
-    /// Position in the call tree. A tree may hold several runs of one position, the first one first;
-    /// the last one stands for all further runs.
+    /// Position in the call tree. A tree may hold several runs of one position, in order; the last one
+    /// is used for all further runs.
     pub path: CallPath,
-    /// Whole work time as drawn for each part of the work, in whole microseconds. The last one
-    /// stands for all further parts.
+    /// Whole work time drawn for each part of the work, in whole microseconds. The last one is used for
+    /// all further parts.
     pub work: Vec<Duration>,
-    /// Whether the run ended in an error of its own.
+    /// Whether the run itself ended in an error.
     pub fails: bool,
 }
 
-/// Draws by send, in the order in which the runs began.
+/// Draws of the runs of each send, in the order in which the runs began.
 pub type Draws = BTreeMap<SendId, Vec<RunDraws>>;
 
-/// What endpoints draw in a run, written down or played back; clones share one tape.
+/// Recorder or player of the endpoints' draws; clones share one tape.
 #[derive(Clone, Debug)]
 pub struct Tape(Arc<Mutex<State>>);
 
@@ -82,9 +82,9 @@
 struct State {
     is_recording: bool,
     draws: Draws,
-    /// Runs in progress or over: whose they are, and where.
+    /// Send and position of each run, also after its end.
     runs: HashMap<RunId, RunPosition>,
-    /// Runs so far of each position.
+    /// Number of runs begun so far at each position.
     begun: HashMap<(SendId, CallPath), usize>,
 }
 
@@ -92,18 +92,18 @@
 struct RunPosition {
     send: SendId,
     path: CallPath,
-    /// Position among the draws of the send; none when the tape has none for the run.
+    /// Index among the draws of the send; `None` if the tape holds none for the run.
     index: Option<usize>,
     parts: usize,
 }
 
 impl Tape {
-    /// An empty tape, to be written.
+    /// An empty tape that records.
     pub fn recording() -> Self {
         Self::new(true, Draws::new())
     }
 
-    /// A tape to be played. A run of which it knows nothing takes the median time.
+    /// A tape that plays back. A run that it does not hold takes the median time.
     pub fn playing(draws: Draws) -> Self {
         Self::new(false, draws)
     }
@@ -117,16 +117,18 @@
         })))
     }
 
-    /// What is on the tape.
+    /// A copy of the draws on the tape.
     pub fn draws(&self) -> Draws {
         self.lock().draws.clone()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.0.lock().expect("nothing panics under the lock")
+        self.0
+            .lock()
+            .expect("no code panics while it holds the lock")
     }
 
-    /// A run begins.
+    /// Registers the start of a run.
     pub(super) fn begin(&self, run: RunId, content: Content) {
         let mut state = self.lock();
         let (send, path) = match content {
@@ -146,8 +148,8 @@
         state.runs.insert(run, position);
     }
 
-    /// Whole work time for the next part of a run: `drawn` in whole microseconds, or what the
-    /// tape says.
+    /// Whole work time for the next part of a run: `drawn`, cut to whole microseconds, or the recorded
+    /// time.
     pub(super) fn work(&self, run: RunId, median: Duration, drawn: Duration) -> Duration {
         let mut state = self.lock();
         let is_recording = state.is_recording;
@@ -163,7 +165,7 @@
         known.copied().unwrap_or(median)
     }
 
-    /// Whether a run ends in an error of its own: `drawn`, or what the tape says.
+    /// Whether a run itself ends in an error: `drawn`, or the recorded value.
     pub(super) fn fails(&self, run: RunId, drawn: bool) -> bool {
         let mut state = self.lock();
         let is_recording = state.is_recording;
@@ -178,7 +180,7 @@
 }
 
 impl State {
-    /// Position of the draws of a run that begins; a tape that is written gets a new one.
+    /// Index of the draws of a run that begins; adds an entry while recording.
     fn index_of(&mut self, send: SendId, path: &CallPath) -> Option<usize> {
         let before = self.begun.entry((send, path.clone())).or_default();
         let repeat = *before;
--- a/crates/bramblewheel-sim/src/requests/topology.rs
+++ b/crates/bramblewheel-sim/src/requests/topology.rs
@@ -1,30 +1,30 @@
-//! A deployment with all names resolved to indices, as the models use it.
+//! A deployment with all names resolved to indices, for use by the models.
 
 use crate::deployment::{Deployment, FlowModel, NetworkModel, ReportModel, RouteModel};
 use bramblewheel_types::{EndpointId, ServiceName, ZoneName};
 use std::time::Duration;
 
-/// Position of a zone.
+/// Index of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneIndex(pub usize);
 
-/// Position of a service.
+/// Index of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceIndex(pub usize);
 
-/// Position of an endpoint among all endpoints.
+/// Index of an endpoint among all endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointIndex(pub usize);
 
-/// Position of a route among the routes of all services.
+/// Index of a route among the routes of all services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteIndex(pub usize);
 
-/// Position of a flow.
+/// Index of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowIndex(pub usize);
 
-/// A deployment ready for simulation.
+/// A deployment that is ready for simulation.
 #[derive(Clone, Debug)]
 pub struct Topology {
     /// Zones by index.
@@ -43,75 +43,74 @@
 /// A service.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its name.
+    /// Name.
     pub name: ServiceName,
-    /// Its endpoints.
+    /// Endpoints.
     pub endpoints: Vec<EndpointIndex>,
-    /// Services that it calls directly.
+    /// Services that the service calls directly.
     pub callees: Vec<ServiceIndex>,
 }
 
 /// An endpoint.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Its name, such as `kassa-1`.
+    /// Name, such as `kassa-1`.
     pub name: EndpointId,
-    /// Its service.
+    /// Service.
     pub service: ServiceIndex,
-    /// Its zone.
+    /// Zone.
     pub zone: ZoneIndex,
-    /// Requests that it runs side by side.
+    /// Number of requests that run at the same time.
     pub slots: u32,
-    /// Connections that it accepts; each carries one request at a time.
+    /// Number of connections that the endpoint accepts; each carries one request at a time.
     pub connections: u32,
-    /// Time after a start during which it is slower.
+    /// Time after a start during which the endpoint is slow.
     pub cold_start: Duration,
-    /// Slow-down right after a start.
+    /// Slow-down factor right after a start.
     pub cold_factor: f64,
-    /// How its load report relates to the truth.
+    /// Deviation of the load report from the true load.
     pub report: ReportModel,
 }
 
-/// What a service does for a path.
+/// Work of a service for one path.
 #[derive(Clone, Debug)]
 pub struct Route {
     /// The service.
     pub service: ServiceIndex,
     /// The path.
     pub path: String,
-    /// Median of the own work.
+    /// Median time of the service's own work.
     pub work: Duration,
-    /// Spread of the own work: sigma of a log-normal distribution.
+    /// Sigma of the log-normal distribution of the own work.
     pub work_sigma: f64,
     /// Sub-calls, each listed as often as it is made.
     pub calls: Vec<RouteIndex>,
-    /// Whether the sub-calls go out together.
+    /// Whether the sub-calls are made in parallel.
     pub parallel: bool,
 }
 
-/// A kind of root request.
+/// A flow: one kind of root request.
 #[derive(Clone, Debug)]
 pub struct Flow {
-    /// What the deployment file says.
+    /// Settings in the deployment file.
     pub model: FlowModel,
     /// The route called.
     pub route: RouteIndex,
 }
 
-/// Position of a call: which route, known from the names that the deployment's check has passed.
+/// Index of the route that a call names; the deployment has been checked to contain it.
 fn route_index(names: &[(ServiceName, String)], service: &ServiceName, path: &str) -> RouteIndex {
     let position = names
         .iter()
         .position(|(known, known_path)| known == service && known_path == path);
-    RouteIndex(position.expect("the deployment was checked: each call names a known route"))
+    RouteIndex(position.expect("each call of a checked deployment names an existing route"))
 }
 
 impl Topology {
     /// Resolves a checked deployment.
     ///
     /// # Panics
-    /// When the deployment was built without [`crate::deployment::parse`] and names an unknown
-    /// route.
+    /// If the deployment was built without [`crate::deployment::parse`] and names an unknown route.
     pub fn new(deployment: &Deployment) -> Self {
         let names: Vec<(ServiceName, String)> = deployment
             .services
@@ -147,7 +146,7 @@
                 endpoints.push(EndpointIndex(self.endpoints.len()));
                 self.endpoints.push(Endpoint {
                     name: EndpointId::new(&format!("{}-{}", model.name, number + 1))
-                        .expect("a service name with a number is a valid name"),
+                        .expect("a service name with a number is a valid endpoint name"),
                     service: index,
                     zone: ZoneIndex(number % self.zones.len()),
                     slots: *slots,
@@ -194,7 +193,7 @@
         Duration::from_micros(self.network.to_clients_us)
     }
 
-    /// Time that opening a connection takes.
+    /// Time to open a connection.
     pub fn connect_time(&self) -> Duration {
         Duration::from_micros(self.network.new_connection_us)
     }
