--- a/crates/bramblewheel-sim/src/requests/bound.rs
+++ b/crates/bramblewheel-sim/src/requests/bound.rs
@@ -34,13 +34,14 @@
 
     /// Returns the shortest mean response time of a route, without queueing, and adds the slot time that
     /// each service spends on it to `slot_time`; both in seconds.
-    fn hold(&self, route: RouteIndex, slot_time: &mut [f64]) -> f64 {
+    fn add_slot_time(&self, route: RouteIndex, slot_time: &mut [f64]) -> f64 {
         let route = &self.topology.routes[route.0];
         let work = log_normal_mean(route.work, route.work_sigma).as_secs_f64();
         let own = work * self.slowdown[route.service.0];
         let round_trip = self.topology.delay(ZoneIndex(0), ZoneIndex(0)) * 2;
         let calls = route.calls.iter();
-        let calls = calls.map(|call| self.hold(*call, slot_time) + round_trip.as_secs_f64());
+        let calls =
+            calls.map(|call| self.add_slot_time(*call, slot_time) + round_trip.as_secs_f64());
         let calls = if route.parallel {
             calls.fold(0.0, f64::max)
         } else {
@@ -53,7 +54,7 @@
     /// Slot time that one request of a flow takes at each service, in seconds.
     pub fn slot_time(&self, flow: usize) -> Vec<f64> {
         let mut slot_time = vec![0.0; self.topology.services.len()];
-        self.hold(self.topology.flows[flow].route, &mut slot_time);
+        self.add_slot_time(self.topology.flows[flow].route, &mut slot_time);
         slot_time
     }
 
@@ -70,9 +71,9 @@
     /// Highest rate of the usual mix that the slots can serve, in requests per second.
     pub fn full_rate(&self) -> f64 {
         let mut per_request = vec![0.0; self.topology.services.len()];
-        for (flow, shape) in self.topology.flows.iter().enumerate() {
+        for (flow, spec) in self.topology.flows.iter().enumerate() {
             for (sum, time) in per_request.iter_mut().zip(self.slot_time(flow)) {
-                *sum += shape.model.share * time;
+                *sum += spec.model.share * time;
             }
         }
         let rates = self.slots().into_iter().zip(per_request);
@@ -87,7 +88,7 @@
     pub fn best_even_rates<C: PartialEq>(
         &self,
         rate: f64,
-        of_flow: &[C],
+        flow_classes: &[C],
         classes: &[C],
         weights: &[f64],
     ) -> Vec<f64> {
@@ -96,7 +97,7 @@
         for class in classes {
             let mut time = vec![0.0; self.topology.services.len()];
             let mut share = 0.0;
-            for (flow, _) in of_flow.iter().enumerate().filter(|(_, c)| *c == class) {
+            for (flow, _) in flow_classes.iter().enumerate().filter(|(_, c)| *c == class) {
                 let part = self.topology.flows[flow].model.share;
                 share += part;
                 for (sum, needed) in time.iter_mut().zip(self.slot_time(flow)) {
--- a/crates/bramblewheel-sim/src/requests/callers.rs
+++ b/crates/bramblewheel-sim/src/requests/callers.rs
@@ -56,7 +56,7 @@
     /// Whether no connection could be opened for the last send.
     is_unsent: bool,
     /// Destination of the last send.
-    last: Option<ProcessId>,
+    last_destination: Option<ProcessId>,
 }
 
 #[derive(Debug)]
@@ -78,10 +78,10 @@
     behaviour: CallerBehaviour,
     people: BTreeMap<u64, Person>,
     sends: HashMap<SendId, OpenSend>,
-    told: HashSet<SendId>,
+    answered_sends: HashSet<SendId>,
     /// Tokens of the zone's sessions; `None` until a session is opened.
     sessions: Vec<Option<String>>,
-    numbers: u64,
+    last_number: u64,
     results: Vec<RequestResult>,
 }
 
@@ -103,9 +103,9 @@
             behaviour,
             people: BTreeMap::new(),
             sends: HashMap::new(),
-            told: HashSet::new(),
+            answered_sends: HashSet::new(),
             sessions: vec![None; behaviour.sessions_per_zone as usize],
-            numbers: (zone.0 as u64) << NUMBER_BITS,
+            last_number: (zone.0 as u64) << NUMBER_BITS,
             results: Vec::new(),
         }
     }
@@ -122,10 +122,10 @@
     }
 
     pub(super) fn start(&mut self, context: &mut Context<'_, RequestActor>) {
-        self.wait_for_arrival(context);
+        self.schedule_arrival(context);
     }
 
-    fn wait_for_arrival(&mut self, context: &mut Context<'_, RequestActor>) {
+    fn schedule_arrival(&mut self, context: &mut Context<'_, RequestActor>) {
         let rate = self.load.peak_rate() / self.topology.zones.len() as f64;
         let wait = next_arrival(rate, context.random());
         context.set_timer(wait, Timer::Arrival);
@@ -138,24 +138,24 @@
                 let now = context.virtual_now();
                 let share = self.load.rate(now) / self.load.peak_rate();
                 if context.random().random_bool(share) {
-                    self.begin(context);
+                    self.begin_request(context);
                 }
                 if now < self.load.ends {
-                    self.wait_for_arrival(context);
+                    self.schedule_arrival(context);
                 }
             }
             Timer::Resend(person) => self.send(context, person),
-            Timer::GiveUp(send) => self.give_up(context, send),
+            Timer::SendTimeout(send) => self.give_up(context, send),
             _ => {}
         }
     }
 
     fn next_number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+        self.last_number += 1;
+        self.last_number
     }
 
-    fn begin(&mut self, context: &mut Context<'_, RequestActor>) {
+    fn begin_request(&mut self, context: &mut Context<'_, RequestActor>) {
         let number = self.next_number();
         let now = context.virtual_now();
         let sessions = self.sessions.len();
@@ -185,7 +185,7 @@
             operation,
             resend: 0,
             is_unsent: false,
-            last: None,
+            last_destination: None,
         };
         self.people.insert(number, person);
         self.send(context, number);
@@ -220,10 +220,10 @@
             operation: person.operation.clone(),
         };
         let in_session = person.in_session;
-        let last = person.last;
+        let last_destination = person.last_destination;
         let open = OpenSend {
             person: number,
-            to: self.destination(context, request.flow, last),
+            to: self.destination(context, request.flow, last_destination),
             request: request.request,
             resend: request.resend,
         };
@@ -241,9 +241,9 @@
         });
         context.send(open.to, Message::Request(Box::new(request)));
         if let Some(person) = self.people.get_mut(&number) {
-            person.last = Some(open.to);
+            person.last_destination = Some(open.to);
         }
-        context.set_timer(timeout + self.behaviour.patience, Timer::GiveUp(send));
+        context.set_timer(timeout + self.behaviour.patience, Timer::SendTimeout(send));
         self.sends.insert(send, open);
     }
 
@@ -252,12 +252,14 @@
         &self,
         context: &mut Context<'_, RequestActor>,
         flow: FlowIndex,
-        last: Option<ProcessId>,
+        last_destination: Option<ProcessId>,
     ) -> ProcessId {
         if self.layer.has_gateways() {
             let roams = self.behaviour.roams && self.topology.zones.len() > 1;
-            return match last {
-                Some(last) if roams => self.another_gateway(context, last),
+            return match last_destination {
+                Some(last_destination) if roams => {
+                    self.gateway_of_another_zone(context, last_destination)
+                }
                 _ => self.layout.gateway(self.zone),
             };
         }
@@ -268,20 +270,22 @@
         self.layout.host(endpoints[position])
     }
 
-    fn another_gateway(
+    fn gateway_of_another_zone(
         &self,
         context: &mut Context<'_, RequestActor>,
-        last: ProcessId,
+        last_destination: ProcessId,
     ) -> ProcessId {
         let zones = (0..self.topology.zones.len()).map(ZoneIndex);
         let gateways = zones.map(|zone| self.layout.gateway(zone));
-        let others: Vec<ProcessId> = gateways.filter(|gateway| *gateway != last).collect();
+        let others: Vec<ProcessId> = gateways
+            .filter(|gateway| *gateway != last_destination)
+            .collect();
         others[context.random().random_range(0..others.len())]
     }
 
     pub(super) fn receive(&mut self, context: &mut Context<'_, RequestActor>, message: Message) {
         if let Message::Answer(answer) = message {
-            self.answered(context, *answer);
+            self.handle_answer(context, *answer);
         }
     }
 
@@ -291,23 +295,23 @@
         message: Message,
     ) {
         if let Message::Request(request) = message {
-            self.not_reached(context, request.send);
+            self.connection_failed(context, request.send);
         }
     }
 
-    fn answered(&mut self, context: &mut Context<'_, RequestActor>, answer: CallerAnswer) {
+    fn handle_answer(&mut self, context: &mut Context<'_, RequestActor>, answer: CallerAnswer) {
         let CallerAnswer { send, outcome, .. } = answer;
         let Some(open) = self.sends.remove(&send) else {
-            if self.told.contains(&send) {
+            if self.answered_sends.contains(&send) {
                 context.record(Record::ToldAgain { send });
             }
             return;
         };
-        self.told.insert(send);
+        self.answered_sends.insert(send);
         let Some(person) = self.people.get_mut(&open.person) else {
             return;
         };
-        if let (Some(session), Some(token)) = (person.session, answer.opened) {
+        if let (Some(session), Some(token)) = (person.session, answer.session_token) {
             self.sessions[session].get_or_insert(token);
         }
         if answer.session_refused {
@@ -325,10 +329,10 @@
             person.result.completed = Some(context.virtual_now());
             return self.finish(open.person);
         }
-        self.try_again(context, open.person);
+        self.schedule_resend(context, open.person);
     }
 
-    fn not_reached(&mut self, context: &mut Context<'_, RequestActor>, send: SendId) {
+    fn connection_failed(&mut self, context: &mut Context<'_, RequestActor>, send: SendId) {
         let Some(open) = self.sends.remove(&send) else {
             return;
         };
@@ -336,7 +340,7 @@
         if let Some(person) = self.people.get_mut(&open.person) {
             person.is_unsent = true;
         }
-        self.try_again(context, open.person);
+        self.schedule_resend(context, open.person);
     }
 
     fn give_up(&mut self, context: &mut Context<'_, RequestActor>, send: SendId) {
@@ -352,11 +356,11 @@
             resend: open.resend,
             operation: person.operation.as_ref().map(|o| o.key.clone()),
         });
-        context.send(open.to, Message::GiveUp(send));
-        self.try_again(context, open.person);
+        context.send(open.to, Message::CallerDisconnected(send));
+        self.schedule_resend(context, open.person);
     }
 
-    fn try_again(&mut self, context: &mut Context<'_, RequestActor>, number: u64) {
+    fn schedule_resend(&mut self, context: &mut Context<'_, RequestActor>, number: u64) {
         let is_last = self
             .people
             .get(&number)
--- a/crates/bramblewheel-sim/src/requests/check/facts.rs
+++ b/crates/bramblewheel-sim/src/requests/check/facts.rs
@@ -58,7 +58,7 @@
 
 /// End of a sub-call, as the calling endpoint saw it.
 #[derive(Debug)]
-pub(super) struct SubCallTold {
+pub(super) struct SubCallEnd {
     pub(super) index: usize,
     pub(super) content: Content,
     pub(super) outcome: Outcome,
@@ -71,8 +71,8 @@
 
 impl Spans {
     fn begin(&mut self, at: Timestamp) {
-        let is_on = |span: &(Timestamp, Timestamp)| span.1 == Timestamp::NEVER;
-        if !self.0.last().is_some_and(is_on) {
+        let is_open = |span: &(Timestamp, Timestamp)| span.1 == Timestamp::NEVER;
+        if !self.0.last().is_some_and(is_open) {
             self.0.push((at, Timestamp::NEVER));
         }
     }
@@ -97,12 +97,12 @@
 pub(super) struct Facts {
     pub(super) sends: BTreeMap<SendId, Send>,
     pub(super) runs: BTreeMap<RunId, Run>,
-    pub(super) sub_calls: Vec<SubCallTold>,
-    pub(super) told_again: Vec<(usize, SendId)>,
+    pub(super) sub_calls: Vec<SubCallEnd>,
+    pub(super) duplicate_answers: Vec<(usize, SendId)>,
     /// Time spans during which a process was frozen or stopped.
-    pub(super) absent: BTreeMap<ProcessId, Spans>,
+    pub(super) unavailable: BTreeMap<ProcessId, Spans>,
     /// Time spans during which any zone was cut off.
-    pub(super) cut: Spans,
+    pub(super) zone_cuts: Spans,
     /// Runs by content.
     by_content: BTreeMap<Content, BTreeSet<RunId>>,
 }
@@ -121,10 +121,10 @@
         match (&entry.fact, entry.process) {
             (Fact::Domain(record), _) => self.add_record(index, at, record),
             (Fact::Stopped(_) | Fact::Frozen, Some(process)) => {
-                self.absent.entry(process).or_default().begin(at);
+                self.unavailable.entry(process).or_default().begin(at);
             }
             (Fact::Started(_) | Fact::Thawed, Some(process)) => {
-                self.absent.entry(process).or_default().end(at);
+                self.unavailable.entry(process).or_default().end(at);
             }
             _ => {}
         }
@@ -163,13 +163,13 @@
                 self.end_send(index, at, *send, CallerOutcome::NotReached)
             }
             Record::GaveUp { send, .. } => self.end_send(index, at, *send, CallerOutcome::Nothing),
-            Record::ToldAgain { send } => self.told_again.push((index, *send)),
+            Record::ToldAgain { send } => self.duplicate_answers.push((index, *send)),
             Record::SubCallTold {
                 run,
                 position,
                 outcome,
                 answered,
-            } => self.sub_calls.push(SubCallTold {
+            } => self.sub_calls.push(SubCallEnd {
                 index,
                 content: Content::SubCall {
                     run: *run,
@@ -178,8 +178,8 @@
                 outcome: *outcome,
                 answered: *answered,
             }),
-            Record::Fault(FaultRecord::ZoneCut { .. }) => self.cut.begin(at),
-            Record::Fault(FaultRecord::Healed) => self.cut.end(at),
+            Record::Fault(FaultRecord::ZoneCut { .. }) => self.zone_cuts.begin(at),
+            Record::Fault(FaultRecord::Healed) => self.zone_cuts.end(at),
             _ => self.add_run(index, at, record),
         }
     }
@@ -247,8 +247,13 @@
     }
 
     /// Whether a process was frozen or stopped at any time in a span.
-    pub(super) fn was_absent(&self, process: ProcessId, from: Timestamp, to: Timestamp) -> bool {
-        self.absent
+    pub(super) fn was_unavailable(
+        &self,
+        process: ProcessId,
+        from: Timestamp,
+        to: Timestamp,
+    ) -> bool {
+        self.unavailable
             .get(&process)
             .is_some_and(|spans| spans.overlap(from, to))
     }
--- a/crates/bramblewheel-sim/src/requests/check/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/check/mod.rs
@@ -37,7 +37,7 @@
     /// No attempt is shed while a less important one waits at the same daemon.
     PriorityKept,
     /// A class is not served worse than a less important one.
-    ImportantLast,
+    ImportantShedLast,
     /// Every daemon accepts every valid session.
     SessionsKept,
     /// A leaving endpoint begins no runs after a bounded time.
@@ -60,7 +60,7 @@
             Self::RetryBound => "retry-bound",
             Self::OwnWholeAnswer => "own-whole-answer",
             Self::PriorityKept => "priority-kept",
-            Self::ImportantLast => "important-shed-last",
+            Self::ImportantShedLast => "important-shed-last",
             Self::SessionsKept => "sessions-kept",
             Self::LeavingLeftAlone => "leaving-left-alone",
             Self::StopInterruptsNothing => "stop-interrupts-nothing",
--- a/crates/bramblewheel-sim/src/requests/check/one_answer.rs
+++ b/crates/bramblewheel-sim/src/requests/check/one_answer.rs
@@ -5,7 +5,7 @@
 
 pub(super) fn check(facts: &Facts, evidence: &Evidence<'_>) -> Vec<Violation> {
     let mut violations = Vec::new();
-    for (index, send) in &facts.told_again {
+    for (index, send) in &facts.duplicate_answers {
         let message = format!("send {} was answered twice", send.0);
         violations.push(violation(message, vec![*index]));
     }
@@ -17,8 +17,8 @@
             .end
             .as_ref()
             .is_some_and(|end| end.outcome != CallerOutcome::Nothing);
-        let is_excused =
-            facts.was_absent(send.to, send.at, until) || facts.cut.overlap(send.at, until);
+        let is_excused = facts.was_unavailable(send.to, send.at, until)
+            || facts.zone_cuts.overlap(send.at, until);
         if !has_answer && !is_excused {
             let message = format!("send {} was never answered", id.0);
             violations.push(violation(message, vec![send.index]));
--- a/crates/bramblewheel-sim/src/requests/check/outcome_truth.rs
+++ b/crates/bramblewheel-sim/src/requests/check/outcome_truth.rs
@@ -65,16 +65,16 @@
 
 fn check_sub_calls(facts: &Facts) -> impl Iterator<Item = Violation> {
     let not_run = facts.sub_calls.iter();
-    let not_run = not_run.filter(|told| told.outcome.is_not_run());
-    not_run.filter_map(|told| {
-        let run = facts.runs_of(told.content).next()?;
+    let not_run = not_run.filter(|sub_call| sub_call.outcome.is_not_run());
+    not_run.filter_map(|sub_call| {
+        let run = facts.runs_of(sub_call.content).next()?;
         Some(Violation {
             promise: Promise::NotRunTruth,
             message: format!(
                 "sub-call {:?} was reported as not run but ran",
-                told.content
+                sub_call.content
             ),
-            evidence: vec![run.index, told.index],
+            evidence: vec![run.index, sub_call.index],
         })
     })
 }
--- a/crates/bramblewheel-sim/src/requests/check/planned_stop.rs
+++ b/crates/bramblewheel-sim/src/requests/check/planned_stop.rs
@@ -13,7 +13,7 @@
         let Fact::Domain(Record::Fault(FaultRecord::StopPlanned { process })) = &entry.fact else {
             continue;
         };
-        match stop_after(evidence, *process, index) {
+        match next_stop(evidence, *process, index) {
             Some((stop, at, StopCause::Exited)) => {
                 violations.extend(interrupted_runs(facts, *process, stop, at));
                 violations.extend(interrupted_sends(facts, *process, stop, at));
@@ -33,7 +33,7 @@
 }
 
 /// Index, time and cause of the next stop of a process.
-fn stop_after(
+fn next_stop(
     evidence: &Evidence<'_>,
     process: ProcessId,
     after: usize,
@@ -57,7 +57,10 @@
     let open = runs.filter(move |run| {
         let is_here = run.endpoint.0 == process.0 as usize;
         let is_over = run.ended.is_some_and(|(end, _)| end <= at) || run.stopped.is_some();
-        is_here && run.index < stop && !is_over && !facts.was_absent(process, run.at, before(at))
+        is_here
+            && run.index < stop
+            && !is_over
+            && !facts.was_unavailable(process, run.at, before(at))
     });
     open.map(move |run| {
         let message = format!("process {} stopped during a run", process.0);
@@ -76,8 +79,8 @@
     sends.filter_map(move |send| {
         let end = send.end.as_ref()?;
         let is_cut = end.outcome == CallerOutcome::Nothing && send.at < at && end.at > at;
-        let is_excused =
-            facts.cut.overlap(send.at, end.at) || facts.was_absent(process, send.at, before(at));
+        let is_excused = facts.zone_cuts.overlap(send.at, end.at)
+            || facts.was_unavailable(process, send.at, before(at));
         (is_cut && !is_excused).then(|| {
             let message = format!("process {} stopped before it answered", process.0);
             violation(message, vec![send.index, stop, end.index])
--- a/crates/bramblewheel-sim/src/requests/check/priority.rs
+++ b/crates/bramblewheel-sim/src/requests/check/priority.rs
@@ -26,7 +26,7 @@
     for (index, entry) in evidence.history.iter().enumerate() {
         match &entry.fact {
             Fact::Domain(record) => {
-                violations.extend(follow(&mut waiting, index, record));
+                violations.extend(track(&mut waiting, index, record));
             }
             Fact::Stopped(_) => {
                 // The processes of endpoints come first, in the order of the endpoints.
@@ -40,7 +40,7 @@
     violations
 }
 
-fn follow(waiting: &mut Waiting, index: usize, record: &Record) -> Option<Violation> {
+fn track(waiting: &mut Waiting, index: usize, record: &Record) -> Option<Violation> {
     match record {
         Record::Offered {
             endpoint,
@@ -84,7 +84,7 @@
 
 fn is_shed(outcome: Outcome) -> bool {
     let reason = NotRunReason::Overloaded;
-    matches!(outcome, Outcome::NotRun { reason: stated, .. } if stated == reason)
+    matches!(outcome, Outcome::NotRun { reason: actual, .. } if actual == reason)
 }
 
 /// Requests of one class at one service.
@@ -104,17 +104,17 @@
 pub(super) fn check_classes(facts: &Facts, evidence: &Evidence<'_>) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (service, classes) in shares(facts, evidence) {
-        let known = classes
+        let significant = classes
             .iter()
             .filter(|(_, share)| share.all >= MIN_REQUESTS);
-        let known: Vec<_> = known.collect();
-        for pair in known.windows(2) {
+        let significant: Vec<_> = significant.collect();
+        for pair in significant.windows(2) {
             let [(lower, low), (higher, high)] = pair else {
                 continue;
             };
             if high.value() + TOLERANCE < low.value() {
                 violations.push(Violation {
-                    promise: Promise::ImportantLast,
+                    promise: Promise::ImportantShedLast,
                     message: format!(
                         "{service}: {:.3} of {higher} completed, {:.3} of {lower}",
                         high.value(),
--- a/crates/bramblewheel-sim/src/requests/check/prompt.rs
+++ b/crates/bramblewheel-sim/src/requests/check/prompt.rs
@@ -20,7 +20,7 @@
         };
         let is_final =
             matches!(end.outcome, CallerOutcome::Answer(outcome, _) if outcome != Outcome::Unknown);
-        if !is_final || facts.was_absent(send.to, send.at, end.at) {
+        if !is_final || facts.was_unavailable(send.to, send.at, end.at) {
             continue;
         }
         let of_request = reports.get(&send.request).into_iter().flatten();
--- a/crates/bramblewheel-sim/src/requests/check/whole_answer.rs
+++ b/crates/bramblewheel-sim/src/requests/check/whole_answer.rs
@@ -21,21 +21,21 @@
                 .is_some_and(|other| other.person == send.person),
             Content::SubCall { .. } => false,
         };
-        if let Some(message) = fault(facts, outcome, answered, is_own) {
+        if let Some(message) = describe_fault(facts, outcome, answered, is_own) {
             violations.push(violation(message, vec![send.index, end.index]));
         }
     }
-    for told in &facts.sub_calls {
-        let is_own = |content| content == told.content;
-        if let Some(message) = fault(facts, told.outcome, told.answered, is_own) {
-            violations.push(violation(message, vec![told.index]));
+    for sub_call in &facts.sub_calls {
+        let is_own = |content| content == sub_call.content;
+        if let Some(message) = describe_fault(facts, sub_call.outcome, sub_call.answered, is_own) {
+            violations.push(violation(message, vec![sub_call.index]));
         }
     }
     violations
 }
 
 /// Describes the fault of an answer, if it has one.
-fn fault(
+fn describe_fault(
     facts: &Facts,
     outcome: Outcome,
     answered: Option<Content>,
@@ -51,8 +51,8 @@
     let has_succeeded = facts
         .runs_of(content)
         .any(|run| matches!(run.ended, Some((_, true))));
-    let is_invented = outcome == Outcome::Completed && !has_succeeded;
-    is_invented.then(|| format!("no endpoint completed {content:?}"))
+    let is_unfounded = outcome == Outcome::Completed && !has_succeeded;
+    is_unfounded.then(|| format!("no endpoint completed {content:?}"))
 }
 
 fn violation(message: String, evidence: Vec<usize>) -> Violation {
--- a/crates/bramblewheel-sim/src/requests/connections.rs
+++ b/crates/bramblewheel-sim/src/requests/connections.rs
@@ -84,7 +84,7 @@
     }
 
     /// Removes a request from the queue; false if it is not queued.
-    pub fn give_up(&mut self, to: &P, request: &R) -> bool {
+    pub fn cancel_wait(&mut self, to: &P, request: &R) -> bool {
         let Some(pool) = self.pools.get_mut(to) else {
             return false;
         };
--- a/crates/bramblewheel-sim/src/requests/endpoint.rs
+++ b/crates/bramblewheel-sim/src/requests/endpoint.rs
@@ -53,7 +53,7 @@
         /// The run.
         run: RunKey,
         /// Time until the work is done.
-        takes: Duration,
+        duration: Duration,
     },
     /// A request began to run, directly or from the queue.
     Started {
@@ -88,11 +88,11 @@
 #[derive(Debug)]
 pub struct EndpointModel {
     topology: Arc<Topology>,
-    shape: Endpoint,
+    spec: Endpoint,
     started: Timestamp,
     slowdown: f64,
-    says_draining: bool,
-    fails: f64,
+    reports_draining: bool,
+    failure_share: f64,
     report_fault: Option<ReportFault>,
     tape: Option<Tape>,
     next_run: u64,
@@ -105,14 +105,14 @@
 impl EndpointModel {
     /// Creates an endpoint that starts now, with its entry in the topology; runs are numbered from
     /// `next_run`.
-    pub fn new(topology: Arc<Topology>, shape: Endpoint, next_run: u64, now: Timestamp) -> Self {
+    pub fn new(topology: Arc<Topology>, spec: Endpoint, next_run: u64, now: Timestamp) -> Self {
         Self {
             topology,
-            shape,
+            spec,
             started: now,
             slowdown: 1.0,
-            says_draining: false,
-            fails: 0.0,
+            reports_draining: false,
+            failure_share: 0.0,
             report_fault: None,
             tape: None,
             next_run,
@@ -130,12 +130,12 @@
 
     /// Reports draining from now on, but still accepts requests.
     pub fn announce_drain(&mut self) {
-        self.says_draining = true;
+        self.reports_draining = true;
     }
 
     /// Sets the share of runs that end in an error.
-    pub fn set_failing(&mut self, share: f64) {
-        self.fails = share;
+    pub fn set_failure_share(&mut self, share: f64) {
+        self.failure_share = share;
     }
 
     /// Sets the fault of the load report.
@@ -155,7 +155,7 @@
 
     /// Skips the cold start.
     pub fn warm_up(&mut self) {
-        self.shape.cold_start = Duration::ZERO;
+        self.spec.cold_start = Duration::ZERO;
     }
 
     /// A running or queued request.
@@ -172,7 +172,7 @@
         actions: &mut Vec<EndpointAction>,
     ) -> Option<RunKey> {
         let in_use = self.running as usize + self.queue.len();
-        if in_use >= self.shape.connections as usize {
+        if in_use >= self.spec.connections as usize {
             return None;
         }
         let id = RunId(self.next_run);
@@ -184,7 +184,7 @@
             next_call: 0,
             waiting: 0,
         });
-        if self.running < self.shape.slots {
+        if self.running < self.spec.slots {
             self.begin(now, run, random, actions);
         } else {
             self.queue.push_back(run);
@@ -211,8 +211,8 @@
             tape.begin(id, request.content);
         }
         actions.push(EndpointAction::Started { id, request });
-        let takes = self.part_of_work(now, id, route, random);
-        actions.push(EndpointAction::Work { run: key, takes });
+        let duration = self.part_of_work(now, id, route, random);
+        actions.push(EndpointAction::Work { run: key, duration });
     }
 
     /// Time of the next part of the work: half of a drawn whole if the route makes sub-calls in between,
@@ -236,12 +236,12 @@
 
     /// Current slow-down factor; falls linearly from `cold_factor` to 1 over the cold start.
     fn cold_factor(&self, now: Timestamp) -> f64 {
-        let cold_start = self.shape.cold_start.as_secs_f64();
+        let cold_start = self.spec.cold_start.as_secs_f64();
         if cold_start == 0.0 {
             return 1.0;
         }
         let remaining = 1.0 - now.since(self.started).as_secs_f64() / cold_start;
-        1.0 + (self.shape.cold_factor - 1.0) * remaining.max(0.0)
+        1.0 + (self.spec.cold_factor - 1.0) * remaining.max(0.0)
     }
 
     /// Continues a run after a part of its work.
@@ -257,7 +257,7 @@
         };
         let route = &self.topology.routes[run.request.route.0];
         if run.next_call >= route.calls.len() {
-            let drawn = random.random_bool(self.fails);
+            let drawn = random.random_bool(self.failure_share);
             let fails = match &self.tape {
                 Some(tape) => tape.fails(run.id, drawn),
                 None => drawn,
@@ -304,8 +304,8 @@
             run.next_call += 1;
             return actions.push(EndpointAction::SubCall { run: key, position });
         }
-        let takes = self.part_of_work(now, id, route, random);
-        actions.push(EndpointAction::Work { run: key, takes });
+        let duration = self.part_of_work(now, id, route, random);
+        actions.push(EndpointAction::Work { run: key, duration });
     }
 
     /// Stops a running request or removes a queued one, without an `Ended` action. Returns the time that
@@ -361,16 +361,16 @@
 
     /// The endpoint's load report: delayed by `lag_ms`, with `busy` reduced by the share `flattery`.
     pub fn report(&mut self, now: Timestamp) -> EndpointReport {
-        let lag = Duration::from_millis(self.shape.report.lag_ms);
+        let lag = Duration::from_millis(self.spec.report.lag_ms);
         self.samples.push_back((now, self.running));
         while self.samples.len() > 1 && now.since(self.samples[1].0) >= lag {
             self.samples.pop_front();
         }
-        let busy = f64::from(self.samples[0].1) * (1.0 - self.shape.report.flattery);
+        let busy = f64::from(self.samples[0].1) * (1.0 - self.spec.report.flattery);
         let honest = EndpointReport {
-            slots: self.shape.slots,
+            slots: self.spec.slots,
             busy: busy as u32,
-            draining: self.says_draining,
+            draining: self.reports_draining,
         };
         self.report_fault
             .map_or(honest, |fault| fault.apply(honest))
--- a/crates/bramblewheel-sim/src/requests/host.rs
+++ b/crates/bramblewheel-sim/src/requests/host.rs
@@ -42,12 +42,12 @@
     counters: LayerCounters,
     /// Number of the endpoint's next run, across restarts.
     next_run: u64,
-    failing: f64,
+    failure_share: f64,
     report_fault: Option<ReportFault>,
     options: LayerOptions,
     tape: Option<Tape>,
     /// Directory entries that differ from the topology.
-    listed: BTreeMap<EndpointId, DirectoryEndpoint>,
+    directory_entries: BTreeMap<EndpointId, DirectoryEndpoint>,
 }
 
 /// Low bits of a run's number, which count within one endpoint; the high bits are the endpoint.
@@ -74,11 +74,11 @@
             slot_uses: Vec::new(),
             counters: LayerCounters::default(),
             next_run: endpoint_index.map_or(0, |index| (index.0 as u64) << RUN_BITS),
-            failing: 0.0,
+            failure_share: 0.0,
             report_fault: None,
             options: LayerOptions::default(),
             tape: None,
-            listed: BTreeMap::new(),
+            directory_entries: BTreeMap::new(),
         }
     }
 
@@ -95,8 +95,8 @@
     }
 
     /// Sets a directory entry that applies from the next start; the running layer gets it separately.
-    pub fn set_listed(&mut self, entry: DirectoryEndpoint) {
-        self.listed.insert(entry.endpoint.clone(), entry);
+    pub fn set_directory_entry(&mut self, entry: DirectoryEndpoint) {
+        self.directory_entries.insert(entry.endpoint.clone(), entry);
     }
 
     /// Sets the bundle that applies from the next start; the running layer gets it separately.
@@ -105,10 +105,10 @@
     }
 
     /// Sets the share of the endpoint's runs that end in an error, also after a restart.
-    pub fn set_failing(&mut self, share: f64) {
-        self.failing = share;
+    pub fn set_failure_share(&mut self, share: f64) {
+        self.failure_share = share;
         if let Some(endpoint) = &mut self.endpoint {
-            endpoint.set_failing(share);
+            endpoint.set_failure_share(share);
         }
     }
 
@@ -157,15 +157,15 @@
     }
 
     pub(super) fn start(&mut self, context: &mut Context<'_, RequestActor>, cause: StartCause) {
-        let shape = self.endpoint_index.map(|index| {
-            let shape = self.topology.endpoints[index.0].clone();
+        let spec = self.endpoint_index.map(|index| {
+            let spec = self.topology.endpoints[index.0].clone();
             let topology = Arc::clone(&self.topology);
-            EndpointModel::new(topology, shape, self.next_run, context.now())
+            EndpointModel::new(topology, spec, self.next_run, context.now())
         });
-        self.endpoint = shape;
+        self.endpoint = spec;
         if let Some(endpoint) = &mut self.endpoint {
             endpoint.set_slowdown(self.slowdown);
-            endpoint.set_failing(self.failing);
+            endpoint.set_failure_share(self.failure_share);
             endpoint.set_report_fault(self.report_fault);
             endpoint.set_tape(self.tape.clone());
             if cause == StartCause::First {
@@ -180,10 +180,10 @@
             context,
         ));
         self.with_layer(context, |layer, environment| layer.start(environment));
-        if !self.listed.is_empty() {
+        if !self.directory_entries.is_empty() {
             let update = DirectoryUpdate {
                 is_complete: false,
-                live: self.listed.values().cloned().collect(),
+                live: self.directory_entries.values().cloned().collect(),
                 removed: Vec::new(),
             };
             self.instruct(context, Instruction::Directory(update));
@@ -231,7 +231,7 @@
             let now = context.now();
             endpoint.work_done(now, run, context.random(), &mut self.actions);
         }
-        self.carry_out(context);
+        self.execute_actions(context);
     }
 
     fn with_layer(
@@ -240,7 +240,7 @@
         call: impl FnOnce(&mut dyn Layer, &mut Environment<'_, '_>),
     ) {
         self.call_layer(context, call);
-        self.carry_out(context);
+        self.execute_actions(context);
     }
 
     fn call_layer(
@@ -265,17 +265,17 @@
     }
 
     /// Executes the endpoint's actions until none are left.
-    fn carry_out(&mut self, context: &mut Context<'_, RequestActor>) {
+    fn execute_actions(&mut self, context: &mut Context<'_, RequestActor>) {
         while !self.actions.is_empty() {
             for action in std::mem::take(&mut self.actions) {
-                self.carry_out_one(context, action);
+                self.execute_action(context, action);
             }
         }
     }
 
-    fn carry_out_one(&mut self, context: &mut Context<'_, RequestActor>, action: EndpointAction) {
+    fn execute_action(&mut self, context: &mut Context<'_, RequestActor>, action: EndpointAction) {
         match action {
-            EndpointAction::Work { run, takes } => context.set_timer(takes, Timer::Work(run)),
+            EndpointAction::Work { run, duration } => context.set_timer(duration, Timer::Work(run)),
             EndpointAction::Started { id, request } => {
                 let Some(endpoint) = self.endpoint_index else {
                     return;
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/attempts.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/attempts.rs
@@ -21,7 +21,7 @@
     /// Sequence number; increases with each attempt.
     pub(super) number: u64,
     /// Whether the connection is new; if so, a refused connection proves that nothing was sent.
-    pub(super) is_fresh: bool,
+    pub(super) is_new_connection: bool,
     pub(super) state: OutState,
 }
 
@@ -56,7 +56,7 @@
                 context: Box::new(context),
                 content,
                 number: environment.counters.attempts,
-                is_fresh: false,
+                is_new_connection: false,
                 state: OutState::WaitsForConnection,
             },
         );
@@ -68,7 +68,7 @@
     /// Drops the idle connections to a process that restarted, since its stop closed them.
     fn drop_closed_connections(&mut self, environment: &Environment<'_, '_>, to: ProcessId) {
         let starts = environment.context.starts_of(to);
-        if self.known_starts.insert(to, starts) != Some(starts) {
+        if self.last_seen_starts.insert(to, starts) != Some(starts) {
             self.connections.reset(&to);
         }
     }
@@ -85,7 +85,7 @@
         match acquired {
             Acquired::Waits => {}
             Acquired::Opened => {
-                out.is_fresh = true;
+                out.is_new_connection = true;
                 out.state = OutState::Connecting;
                 let connect_time = environment.topology.connect_time();
                 let timer = Timer::Connected(attempt);
@@ -128,7 +128,7 @@
             return;
         };
         if out.state == OutState::WaitsForConnection {
-            self.connections.give_up(&out.to, &attempt);
+            self.connections.cancel_wait(&out.to, &attempt);
             return;
         }
         if out.state == OutState::Sent {
@@ -165,8 +165,11 @@
             .context
             .record(Record::ConnectionRefused { request });
         let attempt = context.attempt;
-        let is_fresh = self.attempts.get(&attempt).is_some_and(|out| out.is_fresh);
-        let result = if is_fresh {
+        let is_new_connection = self
+            .attempts
+            .get(&attempt)
+            .is_some_and(|out| out.is_new_connection);
+        let result = if is_new_connection {
             AttemptResult::NotSent
         } else {
             AttemptResult::Lost
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/calls.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/calls.rs
@@ -30,29 +30,29 @@
     pub(super) owner: Owner,
     pub(super) content: Content,
     /// Token of the session that the call opened.
-    pub(super) opened: Option<String>,
+    pub(super) session_token: Option<String>,
     pub(super) session_refused: bool,
     /// Number of the attempt, for the double that retries at every hop.
-    pub(super) tried: u32,
+    pub(super) attempt_number: u32,
     pub(super) request: Option<CallRequest>,
 }
 
 impl DaemonLayer {
-    pub(super) fn request(
+    pub(super) fn handle_request(
         &mut self,
         environment: &mut Environment<'_, '_>,
         from: ProcessId,
         root: RootRequest,
     ) {
         let now = environment.context.now();
-        let (opened, is_known) = match &root.session {
+        let (session_token, is_in_session) = match &root.session {
             SessionClaim::None => (None, false),
             SessionClaim::Assumed => (None, true),
             SessionClaim::Open => {
                 let random = environment.context.random();
                 (Some(self.sessions.open(now, random)), false)
             }
-            SessionClaim::Token(token) => (None, self.sessions.is_known(token)),
+            SessionClaim::Token(token) => (None, self.sessions.is_valid(token)),
         };
         let call = OutCall {
             owner: Owner::Caller {
@@ -61,9 +61,9 @@
                 deadline: now + root.timeout,
             },
             content: Content::Root(root.send),
-            opened,
-            session_refused: matches!(root.session, SessionClaim::Token(_)) && !is_known,
-            tried: 1,
+            session_token,
+            session_refused: matches!(root.session, SessionClaim::Token(_)) && !is_in_session,
+            attempt_number: 1,
             request: None,
         };
         let route = &environment.topology.routes[root.route.0];
@@ -75,7 +75,7 @@
                 resend: root.resend,
                 caller: root.caller,
                 criticality: root.criticality,
-                in_session: is_known,
+                in_session: is_in_session,
             },
             timeout: Some(root.timeout),
             operation: root.operation,
@@ -111,9 +111,9 @@
         let call = OutCall {
             owner: Owner::Run(run),
             content,
-            opened: None,
+            session_token: None,
             session_refused: false,
-            tried: 1,
+            attempt_number: 1,
             request: None,
         };
         self.begin_call(environment, call, request);
@@ -131,7 +131,7 @@
         if let Owner::Caller { send, .. } = call.owner {
             self.sends.insert(send, id);
         }
-        let keeps_request = self.is(UnsafeDouble::RetryPerHop);
+        let keeps_request = self.is_double(UnsafeDouble::RetryPerHop);
         let call = OutCall {
             request: keeps_request.then(|| request.clone()),
             ..call
@@ -149,7 +149,7 @@
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
-        if self.tries_again(&call, answer.outcome) {
+        if self.retries_call(&call, answer.outcome) {
             return;
         }
         let body = self.body_of(&answer.body);
@@ -162,9 +162,9 @@
                 self.sends.remove(&send);
                 let answer = CallerAnswer {
                     send,
-                    outcome: self.outcome_told(answer.outcome),
+                    outcome: self.reported_outcome(answer.outcome),
                     body,
-                    opened: call.opened,
+                    session_token: call.session_token,
                     session_refused: call.session_refused,
                 };
                 self.answer_caller(environment, process, deadline, answer);
@@ -182,15 +182,15 @@
         deadline: Timestamp,
         answer: CallerAnswer,
     ) {
-        if self.is(UnsafeDouble::ParkedRefusals) && answer.outcome.is_not_run() {
+        if self.is_double(UnsafeDouble::ParkedRefusals) && answer.outcome.is_not_run() {
             let number = answer.send.0;
-            self.parked.push((process, answer));
+            self.parked_refusals.push((process, answer));
             return environment
                 .context
                 .set_timer_at(deadline, Timer::Parked(number));
         }
         let message = Message::Answer(Box::new(answer));
-        if self.is(UnsafeDouble::AnswerTwice) {
+        if self.is_double(UnsafeDouble::AnswerTwice) {
             environment.context.send(process, message.clone());
         }
         environment.context.send(process, message);
@@ -215,7 +215,7 @@
         environment.end_sub_call(run, outcome == Outcome::Completed);
     }
 
-    pub(super) fn give_up(&mut self, environment: &mut Environment<'_, '_>, send: SendId) {
+    pub(super) fn cancel_call(&mut self, environment: &mut Environment<'_, '_>, send: SendId) {
         let Some(call) = self.sends.remove(&send) else {
             return;
         };
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/dispatch.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/dispatch.rs
@@ -19,7 +19,7 @@
         let called = called_services(environment.topology, self.endpoint);
         let update = directory(environment.topology, environment.layout, &called);
         self.submit(environment, Event::DirectoryUpdated(update));
-        self.report(environment);
+        self.submit_load_report(environment);
     }
 
     fn receive(
@@ -29,8 +29,8 @@
         message: Message,
     ) {
         match message {
-            Message::Request(root) => self.request(environment, from, *root),
-            Message::GiveUp(send) => self.give_up(environment, send),
+            Message::Request(root) => self.handle_request(environment, from, *root),
+            Message::CallerDisconnected(send) => self.cancel_call(environment, send),
             Message::Attempt {
                 context,
                 remaining,
@@ -42,7 +42,7 @@
                 feedback,
                 body,
             } => {
-                let attempt = self.matched(from, attempt);
+                let attempt = self.match_attempt(from, attempt);
                 let result = AttemptResult::Answered { outcome, feedback };
                 self.attempt_answered(environment, attempt, result, body);
             }
@@ -55,13 +55,13 @@
                 key,
                 answer,
             } => {
-                let is_awaited = self.ledger.answered(attempt, &key, answer.is_some());
-                if let (true, Some(answer)) = (is_awaited, answer) {
+                let was_pending = self.ledger.handle_answer(attempt, &key, answer.is_some());
+                if let (true, Some(answer)) = (was_pending, answer) {
                     self.submit(environment, Event::ClaimAnswered { attempt, answer });
                 }
             }
             Message::ControlReply(reply) => {
-                let answered = self.ledger.replied(environment, *reply);
+                let answered = self.ledger.handle_reply(environment, *reply);
                 if let Some((attempt, answer)) = answered {
                     self.submit(environment, Event::ClaimAnswered { attempt, answer });
                 }
@@ -76,11 +76,11 @@
                 self.armed = Timestamp::NEVER;
                 self.submit(environment, Event::Tick);
             }
-            Timer::Report => self.report(environment),
+            Timer::Report => self.submit_load_report(environment),
             Timer::Connected(attempt) => self.write_attempt(environment, attempt),
             Timer::RepeatLedger => self.ledger.repeat(environment),
-            Timer::Lingered => environment.context.exit(self.restarts_after),
-            Timer::Parked(number) => self.answer_parked(environment, number),
+            Timer::LingerEnded => environment.context.exit(self.restarts_after),
+            Timer::Parked(number) => self.send_parked_refusal(environment, number),
             _ => {}
         }
     }
@@ -119,12 +119,12 @@
             Instruction::Directory(update) => {
                 self.submit(environment, Event::DirectoryUpdated(update));
             }
-            Instruction::SignSessionsWith(number) => self.sessions.sign_with(number),
-            Instruction::StopPlanned { down } => {
-                if self.is(UnsafeDouble::StopWithoutDrain) {
-                    return environment.context.exit(Some(down));
+            Instruction::SignSessionsWith(number) => self.sessions.set_signing_key(number),
+            Instruction::StopPlanned { downtime } => {
+                if self.is_double(UnsafeDouble::StopWithoutDrain) {
+                    return environment.context.exit(Some(downtime));
                 }
-                self.restarts_after = Some(down);
+                self.restarts_after = Some(downtime);
                 self.submit(environment, Event::DrainRequested);
             }
         }
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/drive.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/drive.rs
@@ -23,7 +23,7 @@
             let now = environment.context.now();
             self.engine.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(environment, action);
+                self.execute(environment, action);
             }
         }
         self.arm(environment);
@@ -37,7 +37,7 @@
         }
     }
 
-    fn carry_out(&mut self, environment: &mut Environment<'_, '_>, action: Action) {
+    fn execute(&mut self, environment: &mut Environment<'_, '_>, action: Action) {
         match action {
             Action::SendAttempt {
                 call,
@@ -64,7 +64,7 @@
                 feedback,
             } => self.answer_attempt(environment, attempt, &answer, feedback),
             Action::Ledger { attempt, request } => {
-                self.ask_ledger(environment, attempt, request);
+                self.send_ledger_request(environment, attempt, request);
             }
             Action::Drained => self.linger_if_stopping(environment),
         }
@@ -72,7 +72,9 @@
 
     fn linger_if_stopping(&mut self, environment: &mut Environment<'_, '_>) {
         if self.restarts_after.is_some() {
-            environment.context.set_timer(DRAIN_LINGER, Timer::Lingered);
+            environment
+                .context
+                .set_timer(DRAIN_LINGER, Timer::LingerEnded);
         }
     }
 
@@ -101,7 +103,7 @@
         environment.context.send(from, message);
     }
 
-    fn ask_ledger(
+    fn send_ledger_request(
         &mut self,
         environment: &mut Environment<'_, '_>,
         attempt: AttemptId,
@@ -109,13 +111,13 @@
     ) {
         if matches!(request, LedgerRequest::Claim { .. }) {
             environment.record_at_endpoint(|endpoint| Record::Claimed { endpoint, attempt });
-            if self.is(UnsafeDouble::ClaimAfterDispatch) {
+            if self.is_double(UnsafeDouble::ClaimAfterDispatch) {
                 let answer = ClaimAnswer::Granted;
                 self.events
                     .push_back(Event::ClaimAnswered { attempt, answer });
             }
         }
-        self.ledger.ask(environment, attempt, request);
+        self.ledger.send_request(environment, attempt, request);
     }
 
     pub(super) fn body_of(&self, body: &AnswerBody) -> Option<Content> {
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/inbound.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/inbound.rs
@@ -1,7 +1,7 @@
 //! Inbound attempts, their dispatch to the endpoint, and the endpoint's load reports.
 
 use super::DaemonLayer;
-use super::doubles::shed;
+use super::doubles::refuse_overloaded;
 use crate::kernel::ProcessId;
 use crate::requests::content::Content;
 use crate::requests::double::UnsafeDouble;
@@ -43,7 +43,7 @@
             in_session: context.in_session,
         });
         if self.sheds_newest() {
-            return shed(environment, from, attempt);
+            return refuse_overloaded(environment, from, attempt);
         }
         context.deadline = environment.context.now() + remaining;
         let request = RunRequest {
@@ -96,7 +96,7 @@
         self.bodies.remove(&attempt);
     }
 
-    pub(super) fn report(&mut self, environment: &mut Environment<'_, '_>) {
+    pub(super) fn submit_load_report(&mut self, environment: &mut Environment<'_, '_>) {
         let now = environment.context.now();
         let Some(endpoint) = environment.endpoint.as_mut() else {
             return;
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/mod.rs
@@ -45,7 +45,7 @@
     attempts: HashMap<AttemptId, OutAttempt>,
     connections: Connections<ProcessId, AttemptId>,
     /// Number of starts of each other process when it was last called.
-    known_starts: HashMap<ProcessId, Option<u32>>,
+    last_seen_starts: HashMap<ProcessId, Option<u32>>,
     /// Unanswered inbound attempts: the waiting process and the request.
     inbound: HashMap<AttemptId, (ProcessId, RunRequest)>,
     runs: HashMap<AttemptId, RunKey>,
@@ -54,7 +54,7 @@
     /// Bodies of the answers that are being handled, by attempt.
     bodies: HashMap<AttemptId, Content>,
     double: Option<UnsafeDouble>,
-    parked: Vec<(ProcessId, CallerAnswer)>,
+    parked_refusals: Vec<(ProcessId, CallerAnswer)>,
     /// Time from the end of a planned stop to the restart; set when the stop begins.
     restarts_after: Option<Duration>,
 }
@@ -104,14 +104,14 @@
             next_call: 0,
             attempts: HashMap::new(),
             connections: Connections::default(),
-            known_starts: HashMap::new(),
+            last_seen_starts: HashMap::new(),
             inbound: HashMap::new(),
             runs: HashMap::new(),
             ledger: LedgerClient::new(options.replicas, ledger_seed),
             sessions,
             bodies: HashMap::new(),
             double: options.double,
-            parked: Vec::new(),
+            parked_refusals: Vec::new(),
             restarts_after: None,
         }
     }
--- a/crates/bramblewheel-sim/src/requests/layer/direct.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/direct.rs
@@ -22,20 +22,20 @@
 /// Settings of the direct layer.
 #[derive(Clone, Copy, Debug)]
 pub struct DirectSettings {
-    max_tries: u32,
-    try_timeout: Duration,
+    max_attempts: u32,
+    attempt_timeout: Duration,
 }
 
 impl DirectSettings {
     /// One attempt, with a time-out that is a common default.
     pub const NONE: Self = Self {
-        max_tries: 1,
-        try_timeout: Duration::from_secs(5),
+        max_attempts: 1,
+        attempt_timeout: Duration::from_secs(5),
     };
     /// Three attempts with a time-out of 1 s each.
     pub const NAIVE: Self = Self {
-        max_tries: 3,
-        try_timeout: Duration::from_secs(1),
+        max_attempts: 3,
+        attempt_timeout: Duration::from_secs(1),
     };
 }
 
@@ -54,7 +54,7 @@
     request: RequestId,
     operation: Option<OperationKey>,
     content: Content,
-    tried: u32,
+    attempt_number: u32,
     to: ProcessId,
 }
 
@@ -87,18 +87,18 @@
         }
     }
 
-    fn begin(&mut self, environment: &mut Environment<'_, '_>, call: OutCall) {
+    fn begin_call(&mut self, environment: &mut Environment<'_, '_>, call: OutCall) {
         environment.counters.calls += 1;
         let key = self.calls.insert(call);
-        self.try_once(environment, key);
+        self.start_attempt(environment, key);
     }
 
-    fn try_once(&mut self, environment: &mut Environment<'_, '_>, key: OutCallKey) {
+    fn start_attempt(&mut self, environment: &mut Environment<'_, '_>, key: OutCallKey) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
         environment.counters.attempts += 1;
-        call.tried += 1;
+        call.attempt_number += 1;
         let service = environment.topology.routes[call.route.0].service;
         let endpoints = &environment.topology.services[service.0].endpoints;
         let position = environment
@@ -106,22 +106,31 @@
             .random()
             .random_range(0..endpoints.len());
         call.to = environment.layout.host(endpoints[position]);
-        let tried = call.tried;
-        let timeout = Timer::DirectTimeout(key, tried);
+        let attempt_number = call.attempt_number;
+        let timeout = Timer::DirectTimeout(key, attempt_number);
         environment
             .context
-            .set_timer(self.settings.try_timeout, timeout);
+            .set_timer(self.settings.attempt_timeout, timeout);
         let acquired = self.connections.acquire(call.to, u32::MAX, ());
         if acquired == Acquired::Reused {
-            return self.send(environment, key, tried);
+            return self.send(environment, key, attempt_number);
         }
         let connect_time = environment.topology.connect_time();
-        let connected = Timer::DirectConnected(key, tried);
+        let connected = Timer::DirectConnected(key, attempt_number);
         environment.context.set_timer(connect_time, connected);
     }
 
-    fn send(&mut self, environment: &mut Environment<'_, '_>, key: OutCallKey, tried: u32) {
-        let Some(call) = self.calls.get(key).filter(|call| call.tried == tried) else {
+    fn send(
+        &mut self,
+        environment: &mut Environment<'_, '_>,
+        key: OutCallKey,
+        attempt_number: u32,
+    ) {
+        let Some(call) = self
+            .calls
+            .get(key)
+            .filter(|call| call.attempt_number == attempt_number)
+        else {
             return;
         };
         let request = RunRequest {
@@ -133,27 +142,31 @@
         };
         let message = Message::DirectCall {
             call: key,
-            tried,
+            attempt_number,
             request,
         };
         environment.context.send(call.to, message);
     }
 
     /// Handles the end of an attempt; `reusable` states whether its connection can be used again.
-    fn try_ended(
+    fn attempt_ended(
         &mut self,
         environment: &mut Environment<'_, '_>,
         key: OutCallKey,
-        tried: u32,
+        attempt_number: u32,
         body: Option<Content>,
         reusable: bool,
     ) {
-        let Some(call) = self.calls.get(key).filter(|call| call.tried == tried) else {
+        let Some(call) = self
+            .calls
+            .get(key)
+            .filter(|call| call.attempt_number == attempt_number)
+        else {
             return;
         };
         self.connections.release(&call.to, reusable);
-        if body.is_none() && tried < self.settings.max_tries {
-            return self.try_once(environment, key);
+        if body.is_none() && attempt_number < self.settings.max_attempts {
+            return self.start_attempt(environment, key);
         }
         let Some(call) = self.calls.remove(key) else {
             return;
@@ -166,7 +179,7 @@
         }
     }
 
-    fn run(
+    fn run_locally(
         &mut self,
         environment: &mut Environment<'_, '_>,
         origin: Origin,
@@ -176,24 +189,33 @@
         request.attempt = self.runs;
         self.origins.insert(self.runs, origin);
         if environment.run(request).is_none() {
-            self.answer(environment, self.runs, None);
+            self.answer_origin(environment, self.runs, None);
         }
     }
 
-    fn answer(&mut self, environment: &mut Environment<'_, '_>, run: u64, body: Option<Content>) {
+    fn answer_origin(
+        &mut self,
+        environment: &mut Environment<'_, '_>,
+        run: u64,
+        body: Option<Content>,
+    ) {
         match self.origins.remove(&run) {
             Some(Origin::Caller(process, send)) => {
                 answer_caller(environment, process, send, body);
             }
-            Some(Origin::Host(process, call, tried)) => {
-                let message = Message::DirectAnswer { call, tried, body };
+            Some(Origin::Host(process, call, attempt_number)) => {
+                let message = Message::DirectAnswer {
+                    call,
+                    attempt_number,
+                    body,
+                };
                 environment.context.send(process, message);
             }
             None => {}
         }
     }
 
-    fn request(
+    fn handle_request(
         &mut self,
         environment: &mut Environment<'_, '_>,
         from: ProcessId,
@@ -210,7 +232,7 @@
                 operation,
                 content: Content::Root(root.send),
             };
-            return self.run(environment, Origin::Caller(from, root.send), request);
+            return self.run_locally(environment, Origin::Caller(from, root.send), request);
         }
         let call = OutCall {
             owner: Owner::Caller(from, root.send),
@@ -218,10 +240,10 @@
             request: root.request,
             operation,
             content: Content::Root(root.send),
-            tried: 0,
+            attempt_number: 0,
             to: from,
         };
-        self.begin(environment, call);
+        self.begin_call(environment, call);
     }
 }
 
@@ -240,7 +262,7 @@
         send,
         outcome,
         body,
-        opened: None,
+        session_token: None,
         session_refused: false,
     };
     environment
@@ -258,14 +280,22 @@
         message: Message,
     ) {
         match message {
-            Message::Request(root) => self.request(environment, from, *root),
+            Message::Request(root) => self.handle_request(environment, from, *root),
             Message::DirectCall {
                 call,
-                tried,
+                attempt_number,
+                request,
+            } => self.run_locally(
+                environment,
+                Origin::Host(from, call, attempt_number),
                 request,
-            } => self.run(environment, Origin::Host(from, call, tried), request),
-            Message::DirectAnswer { call, tried, body } => {
-                self.try_ended(environment, call, tried, body, true);
+            ),
+            Message::DirectAnswer {
+                call,
+                attempt_number,
+                body,
+            } => {
+                self.attempt_ended(environment, call, attempt_number, body, true);
             }
             _ => {}
         }
@@ -273,9 +303,11 @@
 
     fn timer(&mut self, environment: &mut Environment<'_, '_>, timer: Timer) {
         match timer {
-            Timer::DirectConnected(call, tried) => self.send(environment, call, tried),
-            Timer::DirectTimeout(call, tried) => {
-                self.try_ended(environment, call, tried, None, false);
+            Timer::DirectConnected(call, attempt_number) => {
+                self.send(environment, call, attempt_number)
+            }
+            Timer::DirectTimeout(call, attempt_number) => {
+                self.attempt_ended(environment, call, attempt_number, None, false);
             }
             _ => {}
         }
@@ -287,8 +319,13 @@
         _to: ProcessId,
         message: Message,
     ) {
-        if let Message::DirectCall { call, tried, .. } = message {
-            self.try_ended(environment, call, tried, None, false);
+        if let Message::DirectCall {
+            call,
+            attempt_number,
+            ..
+        } = message
+        {
+            self.attempt_ended(environment, call, attempt_number, None, false);
         }
     }
 
@@ -307,10 +344,10 @@
             request: parent.request.request,
             operation: None,
             content,
-            tried: 0,
+            attempt_number: 0,
             to: environment.context.process(),
         };
-        self.begin(environment, call);
+        self.begin_call(environment, call);
     }
 
     fn run_ended(
@@ -321,6 +358,6 @@
         is_success: bool,
     ) {
         let body = is_success.then_some(request.content);
-        self.answer(environment, request.attempt, body);
+        self.answer_origin(environment, request.attempt, body);
     }
 }
--- a/crates/bramblewheel-sim/src/requests/layer/ledger_client.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/ledger_client.rs
@@ -23,7 +23,7 @@
     attempt: AttemptId,
     request: LedgerRequest,
     /// Number of the last message that carried the request.
-    asked: u64,
+    last_message: u64,
 }
 
 /// Unanswered requests to the ledger.
@@ -37,7 +37,7 @@
     /// Whether a replica answered since the last repetition.
     has_reply: bool,
     incarnation: u64,
-    asked: u64,
+    last_message: u64,
 }
 
 impl LedgerClient {
@@ -50,61 +50,64 @@
             target: 0,
             has_reply: false,
             incarnation,
-            asked: 0,
+            last_message: 0,
         }
     }
 
     /// Sends a request to the ledger.
-    pub(super) fn ask(
+    pub(super) fn send_request(
         &mut self,
         environment: &mut Environment<'_, '_>,
         attempt: AttemptId,
         request: LedgerRequest,
     ) {
         if matches!(request, LedgerRequest::Release { .. }) {
-            self.forget_claim(attempt);
+            self.drop_claim(attempt);
         }
         self.pending.push(Pending {
             attempt,
             request,
-            asked: 0,
+            last_message: 0,
         });
         self.send(environment, self.pending.len() - 1);
         self.arm(environment);
     }
 
     /// Drops a pending claim that is being released, so that it is not repeated.
-    fn forget_claim(&mut self, attempt: AttemptId) {
+    fn drop_claim(&mut self, attempt: AttemptId) {
         self.pending
             .retain(|pending| pending.attempt != attempt || !is_claim(&pending.request));
     }
 
     /// Handles an answer of the single ledger process; false if no such request is pending.
-    pub(super) fn answered(
+    pub(super) fn handle_answer(
         &mut self,
         attempt: AttemptId,
         key: &OperationKey,
-        answers_claim: bool,
+        is_claim_answer: bool,
     ) -> bool {
         let before = self.pending.len();
         self.pending.retain(|pending| {
             let is_same = pending.attempt == attempt && key_of(&pending.request) == key;
-            !(is_same && is_claim(&pending.request) == answers_claim)
+            !(is_same && is_claim(&pending.request) == is_claim_answer)
         });
         self.pending.len() < before
     }
 
     /// Handles the reply of a replica; returns the answer if the request was a claim.
-    pub(super) fn replied(
+    pub(super) fn handle_reply(
         &mut self,
         environment: &mut Environment<'_, '_>,
         reply: ControlReply,
     ) -> Option<(AttemptId, ClaimAnswer)> {
-        let position = self.pending.iter().position(|p| p.asked == reply.id)?;
+        let position = self
+            .pending
+            .iter()
+            .position(|p| p.last_message == reply.id)?;
         match reply.body {
             ReplyBody::Operations(replies) => {
                 self.has_reply = true;
-                self.settle(position, replies.into_iter().next()?)
+                self.resolve(position, replies.into_iter().next()?)
             }
             ReplyBody::Unavailable(Unavailable::NotLeader(Some(leader))) => {
                 let before = self.target;
@@ -123,7 +126,7 @@
         }
     }
 
-    fn settle(
+    fn resolve(
         &mut self,
         position: usize,
         reply: OperationReply,
@@ -131,8 +134,8 @@
         if reply == OperationReply::Undecided {
             return None;
         }
-        let settled = self.pending.remove(position);
-        is_claim(&settled.request).then(|| (settled.attempt, claim_answer(reply)))
+        let resolved = self.pending.remove(position);
+        is_claim(&resolved.request).then(|| (resolved.attempt, claim_answer(reply)))
     }
 
     fn next_replica(&mut self) {
@@ -163,17 +166,17 @@
     }
 
     fn send(&mut self, environment: &mut Environment<'_, '_>, position: usize) {
-        self.asked += 1;
+        self.last_message += 1;
         let pending = &mut self.pending[position];
-        pending.asked = self.asked;
+        pending.last_message = self.last_message;
         let (attempt, request) = (pending.attempt, pending.request.clone());
         let (to, message) = if self.replicas == 0 {
-            let message = Message::AskLedger { attempt, request };
+            let message = Message::LedgerRequest { attempt, request };
             (environment.layout.ledger(), message)
         } else {
             let operation = operation(self.incarnation, attempt, request);
             let request = ControlRequest {
-                id: self.asked,
+                id: self.last_message,
                 body: RequestBody::Operations(vec![operation]),
             };
             let message = Message::ControlRequest(Box::new(request));
--- a/crates/bramblewheel-sim/src/requests/layer/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/mod.rs
@@ -98,7 +98,7 @@
     /// A planned stop, followed by a restart.
     StopPlanned {
         /// Time from the end of the stop to the restart.
-        down: Duration,
+        downtime: Duration,
     },
 }
 
--- a/crates/bramblewheel-sim/src/requests/layer/sessions.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/sessions.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub(super) struct Sessions {
     keys: Vec<SessionKey>,
-    signs_with: u32,
+    signing_key: u32,
     zone: ZoneName,
     /// Tokens that this gateway opened, for the unsafe double that accepts no others.
     opened: Option<BTreeSet<String>>,
@@ -27,15 +27,15 @@
         };
         Self {
             keys: (1..=KEY_COUNT).map(key).collect(),
-            signs_with: 1,
+            signing_key: 1,
             zone,
             opened: is_tied_to_daemon.then(BTreeSet::new),
         }
     }
 
     /// Sets the number of the key that signs new sessions.
-    pub(super) fn sign_with(&mut self, number: u32) {
-        self.signs_with = number.clamp(1, KEY_COUNT);
+    pub(super) fn set_signing_key(&mut self, number: u32) {
+        self.signing_key = number.clamp(1, KEY_COUNT);
     }
 
     pub(super) fn open(&mut self, now: Timestamp, random: &mut impl Rng) -> String {
@@ -45,7 +45,7 @@
             criticality: Criticality::Normal,
             random: u128::from(random.next_u64()),
         };
-        let key = &self.keys[self.signs_with as usize - 1];
+        let key = &self.keys[self.signing_key as usize - 1];
         let token = session::mint(key, &session);
         if let Some(opened) = &mut self.opened {
             opened.insert(token.clone());
@@ -53,7 +53,7 @@
         token
     }
 
-    pub(super) fn is_known(&self, token: &str) -> bool {
+    pub(super) fn is_valid(&self, token: &str) -> bool {
         let is_own = self
             .opened
             .as_ref()
--- a/crates/bramblewheel-sim/src/requests/ledger.rs
+++ b/crates/bramblewheel-sim/src/requests/ledger.rs
@@ -1,6 +1,6 @@
 //! The ledger of run-once operations as a single process that answers after the delay of a quorum.
 //!
-//! It replaces the control replicas; daemons talk to it with [`Message::AskLedger`] and
+//! It replaces the control replicas; daemons talk to it with [`Message::LedgerRequest`] and
 //! [`Message::LedgerAnswer`] only.
 
 use super::actor::RequestActor;
@@ -53,7 +53,7 @@
         from: ProcessId,
         message: Message,
     ) {
-        let Message::AskLedger { attempt, request } = message else {
+        let Message::LedgerRequest { attempt, request } = message else {
             return;
         };
         self.received += 1;
--- a/crates/bramblewheel-sim/src/requests/measure.rs
+++ b/crates/bramblewheel-sim/src/requests/measure.rs
@@ -9,8 +9,8 @@
 /// Share of its earlier level that goodput must reach again.
 const RECOVERED_SHARE: f64 = 0.95;
 /// Time for which goodput must stay at that level.
-const STAYS_FOR: Duration = Duration::from_secs(10);
-const CLASSES: usize = Criticality::ALL.len();
+const RECOVERED_FOR: Duration = Duration::from_secs(10);
+const CLASS_COUNT: usize = Criticality::ALL.len();
 
 /// A span of virtual time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,11 +37,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Bucket {
     /// Requests first sent in this bucket.
-    pub offered: [u32; CLASSES],
+    pub offered: [u32; CLASS_COUNT],
     /// The offered requests that were answered whole within their deadline, in this bucket or later.
-    pub good: [u32; CLASSES],
+    pub good: [u32; CLASS_COUNT],
     /// Whole answers within the deadline that arrived in this bucket.
-    pub answered: [u32; CLASSES],
+    pub answered: [u32; CLASS_COUNT],
     /// Sends of the requests first sent in this bucket.
     pub sends: u32,
 }
@@ -118,7 +118,7 @@
     /// fluctuation of arrivals does not count as a drop.
     pub fn recovery_time(&self, before: Window, cause_ends: Timestamp) -> Option<Duration> {
         let level = share(self.within(before));
-        let needed = (STAYS_FOR.as_millis() / BUCKET.as_millis()) as usize;
+        let needed = (RECOVERED_FOR.as_millis() / BUCKET.as_millis()) as usize;
         let after = &self.buckets[bucket_of(cause_ends).min(self.buckets.len())..];
         let mut run = 0;
         for (index, bucket) in after.iter().enumerate() {
--- a/crates/bramblewheel-sim/src/requests/message.rs
+++ b/crates/bramblewheel-sim/src/requests/message.rs
@@ -63,7 +63,7 @@
     /// Content that the answer belongs to, if its body comes from an endpoint.
     pub body: Option<Content>,
     /// Token of the session that the request opened.
-    pub opened: Option<String>,
+    pub session_token: Option<String>,
     /// Whether the token of the request was refused.
     pub session_refused: bool,
 }
@@ -74,7 +74,7 @@
     /// A caller's request.
     Request(Box<RootRequest>),
     /// The caller closed its connection.
-    GiveUp(SendId),
+    CallerDisconnected(SendId),
     /// Answer to a caller.
     Answer(Box<CallerAnswer>),
     /// A call of the direct layer, without bramblewheel.
@@ -82,7 +82,7 @@
         /// Key of the call at the calling machine.
         call: OutCallKey,
         /// Number of the attempt, from 1.
-        tried: u32,
+        attempt_number: u32,
         /// Request to run.
         request: RunRequest,
     },
@@ -91,7 +91,7 @@
         /// Key of the call at the calling machine.
         call: OutCallKey,
         /// Number of the attempt, from 1.
-        tried: u32,
+        attempt_number: u32,
         /// Content that the answer belongs to, if the call succeeded.
         body: Option<Content>,
     },
@@ -118,7 +118,7 @@
     /// The calling daemon closed the attempt's connection.
     AttemptCancelled(AttemptId),
     /// A daemon's request to the ledger; repeated until it is answered.
-    AskLedger {
+    LedgerRequest {
         /// The attempt that needs it.
         attempt: AttemptId,
         /// The request.
@@ -183,14 +183,14 @@
     /// A caller sends again.
     Resend(u64),
     /// A caller stops waiting for a send.
-    GiveUp(SendId),
+    SendTimeout(SendId),
     /// The commit of a ledger request is complete.
     LedgerReady(u64),
     /// The control replica's next wake-up is due.
     Replica,
     /// The drain of a planned stop is complete and the linger time, in which late requests are refused,
     /// has passed.
-    Lingered,
+    LingerEnded,
     /// A refusal that an unsafe double held back is due.
     Parked(u64),
 }
--- a/crates/bramblewheel-sim/src/requests/overload.rs
+++ b/crates/bramblewheel-sim/src/requests/overload.rs
@@ -20,7 +20,7 @@
 /// Factor by which the deep service slows down during the cause.
 pub const SLOWDOWN: f64 = 2.0;
 /// End of the warm-up, which is not measured.
-const SETTLED: Timestamp = Timestamp::from_millis(2_000);
+const WARM_UP_ENDS: Timestamp = Timestamp::from_millis(2_000);
 /// Start of the cause: slow-down and surge.
 pub const CAUSE_BEGINS: Timestamp = Timestamp::from_millis(7_000);
 /// End of the cause.
@@ -30,7 +30,7 @@
 /// By this time every request has been answered or given up.
 const RUN_ENDS: Timestamp = Timestamp::from_millis(42_000);
 /// Interval at which the history is evaluated and dropped from memory.
-const STEP: Duration = Duration::from_millis(500);
+const HISTORY_INTERVAL: Duration = Duration::from_millis(500);
 /// Ratio of the weights of adjacent classes in the bound.
 const CLASS_WEIGHT: f64 = 1e3;
 
@@ -183,7 +183,7 @@
 
 /// Window before the cause, without the warm-up.
 pub const BEFORE: Window = Window {
-    begins: SETTLED,
+    begins: WARM_UP_ENDS,
     ends: CAUSE_BEGINS,
 };
 /// Window of the cause.
@@ -199,7 +199,7 @@
     operations: &mut BTreeMap<OperationKey, u32>,
 ) {
     while run.kernel().now() < until {
-        let next = (run.kernel().now() + STEP).min(until);
+        let next = (run.kernel().now() + HISTORY_INTERVAL).min(until);
         run.run_until(next);
         for entry in run.take_history() {
             if let Fact::Domain(Record::Ran {
--- a/crates/bramblewheel-sim/src/requests/replica.rs
+++ b/crates/bramblewheel-sim/src/requests/replica.rs
@@ -96,15 +96,15 @@
             segment_size: SEGMENT_SIZE,
         };
         let name = format!("control-{}", self.number + 1);
-        let fresh = ReplicaId(self.random.random());
-        let (durable, restored) = Durable::open(self.files.clone(), config, &name, fresh)
+        let new_id = ReplicaId(self.random.random());
+        let (durable, restored) = Durable::open(self.files.clone(), config, &name, new_id)
             .expect("the simulated disk fails only by losing power");
-        let here = ProcessLayout::address(self.process);
+        let own_address = ProcessLayout::address(self.process);
         let address = ReplicaAddress {
             replica: durable.identity().replica.0,
             name,
-            peer: here,
-            service: here,
+            peer: own_address,
+            service: own_address,
         };
         let config = NodeConfig {
             address: address.clone(),
@@ -144,7 +144,7 @@
     ) {
         let body = RequestBody::Bootstrap(request);
         let request = ControlRequest { id: 0, body };
-        self.request(context, self.process, request);
+        self.handle_request(context, self.process, request);
     }
 
     /// Transfers leadership, as the first step of a planned stop.
@@ -163,13 +163,17 @@
         message: Message,
     ) {
         match message {
-            Message::Peer(envelope) => self.peer(context, *envelope),
-            Message::ControlRequest(request) => self.request(context, from, *request),
+            Message::Peer(envelope) => self.handle_peer_message(context, *envelope),
+            Message::ControlRequest(request) => self.handle_request(context, from, *request),
             _ => {}
         }
     }
 
-    fn peer(&mut self, context: &mut Context<'_, RequestActor>, envelope: PeerEnvelope) {
+    fn handle_peer_message(
+        &mut self,
+        context: &mut Context<'_, RequestActor>,
+        envelope: PeerEnvelope,
+    ) {
         let now = now(context);
         let Some(incarnation) = &mut self.incarnation else {
             return;
@@ -185,7 +189,7 @@
         self.drive(context);
     }
 
-    fn request(
+    fn handle_request(
         &mut self,
         context: &mut Context<'_, RequestActor>,
         from: ProcessId,
--- a/crates/bramblewheel-sim/src/requests/scenario/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/mod.rs
@@ -11,4 +11,4 @@
     CallersTable, Direction, Fault, FaultKind, LoadTable, MachineKind, Outcomes, RequestScenario,
     SeenOn, WorldTable,
 };
-pub use run::{RequestRun, held_to, run};
+pub use run::{RequestRun, check_inputs, run};
--- a/crates/bramblewheel-sim/src/requests/scenario/plan.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/plan.rs
@@ -13,7 +13,7 @@
     /// Start.
     pub(super) at: Timestamp,
     /// Duration.
-    pub(super) lasts: Duration,
+    pub(super) duration: Duration,
     /// Size in percent, for faults that have one.
     pub(super) percent: u64,
     /// Lag of the platform's endpoint list.
@@ -33,7 +33,7 @@
             plan.push(Occurrence {
                 fault: index,
                 at: Timestamp::ZERO + fault.at_ms.draw(random),
-                lasts: fault.for_ms.draw(random),
+                duration: fault.for_ms.draw(random),
                 percent: fault.percent.draw(random),
                 list_lag: fault.list_lag_ms.draw(random),
             });
--- a/crates/bramblewheel-sim/src/requests/scenario/run.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/run.rs
@@ -22,9 +22,9 @@
 /// Maximum time after the end of the load for the last requests to end.
 const MAX_SETTLING: Duration = Duration::from_secs(120);
 /// Interval of the checks whether they have ended.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Number of the random stream that selects the targets of faults.
-const TARGETS: u32 = 1 << 16;
+const TARGET_STREAM: u32 = 1 << 16;
 
 /// Result of a run on one seed.
 #[derive(Clone, Debug)]
@@ -61,7 +61,7 @@
         faults.collect(),
         replicas,
         Arc::clone(&bundle),
-        streams.stream(Purpose::Other(TARGETS)),
+        streams.stream(Purpose::Other(TARGET_STREAM)),
     );
     for occurrence in plan::draw(scenario, &mut streams.stream(Purpose::Faults)) {
         world.plan(occurrence);
@@ -79,7 +79,7 @@
     let mut violations = check(&evidence);
     let mut figures = figures::count(&history, &topology);
     figures.insert("events", handled);
-    violations.extend(stated_outcomes(&scenario.outcomes, &figures));
+    violations.extend(check_outcomes(&scenario.outcomes, &figures));
     RequestRun {
         history,
         digest,
@@ -92,7 +92,7 @@
 ///
 /// # Panics
 /// Like [`run`].
-pub fn held_to(scenario: &RequestScenario) -> (Arc<Topology>, Bundle, Bounds) {
+pub fn check_inputs(scenario: &RequestScenario) -> (Arc<Topology>, Bundle, Bounds) {
     let settings = settings(scenario, 0);
     let bundle = Bundle::clone(&settings.layer.bundle);
     (settings.topology, bundle, bounds(&scenario.outcomes))
@@ -108,7 +108,7 @@
         if is_over || until >= latest {
             return;
         }
-        until += LOOK_EVERY;
+        until += SETTLE_POLL_INTERVAL;
     }
 }
 
@@ -157,10 +157,10 @@
 }
 
 /// Checks the outcomes that the scenario requires in addition to the promises.
-fn stated_outcomes(outcomes: &Outcomes, figures: &BTreeMap<&'static str, u64>) -> Vec<Violation> {
+fn check_outcomes(outcomes: &Outcomes, figures: &BTreeMap<&'static str, u64>) -> Vec<Violation> {
     let figure = |name| figures.get(name).copied().unwrap_or(0);
     let mut violations = Vec::new();
-    let mut missed = |message: String| {
+    let mut report_missed = |message: String| {
         violations.push(Violation {
             promise: Promise::Meaningful,
             message,
@@ -169,11 +169,11 @@
     };
     let (all, completed) = (figure("requests"), figure("requests_completed"));
     if completed * 100 < all * outcomes.min_completed_percent {
-        missed(format!("{completed} of {all} requests were completed"));
+        report_missed(format!("{completed} of {all} requests were completed"));
     }
     let unknown = figure("told_unknown") + figure("told_failed") + figure("gave_up");
     if !outcomes.allow_unknown && unknown > 0 {
-        missed(format!(
+        report_missed(format!(
             "{unknown} sends ended unknown, failed or unanswered"
         ));
     }
--- a/crates/bramblewheel-sim/src/requests/scenario/world/listing.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/listing.rs
@@ -1,6 +1,6 @@
 //! The platform's list of endpoints, and endpoints that leave and return.
 
-use super::stops::LOOK_FOR_START;
+use super::stops::START_POLL_INTERVAL;
 use super::{Step, World};
 use crate::kernel::ProcessId;
 use crate::requests::faults::{DrainSeenOn, FaultRecord};
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 impl World {
-    pub(super) fn leave(&mut self, fault: &Fault, occurrence: &Occurrence) {
+    pub(super) fn begin_leaving(&mut self, fault: &Fault, occurrence: &Occurrence) {
         let endpoint = self.endpoint(fault);
         let process = self.simulation.layout().host(endpoint);
         let seen_on = match fault.seen_on {
@@ -26,19 +26,19 @@
             SeenOn::List => DrainSeenOn::List,
         };
         if seen_on == DrainSeenOn::List {
-            self.list(endpoint, true);
+            self.update_directory(endpoint, true);
         } else {
-            self.after(occurrence.list_lag, Step::List(endpoint, true));
+            self.after(occurrence.list_lag, Step::UpdateDirectory(endpoint, true));
         }
         self.record(FaultRecord::Leaving { endpoint, seen_on });
-        let ends = occurrence.lasts;
+        let duration = occurrence.duration;
         let starts = self.simulation.kernel().starts(process);
         let lag = occurrence.list_lag;
         self.after(lag, Step::AwaitStart(endpoint, starts, lag));
         if seen_on == DrainSeenOn::Daemon {
             self.stop_planned(process);
         } else {
-            self.after(ends, Step::StopPlanned(process));
+            self.after(duration, Step::StopPlanned(process));
         }
     }
 
@@ -48,24 +48,24 @@
         let kernel = self.simulation.kernel();
         let has_started = kernel.starts(process) > starts;
         if !has_started {
-            self.after(LOOK_FOR_START, Step::AwaitStart(endpoint, starts, lag));
+            self.after(START_POLL_INTERVAL, Step::AwaitStart(endpoint, starts, lag));
             return;
         }
-        self.list(endpoint, false);
+        self.update_directory(endpoint, false);
         if !lag.is_zero() {
-            self.after(lag, Step::List(endpoint, false));
+            self.after(lag, Step::UpdateDirectory(endpoint, false));
         }
     }
 
     /// Sends every daemon a directory update for an endpoint.
-    pub(super) fn list(&mut self, endpoint: EndpointIndex, is_leaving: bool) {
+    pub(super) fn update_directory(&mut self, endpoint: EndpointIndex, is_leaving: bool) {
         let topology = Arc::clone(self.simulation.topology());
-        let shape = &topology.endpoints[endpoint.0];
+        let spec = &topology.endpoints[endpoint.0];
         let layout = self.simulation.layout();
         let entry = DirectoryEndpoint {
-            endpoint: shape.name.clone(),
-            service: topology.services[shape.service.0].name.clone(),
-            zone: topology.zones[shape.zone.0].clone(),
+            endpoint: spec.name.clone(),
+            service: topology.services[spec.service.0].name.clone(),
+            zone: topology.zones[spec.zone.0].clone(),
             address: ProcessLayout::address(layout.host(endpoint)),
             draining: is_leaving,
         };
@@ -75,7 +75,9 @@
             removed: Vec::new(),
         };
         for process in self.hosts() {
-            self.simulation.host_at(process).set_listed(entry.clone());
+            self.simulation
+                .host_at(process)
+                .set_directory_entry(entry.clone());
             let instruction = Instruction::Directory(update.clone());
             self.simulation.instruct(process, instruction);
         }
--- a/crates/bramblewheel-sim/src/requests/scenario/world/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/mod.rs
@@ -35,14 +35,14 @@
     EndReport(EndpointIndex),
     StopPlanned(ProcessId),
     StopReplica(u32),
-    List(EndpointIndex, bool),
+    UpdateDirectory(EndpointIndex, bool),
     /// Wait until an endpoint has started more often than this count; the platform's list lags by the time.
     AwaitStart(EndpointIndex, u32, Duration),
     /// Begin a planned stop of the machine at this position; the next one follows after the pause.
-    RollOn(usize, Duration),
-    AwaitRoll(usize, ProcessId, u32, Duration),
-    Install(ProcessId),
-    SignSessions(ProcessId),
+    StopNext(usize, Duration),
+    AwaitRestart(usize, ProcessId, u32, Duration),
+    InstallBundle(ProcessId),
+    UseNextSessionKey(ProcessId),
 }
 
 /// The simulated world of a scenario.
@@ -103,7 +103,7 @@
             }
             let step = entry.remove();
             self.simulation.run_until(at);
-            self.carry_out(step);
+            self.execute(step);
         }
         self.simulation.run_until(end);
         !self.steps.is_empty()
@@ -115,7 +115,7 @@
             .record(None, Record::Fault(fault));
     }
 
-    fn carry_out(&mut self, step: Step) {
+    fn execute(&mut self, step: Step) {
         match step {
             Step::Begin(occurrence) => self.begin(occurrence),
             Step::Thaw(process) => self.simulation.kernel_mut().thaw(process),
@@ -132,20 +132,22 @@
             Step::EndReport(endpoint) => self.host(endpoint).set_report_fault(None),
             Step::StopPlanned(process) => self.stop_planned(process),
             Step::StopReplica(replica) => self.stop_replica(replica),
-            Step::List(endpoint, is_leaving) => self.list(endpoint, is_leaving),
+            Step::UpdateDirectory(endpoint, is_leaving) => {
+                self.update_directory(endpoint, is_leaving)
+            }
             Step::AwaitStart(endpoint, starts, lag) => self.await_start(endpoint, starts, lag),
-            Step::RollOn(position, pause) => self.roll_on(position, pause),
-            Step::AwaitRoll(position, process, starts, pause) => {
-                self.await_roll(position, process, starts, pause);
+            Step::StopNext(position, pause) => self.stop_next(position, pause),
+            Step::AwaitRestart(position, process, starts, pause) => {
+                self.await_restart(position, process, starts, pause);
             }
-            Step::Install(process) => self.install(process),
-            Step::SignSessions(process) => self.sign_sessions(process),
+            Step::InstallBundle(process) => self.install_bundle(process),
+            Step::UseNextSessionKey(process) => self.use_next_session_key(process),
         }
     }
 
     fn begin(&mut self, occurrence: Occurrence) {
         let fault = self.faults[occurrence.fault].clone();
-        let lasts = occurrence.lasts;
+        let duration = occurrence.duration;
         match fault.kind {
             FaultKind::Kill | FaultKind::PowerLoss => {
                 let cause = match fault.kind {
@@ -153,35 +155,39 @@
                     _ => StopCause::PowerLost,
                 };
                 let process = self.machine(fault.machine, &fault);
-                self.stop(process, cause, lasts);
+                self.stop(process, cause, duration);
             }
             FaultKind::Freeze => {
                 let process = self.machine(fault.machine, &fault);
                 self.simulation.kernel_mut().freeze(process);
-                self.after(lasts, Step::Thaw(process));
+                self.after(duration, Step::Thaw(process));
             }
-            FaultKind::ZoneCut => self.begin_cut(fault.direction, lasts),
-            FaultKind::Disorder => self.begin_disorder(&fault, lasts),
+            FaultKind::ZoneCut => self.begin_cut(fault.direction, duration),
+            FaultKind::Disorder => self.begin_disorder(&fault, duration),
             FaultKind::Slow => {
                 let service = self.service(&fault);
                 self.set_slow(service, occurrence.percent);
-                self.after(lasts, Step::EndSlow(service));
+                self.after(duration, Step::EndSlow(service));
             }
             FaultKind::Failing => {
                 let service = self.service(&fault);
                 self.set_failing(service, occurrence.percent);
-                self.after(lasts, Step::EndFailing(service));
+                self.after(duration, Step::EndFailing(service));
             }
-            FaultKind::Leaving => self.leave(&fault, &occurrence),
+            FaultKind::Leaving => self.begin_leaving(&fault, &occurrence),
             FaultKind::StopPlanned => {
                 let process = self.machine(fault.machine, &fault);
                 self.stop_planned(process);
             }
-            FaultKind::RollingStop => self.roll_on(0, lasts),
-            FaultKind::FlatteringReport => self.mislead(&fault, ReportFault::Flattering, lasts),
-            FaultKind::AlarmingReport => self.mislead(&fault, ReportFault::Alarming, lasts),
-            FaultKind::NewBundle => self.roll_out(lasts),
-            FaultKind::RotateSessionKey => self.rotate_session_key(lasts),
+            FaultKind::RollingStop => self.stop_next(0, duration),
+            FaultKind::FlatteringReport => {
+                self.begin_report_fault(&fault, ReportFault::Flattering, duration)
+            }
+            FaultKind::AlarmingReport => {
+                self.begin_report_fault(&fault, ReportFault::Alarming, duration)
+            }
+            FaultKind::NewBundle => self.roll_out_bundle(duration),
+            FaultKind::RotateSessionKey => self.rotate_session_key(duration),
         }
     }
 }
--- a/crates/bramblewheel-sim/src/requests/scenario/world/network.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/network.rs
@@ -17,7 +17,7 @@
 }
 
 impl World {
-    pub(super) fn begin_cut(&mut self, direction: Direction, lasts: Duration) {
+    pub(super) fn begin_cut(&mut self, direction: Direction, duration: Duration) {
         let zones = self.simulation.topology().zones.len();
         let zone = ZoneIndex(self.random.random_range(0..zones));
         let drawn = match direction {
@@ -26,20 +26,20 @@
                 1 => Direction::Out,
                 _ => Direction::Both,
             },
-            stated => stated,
+            configured => configured,
         };
         let cut = Cut {
             zone,
             into: drawn != Direction::Out,
             out_of: drawn != Direction::In,
         };
-        let number = self.after(lasts, Step::EndCut(self.next_step + 1));
+        let number = self.after(duration, Step::EndCut(self.next_step + 1));
         self.cuts.insert(number, cut);
         self.apply_network();
     }
 
-    pub(super) fn begin_disorder(&mut self, fault: &Fault, lasts: Duration) {
-        let number = self.after(lasts, Step::EndDisorder(self.next_step + 1));
+    pub(super) fn begin_disorder(&mut self, fault: &Fault, duration: Duration) {
+        let number = self.after(duration, Step::EndDisorder(self.next_step + 1));
         self.disorders.insert(number, disorder_of(fault));
         self.apply_network();
     }
--- a/crates/bramblewheel-sim/src/requests/scenario/world/rollout.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/rollout.rs
@@ -14,7 +14,7 @@
 const NEXT_SESSION_KEY: u32 = 2;
 
 impl World {
-    pub(super) fn roll_out(&mut self, within: Duration) {
+    pub(super) fn roll_out_bundle(&mut self, within: Duration) {
         let mut bundle = Bundle::clone(&self.bundle);
         bundle.version = BundleVersion(bundle.version.0 + 1);
         for service in bundle.services.values_mut() {
@@ -23,11 +23,11 @@
         self.bundle = Arc::new(bundle);
         for process in self.hosts() {
             let wait = within.mul_f64(self.random.random_range(0.0..1.0));
-            self.after(wait, Step::Install(process));
+            self.after(wait, Step::InstallBundle(process));
         }
     }
 
-    pub(super) fn install(&mut self, process: ProcessId) {
+    pub(super) fn install_bundle(&mut self, process: ProcessId) {
         let bundle = Arc::clone(&self.bundle);
         let version = bundle.version.0;
         self.simulation
@@ -41,11 +41,11 @@
     pub(super) fn rotate_session_key(&mut self, within: Duration) {
         for process in self.hosts() {
             let wait = within.mul_f64(self.random.random_range(0.0..1.0));
-            self.after(wait, Step::SignSessions(process));
+            self.after(wait, Step::UseNextSessionKey(process));
         }
     }
 
-    pub(super) fn sign_sessions(&mut self, process: ProcessId) {
+    pub(super) fn use_next_session_key(&mut self, process: ProcessId) {
         let instruction = Instruction::SignSessionsWith(NEXT_SESSION_KEY);
         self.simulation.instruct(process, instruction);
     }
--- a/crates/bramblewheel-sim/src/requests/scenario/world/services.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/services.rs
@@ -17,16 +17,22 @@
 
     pub(super) fn set_failing(&mut self, service: ServiceIndex, percent: u64) {
         for endpoint in self.endpoints_of(service) {
-            self.host(endpoint).set_failing(percent as f64 / 100.0);
+            self.host(endpoint)
+                .set_failure_share(percent as f64 / 100.0);
         }
         self.record(FaultRecord::Failing { service, percent });
     }
 
-    pub(super) fn mislead(&mut self, fault: &Fault, report: ReportFault, lasts: Duration) {
+    pub(super) fn begin_report_fault(
+        &mut self,
+        fault: &Fault,
+        report: ReportFault,
+        duration: Duration,
+    ) {
         let endpoint = self.endpoint(fault);
         self.host(endpoint).set_report_fault(Some(report));
         self.record(FaultRecord::MisleadingReport { endpoint });
-        self.after(lasts, Step::EndReport(endpoint));
+        self.after(duration, Step::EndReport(endpoint));
     }
 
     pub(super) fn host(&mut self, endpoint: EndpointIndex) -> &mut Host {
--- a/crates/bramblewheel-sim/src/requests/scenario/world/stops.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/world/stops.rs
@@ -10,18 +10,18 @@
 /// Time from the end of a planned stop to the restart.
 const RESTART_AFTER: Duration = Duration::from_millis(200);
 /// Interval of the checks whether a stopped process has restarted.
-pub(super) const LOOK_FOR_START: Duration = Duration::from_millis(100);
+pub(super) const START_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time until a daemon's registration as draining has reached all other daemons.
-const REGISTRATION: Duration = Duration::from_millis(300);
+const REGISTRATION_DELAY: Duration = Duration::from_millis(300);
 /// Time that a control replica has to transfer its leadership before it stops.
-const HAND_OVER: Duration = Duration::from_millis(100);
+const HAND_OVER_TIME: Duration = Duration::from_millis(100);
 
 impl World {
     /// Stops a process immediately and restarts it after the given time.
-    pub(super) fn stop(&mut self, process: ProcessId, cause: StopCause, down: Duration) {
+    pub(super) fn stop(&mut self, process: ProcessId, cause: StopCause, downtime: Duration) {
         let kernel = self.simulation.kernel_mut();
         kernel.stop(process, cause);
-        kernel.start_after(process, down);
+        kernel.start_after(process, downtime);
     }
 
     pub(super) fn stop_planned(&mut self, process: ProcessId) {
@@ -29,7 +29,7 @@
             ProcessState::Running => {}
             ProcessState::Frozen => {
                 // A frozen process can't handle the stop request, so it is sent again later.
-                self.after(LOOK_FOR_START, Step::StopPlanned(process));
+                self.after(START_POLL_INTERVAL, Step::StopPlanned(process));
                 return;
             }
             ProcessState::Stopped => return,
@@ -37,20 +37,20 @@
         self.record(FaultRecord::StopPlanned { process });
         if (process.0 as usize) < self.simulation.topology().endpoints.len() {
             let endpoint = EndpointIndex(process.0 as usize);
-            self.after(REGISTRATION, Step::List(endpoint, true));
+            self.after(REGISTRATION_DELAY, Step::UpdateDirectory(endpoint, true));
             let starts = self.simulation.kernel().starts(process);
             let await_start = Step::AwaitStart(endpoint, starts, Duration::ZERO);
-            self.after(LOOK_FOR_START, await_start);
+            self.after(START_POLL_INTERVAL, await_start);
         }
-        let down = RESTART_AFTER;
+        let downtime = RESTART_AFTER;
         self.simulation
-            .instruct(process, Instruction::StopPlanned { down });
+            .instruct(process, Instruction::StopPlanned { downtime });
     }
 
     /// Makes a control replica transfer its leadership, then stops it.
     pub(super) fn hand_over(&mut self, replica: u32) {
         self.simulation.hand_over(replica);
-        self.after(HAND_OVER, Step::StopReplica(replica));
+        self.after(HAND_OVER_TIME, Step::StopReplica(replica));
     }
 
     pub(super) fn stop_replica(&mut self, replica: u32) {
@@ -60,7 +60,7 @@
 
     /// Stops the machine at a position: endpoints, then gateways, then replicas. The next one follows a
     /// pause after this one has restarted.
-    pub(super) fn roll_on(&mut self, position: usize, pause: Duration) {
+    pub(super) fn stop_next(&mut self, position: usize, pause: Duration) {
         let layout = self.simulation.layout();
         let hosts = self.hosts();
         let replica = u32::try_from(position.saturating_sub(hosts.len())).unwrap_or(u32::MAX);
@@ -76,10 +76,10 @@
             None => return,
         };
         let starts = self.simulation.kernel().starts(process);
-        self.await_roll(position, process, starts, pause);
+        self.await_restart(position, process, starts, pause);
     }
 
-    pub(super) fn await_roll(
+    pub(super) fn await_restart(
         &mut self,
         position: usize,
         process: ProcessId,
@@ -87,10 +87,10 @@
         pause: Duration,
     ) {
         if self.simulation.kernel().starts(process) > starts {
-            self.after(pause, Step::RollOn(position + 1, pause));
+            self.after(pause, Step::StopNext(position + 1, pause));
         } else {
-            let step = Step::AwaitRoll(position, process, starts, pause);
-            self.after(LOOK_FOR_START, step);
+            let step = Step::AwaitRestart(position, process, starts, pause);
+            self.after(START_POLL_INTERVAL, step);
         }
     }
 }
--- a/crates/bramblewheel-sim/src/requests/scripted.rs
+++ b/crates/bramblewheel-sim/src/requests/scripted.rs
@@ -57,7 +57,7 @@
     patience: Duration,
     script: Vec<ScriptedSend>,
     open: HashMap<SendId, OpenSend>,
-    told: BTreeMap<SendId, Outcome>,
+    answered_sends: BTreeMap<SendId, Outcome>,
 }
 
 impl ScriptedCallers {
@@ -69,7 +69,7 @@
             patience,
             script,
             open: HashMap::new(),
-            told: BTreeMap::new(),
+            answered_sends: BTreeMap::new(),
         }
     }
 
@@ -82,7 +82,7 @@
     pub(super) fn timer(&mut self, context: &mut Context<'_, RequestActor>, timer: Timer) {
         match timer {
             Timer::Resend(position) => self.send(context, position),
-            Timer::GiveUp(send) => self.give_up(context, send),
+            Timer::SendTimeout(send) => self.give_up(context, send),
             _ => {}
         }
     }
@@ -120,25 +120,25 @@
             operation: request.operation.as_ref().map(|o| o.key.clone()),
         });
         context.send(to, Message::Request(Box::new(request)));
-        context.set_timer(scripted.timeout + self.patience, Timer::GiveUp(send));
+        context.set_timer(scripted.timeout + self.patience, Timer::SendTimeout(send));
         self.open.insert(send, OpenSend { to, position });
     }
 
     pub(super) fn receive(&mut self, context: &mut Context<'_, RequestActor>, message: Message) {
         if let Message::Answer(answer) = message {
-            self.answered(context, *answer);
+            self.handle_answer(context, *answer);
         }
     }
 
-    fn answered(&mut self, context: &mut Context<'_, RequestActor>, answer: CallerAnswer) {
+    fn handle_answer(&mut self, context: &mut Context<'_, RequestActor>, answer: CallerAnswer) {
         let CallerAnswer { send, outcome, .. } = answer;
         let Some(open) = self.open.remove(&send) else {
-            if self.told.contains_key(&send) {
+            if self.answered_sends.contains_key(&send) {
                 context.record(Record::ToldAgain { send });
             }
             return;
         };
-        self.told.insert(send, outcome);
+        self.answered_sends.insert(send, outcome);
         let scripted = &self.script[open.position];
         context.record(Record::Told {
             send,
@@ -174,6 +174,6 @@
             resend: scripted.resend,
             operation: scripted.operation.as_ref().map(|o| o.key.clone()),
         });
-        context.send(open.to, Message::GiveUp(send));
+        context.send(open.to, Message::CallerDisconnected(send));
     }
 }
--- a/crates/bramblewheel-sim/src/requests/simulation.rs
+++ b/crates/bramblewheel-sim/src/requests/simulation.rs
@@ -94,7 +94,7 @@
         let topology = Arc::clone(&self.topology);
         let zones = (0..topology.zones.len()).map(ZoneIndex);
         let endpoints = topology.endpoints.iter().enumerate();
-        let hosts = endpoints.map(|(index, shape)| (shape.zone, Some(EndpointIndex(index))));
+        let hosts = endpoints.map(|(index, spec)| (spec.zone, Some(EndpointIndex(index))));
         let gateways = zones.map(|zone| (zone, None));
         for (zone, endpoint) in hosts.chain(gateways) {
             let host = Host::new(Arc::clone(&topology), zone, endpoint, layer.clone());
--- a/crates/bramblewheel-sim/src/trace/fault.rs
+++ b/crates/bramblewheel-sim/src/trace/fault.rs
@@ -109,8 +109,8 @@
         }
         FaultAction::Freeze(machine) => run.kernel_mut().freeze(machine.process(layout)),
         FaultAction::StopPlanned(machine) => {
-            let down = fault.lasts;
-            let stop = Instruction::StopPlanned { down };
+            let downtime = fault.lasts;
+            let stop = Instruction::StopPlanned { downtime };
             run.instruct(machine.process(layout), stop);
         }
         FaultAction::CutZone(_) => {}
--- a/crates/bramblewheel-sim/tests/request_doubles.rs
+++ b/crates/bramblewheel-sim/tests/request_doubles.rs
@@ -3,7 +3,7 @@
 use bramblewheel_bundle::Bundle;
 use bramblewheel_sim::requests::UnsafeDouble;
 use bramblewheel_sim::requests::check::{Evidence, Promise, check};
-use bramblewheel_sim::requests::scenario::{RequestScenario, held_to, run};
+use bramblewheel_sim::requests::scenario::{RequestScenario, check_inputs, run};
 use bramblewheel_sim::scenario::{Body, built_in, parse as parse_scenario};
 use bramblewheel_types::Criticality;
 
@@ -163,7 +163,7 @@
     );
     let run = run(&scenario, 1, None);
     assert_eq!(run.violations, Vec::new());
-    let (topology, mut bundle, bounds) = held_to(&scenario);
+    let (topology, mut bundle, bounds) = check_inputs(&scenario);
     let promises = |bundle: &Bundle| {
         let evidence = Evidence {
             history: &run.history,
@@ -184,5 +184,5 @@
             };
         }
     }
-    assert!(promises(&bundle).contains(&Promise::ImportantLast));
+    assert!(promises(&bundle).contains(&Promise::ImportantShedLast));
 }
