--- a/crates/bramblewheel-sim/src/requests/bound.rs
+++ b/crates/bramblewheel-sim/src/requests/bound.rs
@@ -69,7 +69,7 @@
     }
 
     /// Highest rate of the usual mix that the slots can serve, in requests per second.
-    pub fn full_rate(&self) -> f64 {
+    pub fn max_rate(&self) -> f64 {
         let mut per_request = vec![0.0; self.topology.services.len()];
         for (flow, spec) in self.topology.flows.iter().enumerate() {
             for (sum, time) in per_request.iter_mut().zip(self.slot_time(flow)) {
@@ -85,7 +85,7 @@
 
     /// Rates by class, in the order of `classes`, that maximise their sum weighted by `weights` when all
     /// flows of a class are admitted in equal shares.
-    pub fn best_even_rates<C: PartialEq>(
+    pub fn best_rates_by_class<C: PartialEq>(
         &self,
         rate: f64,
         flow_classes: &[C],
--- a/crates/bramblewheel-sim/src/requests/overload.rs
+++ b/crates/bramblewheel-sim/src/requests/overload.rs
@@ -36,7 +36,7 @@
 
 /// The experiment for one deployment and its bundle.
 #[derive(Clone, Debug)]
-pub struct Subject {
+pub struct OverloadExperiment {
     /// The deployment.
     pub topology: Arc<Topology>,
     /// Its bundle.
@@ -59,7 +59,7 @@
     pub digest: HistoryDigest,
 }
 
-impl Subject {
+impl OverloadExperiment {
     /// The service that slows down: the one with the most calling services.
     pub fn deep_service(&self) -> ServiceIndex {
         let services = 0..self.topology.services.len();
@@ -84,7 +84,7 @@
 
     /// Demand outside the surge, in requests per second.
     pub fn base_rate(&self) -> f64 {
-        Capacity::new(&self.topology).full_rate() * BASE_LOAD
+        Capacity::new(&self.topology).max_rate() * BASE_LOAD
     }
 
     /// Distinct classes of the flows, the most important first.
@@ -106,7 +106,7 @@
         let weights: Vec<f64> = classes.iter().map(|class| weight(*class)).collect();
         let rate = self.base_rate() * surge;
         self.capacity_during_cause()
-            .best_even_rates(rate, &self.classes(), &classes, &weights)
+            .best_rates_by_class(rate, &self.classes(), &classes, &weights)
     }
 
     /// Sum of the highest rates if the cheap flows of each class went first.
--- a/crates/bramblewheel-sim/src/requests/overload_scenario.rs
+++ b/crates/bramblewheel-sim/src/requests/overload_scenario.rs
@@ -1,7 +1,7 @@
 //! Scenarios of kind `overload`: a deployment under a surge, with required outcomes.
 
 use super::layer::LayerKind;
-use super::overload::{BEFORE, CAUSE, CAUSE_ENDS, OverloadRun, Subject};
+use super::overload::{BEFORE, CAUSE, CAUSE_ENDS, OverloadExperiment, OverloadRun};
 use super::topology::{Topology, ZoneIndex};
 use crate::deployment;
 use crate::run::{Figures, SeedReport, ViolationReport};
@@ -26,7 +26,7 @@
     ///
     /// # Panics
     /// If the embedded example files are invalid; a test parses both.
-    pub fn subject(self) -> Subject {
+    pub fn experiment(self) -> OverloadExperiment {
         let (deployment, bundle) = match self {
             Self::Torgnett => (
                 include_str!("../../../../examples/deployments/torgnett.toml"),
@@ -40,7 +40,7 @@
         let deployment = deployment::parse("deployment", deployment);
         let bundle = bramblewheel_bundle::parse("bundle", bundle);
         let deployment = deployment.expect("the example deployment is valid");
-        Subject {
+        OverloadExperiment {
             topology: Arc::new(Topology::new(&deployment)),
             bundle: Arc::new(bundle.expect("the example bundle is valid")),
         }
@@ -111,8 +111,8 @@
     }
 
     fn zone_index(&self, zone: &ZoneName) -> Option<ZoneIndex> {
-        let subject = self.overload.deployment.subject();
-        let mut zones = subject.topology.zones.iter();
+        let experiment = self.overload.deployment.experiment();
+        let mut zones = experiment.topology.zones.iter();
         zones.position(|other| other == zone).map(ZoneIndex)
     }
 
@@ -123,17 +123,17 @@
 
     /// Like [`run`](Self::run), with any layer.
     pub fn run_with(&self, layer: LayerKind, seed: u64) -> SeedReport {
-        let subject = self.overload.deployment.subject();
+        let experiment = self.overload.deployment.experiment();
         let cut_zone = self.overload.cut_zone.as_ref();
         let cut_zone = cut_zone.and_then(|zone| self.zone_index(zone));
         let surge = self.overload.surge;
-        let run = subject.run(layer, surge, seed, |simulation, begins| {
+        let run = experiment.run(layer, surge, seed, |simulation, begins| {
             match cut_zone.filter(|_| begins) {
                 Some(zone) => simulation.cut_zone(zone),
                 None => simulation.heal(),
             }
         });
-        let bound = subject.bound(surge).iter().sum();
+        let bound = experiment.bound(surge).iter().sum();
         SeedReport {
             seed,
             digest: run.digest,
--- a/crates/bramblewheel-sim/tests/overload.rs
+++ b/crates/bramblewheel-sim/tests/overload.rs
@@ -1,4 +1,4 @@
-//! The overload experiment, its bound, and that its checks can fail.
+//! The overload experiment and its bound; a naive layer must miss the required outcomes.
 
 use bramblewheel_sim::requests::bound::maximise;
 use bramblewheel_sim::requests::overload_scenario::ExampleName;
@@ -6,8 +6,8 @@
 use bramblewheel_sim::scenario::{Body, built_in};
 
 #[test]
-fn the_bound_uses_what_is_scarce_for_what_counts_most() {
-    // Two kinds of requests share one resource of 10; the first takes 2 and counts 5.
+fn the_bound_gives_scarce_capacity_to_the_highest_gain() {
+    // Two kinds of requests share a capacity of 10; the first needs 2 per request and has weight 5.
     let limits = [
         (vec![2.0, 1.0], 10.0),
         (vec![1.0, 0.0], 3.0),
@@ -19,34 +19,34 @@
 }
 
 #[test]
-fn without_overload_the_bound_is_what_is_offered() {
+fn the_bound_equals_the_offered_rate_without_overload() {
     for name in [ExampleName::Torgnett, ExampleName::Museum] {
-        let subject = name.subject();
-        let bound: f64 = subject.bound(0.5).iter().sum();
-        assert!((bound - subject.base_rate() * 0.5).abs() < 1e-6);
-        let most: f64 = subject.bound(10.0).iter().sum();
-        assert!(most <= subject.bound_cheap_first(10.0) + 1e-6);
-        assert!(subject.bound_cheap_first(10.0) <= subject.bound_any_class(10.0) + 1e-6);
+        let experiment = name.experiment();
+        let bound: f64 = experiment.bound(0.5).iter().sum();
+        assert!((bound - experiment.base_rate() * 0.5).abs() < 1e-6);
+        let most: f64 = experiment.bound(10.0).iter().sum();
+        assert!(most <= experiment.bound_cheap_first(10.0) + 1e-6);
+        assert!(experiment.bound_cheap_first(10.0) <= experiment.bound_any_class(10.0) + 1e-6);
     }
 }
 
 fn torgnett_metastable() -> Box<OverloadScenario> {
-    let built_in = built_in("torgnett-metastable").expect("the scenario is there");
-    let scenario = built_in.scenario().expect("it is valid");
+    let built_in = built_in("torgnett-metastable").expect("the scenario is built in");
+    let scenario = built_in.scenario().expect("the scenario is valid");
     let Body::Overload(scenario) = scenario.body else {
-        panic!("the scenario is of another kind");
+        panic!("the scenario is not of kind overload");
     };
     scenario
 }
 
 #[test]
-fn bramblewheel_holds_the_outcomes_of_the_metastable_scenario() {
+fn bramblewheel_meets_the_outcomes_of_torgnett_metastable() {
     let report = torgnett_metastable().run(7);
     assert!(report.violations.is_empty(), "{report}");
 }
 
 #[test]
-fn a_naive_layer_breaks_them() {
+fn a_naive_layer_misses_the_outcomes_of_torgnett_metastable() {
     let report = torgnett_metastable().run_with(LayerKind::Naive, 7);
     let promises: Vec<&str> = report
         .violations
--- a/crates/bramblewheel-sim/tests/request_doubles.rs
+++ b/crates/bramblewheel-sim/tests/request_doubles.rs
@@ -1,4 +1,4 @@
-//! Each checker reports the unsafe daemon that breaks its promise.
+//! Each checker reports the unsafe double that breaks its promise.
 
 use bramblewheel_bundle::Bundle;
 use bramblewheel_sim::requests::UnsafeDouble;
@@ -7,18 +7,20 @@
 use bramblewheel_sim::scenario::{Body, built_in, parse as parse_scenario};
 use bramblewheel_types::Criticality;
 
-/// Seeds of which at least one must show the violation.
+/// Number of seeds, at least one of which must show the violation.
 const SEEDS: u64 = 10;
 
-/// Whether a scenario breaks a promise on one of the seeds.
+/// Whether a scenario breaks a promise on any of the seeds.
 fn is_broken(scenario: &RequestScenario, double: Option<UnsafeDouble>, promise: Promise) -> bool {
     (1..=SEEDS).any(|seed| {
         let violations = run(scenario, seed, double).violations;
-        violations.iter().any(|found| found.promise == promise)
+        violations
+            .iter()
+            .any(|violation| violation.promise == promise)
     })
 }
 
-fn is_caught(scenario: &RequestScenario, double: UnsafeDouble, promise: Promise) {
+fn assert_caught(scenario: &RequestScenario, double: UnsafeDouble, promise: Promise) {
     assert!(
         is_broken(scenario, Some(double), promise),
         "{double:?} does not break {promise}"
@@ -29,23 +31,23 @@
     );
 }
 
-fn is_caught_in(name: &str, double: UnsafeDouble, promise: Promise) {
+fn assert_caught_in(name: &str, double: UnsafeDouble, promise: Promise) {
     let scenario = built_in(name).expect(name).scenario().expect(name);
     let Body::Requests(scenario) = scenario.body else {
-        panic!("{name} is of another kind");
+        panic!("{name} is not of kind requests");
     };
-    is_caught(&scenario, double, promise);
+    assert_caught(&scenario, double, promise);
 }
 
 fn parse(text: &str) -> RequestScenario {
     match parse_scenario("test", text).expect("a valid scenario").body {
         Body::Requests(scenario) => *scenario,
-        Body::Control(_) | Body::Overload(_) => panic!("the text is of kind requests"),
+        Body::Control(_) | Body::Overload(_) => panic!("the scenario is not of kind requests"),
     }
 }
 
 #[test]
-fn retries_at_every_hop_break_the_bound() {
+fn retries_at_every_hop_exceed_the_retry_bound() {
     let scenario = parse(
         r#"
         name = "test"
@@ -66,53 +68,53 @@
         for_ms = 60000
         "#,
     );
-    is_caught(&scenario, UnsafeDouble::RetryPerHop, Promise::RetryBound);
+    assert_caught(&scenario, UnsafeDouble::RetryPerHop, Promise::RetryBound);
 }
 
 #[test]
-fn a_claim_after_the_dispatch_lets_an_operation_run_twice() {
+fn claiming_after_dispatch_runs_an_operation_twice() {
     let double = UnsafeDouble::ClaimAfterDispatch;
-    is_caught_in("run-once-resend", double, Promise::RunAtMostOnce);
+    assert_caught_in("run-once-resend", double, Promise::RunAtMostOnce);
 }
 
 #[test]
-fn a_guess_on_a_timeout_is_no_truth() {
+fn reporting_not_run_on_a_timeout_breaks_not_run_truth() {
     let double = UnsafeDouble::NotRunOnTimeout;
-    is_caught_in("not-run-truth", double, Promise::NotRunTruth);
+    assert_caught_in("not-run-truth", double, Promise::NotRunTruth);
 }
 
 #[test]
-fn answers_matched_by_order_go_to_others() {
+fn answers_matched_by_order_reach_the_wrong_caller() {
     let double = UnsafeDouble::MatchByOrder;
-    is_caught_in("late-reordered-answers", double, Promise::OwnWholeAnswer);
+    assert_caught_in("late-reordered-answers", double, Promise::OwnWholeAnswer);
 }
 
 #[test]
-fn shedding_the_newest_sheds_the_important() {
+fn shedding_the_newest_breaks_the_priority_of_classes() {
     let double = UnsafeDouble::ShedNewest;
-    is_caught_in("priority-under-surge", double, Promise::PriorityKept);
+    assert_caught_in("priority-under-surge", double, Promise::PriorityKept);
 }
 
 #[test]
-fn refusals_held_back_are_late() {
+fn refusals_held_until_the_deadline_are_reported_as_late() {
     let double = UnsafeDouble::ParkedRefusals;
-    is_caught_in("priority-under-surge", double, Promise::AnsweredAtOnce);
+    assert_caught_in("priority-under-surge", double, Promise::AnsweredAtOnce);
 }
 
 #[test]
-fn sessions_tied_to_a_daemon_are_lost_with_it() {
+fn sessions_tied_to_one_daemon_are_refused() {
     let double = UnsafeDouble::SessionTiedToDaemon;
-    is_caught_in("sessions-through-surge", double, Promise::SessionsKept);
+    assert_caught_in("sessions-through-surge", double, Promise::SessionsKept);
 }
 
 #[test]
-fn two_answers_are_one_too_many() {
+fn answering_a_send_twice_is_reported() {
     let double = UnsafeDouble::AnswerTwice;
-    is_caught_in("daemon-killed-mid-call", double, Promise::AnsweredOnce);
+    assert_caught_in("daemon-killed-mid-call", double, Promise::AnsweredOnce);
 }
 
 #[test]
-fn a_stop_without_drain_interrupts_runs() {
+fn stopping_without_drain_interrupts_runs() {
     let scenario = parse(
         r#"
         name = "test"
@@ -130,18 +132,18 @@
         "#,
     );
     let promise = Promise::StopInterruptsNothing;
-    is_caught(&scenario, UnsafeDouble::StopWithoutDrain, promise);
+    assert_caught(&scenario, UnsafeDouble::StopWithoutDrain, promise);
 }
 
 #[test]
-fn an_ignored_drain_sends_work_to_a_leaving_endpoint() {
+fn ignoring_a_drain_sends_work_to_a_leaving_endpoint() {
     let double = UnsafeDouble::IgnoreDrain;
     let name = "endpoint-leaving-lagging-list";
-    is_caught_in(name, double, Promise::LeavingLeftAlone);
+    assert_caught_in(name, double, Promise::LeavingLeftAlone);
 }
 
 #[test]
-fn classes_the_other_way_round_are_not_served_best() {
+fn swapped_classes_break_the_order_of_completed_shares() {
     let scenario = parse(
         r#"
         name = "test"
@@ -172,7 +174,9 @@
             bounds,
         };
         let violations = check(&evidence).into_iter();
-        violations.map(|found| found.promise).collect::<Vec<_>>()
+        violations
+            .map(|violation| violation.promise)
+            .collect::<Vec<_>>()
     };
     assert_eq!(promises(&bundle), Vec::new());
     for service in bundle.services.values_mut() {
--- a/crates/bramblewheel-sim/tests/request_scenarios.rs
+++ b/crates/bramblewheel-sim/tests/request_scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios of kind `requests` hold on many seeds. For more of them:
+//! The built-in scenarios of kind `requests` hold on many seeds. To run more seeds:
 //! `bramblewheel-lab sim run NAME --seeds 0..2000`.
 
 use bramblewheel_sim::run::{SeedReport, run_seed};
@@ -7,11 +7,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 const SEEDS: u64 = 200;
-/// Seeds that are printed.
+/// Maximum number of failed seeds that are printed.
 const MAX_SHOWN: usize = 5;
 
-/// Runs seeds on all cores and hands each run to `take`, in no particular order.
-fn run_seeds(scenario: &Scenario, seeds: u64, take: impl Fn(SeedReport) + Sync) {
+/// Runs the seeds on up to six threads and passes each report to `handle`, in no particular order.
+fn run_seeds(scenario: &Scenario, seeds: u64, handle: impl Fn(SeedReport) + Sync) {
     let next = AtomicU64::new(1);
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get().min(6));
     std::thread::scope(|scope| {
@@ -22,17 +22,17 @@
                     if seed > seeds {
                         return;
                     }
-                    take(run_seed(scenario, seed));
+                    handle(run_seed(scenario, seed));
                 }
             });
         }
     });
 }
 
-fn holds(name: &str, seeds: u64) {
+fn assert_holds(name: &str, seeds: u64) {
     let scenario = built_in(name).expect(name).scenario().expect(name);
     let Body::Requests(body) = &scenario.body else {
-        panic!("{name} is of another kind");
+        panic!("{name} is not of kind requests");
     };
     let totals = std::sync::Mutex::new(BTreeMap::new());
     let failures = std::sync::Mutex::new(Vec::new());
@@ -54,67 +54,70 @@
     );
     assert!(
         failures.is_empty(),
-        "{name}: not held on {} seeds\n{}",
+        "{name}: violated on {} seeds\n{}",
         failures.len(),
         failures[..failures.len().min(MAX_SHOWN)].join("\n")
     );
-    for shown in &body.outcomes.shows {
-        let total = totals.get(shown.as_str()).copied().unwrap_or(0);
-        assert!(total > 0, "{name} never shows {shown}: {totals:?}");
+    for figure in &body.outcomes.shows {
+        let total = totals.get(figure.as_str()).copied().unwrap_or(0);
+        assert!(
+            total > 0,
+            "{name}: the total of figure {figure} is 0: {totals:?}"
+        );
     }
 }
 
 #[test]
 fn not_run_truth() {
-    holds("not-run-truth", SEEDS);
+    assert_holds("not-run-truth", SEEDS);
 }
 
 #[test]
 fn run_once_resend() {
-    holds("run-once-resend", SEEDS);
+    assert_holds("run-once-resend", SEEDS);
 }
 
 #[test]
 fn retry_bound_deep() {
-    holds("retry-bound-deep", SEEDS);
+    assert_holds("retry-bound-deep", SEEDS);
 }
 
 #[test]
 fn daemon_killed_mid_call() {
-    holds("daemon-killed-mid-call", SEEDS);
+    assert_holds("daemon-killed-mid-call", SEEDS);
 }
 
 #[test]
 fn late_reordered_answers() {
-    holds("late-reordered-answers", SEEDS);
+    assert_holds("late-reordered-answers", SEEDS);
 }
 
 #[test]
 fn priority_under_surge() {
-    holds("priority-under-surge", SEEDS);
+    assert_holds("priority-under-surge", SEEDS);
 }
 
 #[test]
 fn sessions_through_surge() {
-    holds("sessions-through-surge", SEEDS);
+    assert_holds("sessions-through-surge", SEEDS);
 }
 
 #[test]
 fn misleading_load_reports() {
-    holds("misleading-load-reports", SEEDS);
+    assert_holds("misleading-load-reports", SEEDS);
 }
 
 #[test]
 fn endpoint_leaving_lagging_list() {
-    holds("endpoint-leaving-lagging-list", SEEDS);
+    assert_holds("endpoint-leaving-lagging-list", SEEDS);
 }
 
 #[test]
 fn planned_stop() {
-    holds("planned-stop", SEEDS);
+    assert_holds("planned-stop", SEEDS);
 }
 
 #[test]
 fn request_chaos() {
-    holds("request-chaos", SEEDS);
+    assert_holds("request-chaos", SEEDS);
 }
--- a/crates/bramblewheel-sim/tests/requests.rs
+++ b/crates/bramblewheel-sim/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests through whole deployments in virtual time.
+//! Simulated requests through whole deployments.
 
 use bramblewheel_bundle::Bundle;
 use bramblewheel_sim::deployment;
@@ -46,17 +46,17 @@
     }
 }
 
-fn finished(settings: &RequestSettings) -> RequestSimulation {
+fn run_to_end(settings: &RequestSettings) -> RequestSimulation {
     let mut run = RequestSimulation::new(settings);
     run.run_until(Timestamp::from_millis(20_000));
     run
 }
 
 #[test]
-fn light_load_is_served_whole_by_every_layer() {
+fn every_layer_completes_all_requests_under_light_load() {
     for files in [TORGNETT, MUSEUM] {
         for kind in LayerKind::ALL {
-            let run = finished(&settings(files, kind, 200.0, 1.0));
+            let run = run_to_end(&settings(files, kind, 200.0, 1.0));
             let topology = Arc::clone(run.topology());
             let good = run.results().filter(|r| r.is_good(&topology)).count();
             let all = run.results().count();
@@ -67,18 +67,18 @@
 }
 
 #[test]
-fn one_seed_gives_one_run() {
+fn equal_seeds_give_equal_digests() {
     let settings = settings(TORGNETT, LayerKind::Bramblewheel, 300.0, 10.0);
-    let first = finished(&settings).kernel().digest();
-    assert_eq!(first, finished(&settings).kernel().digest());
+    let first = run_to_end(&settings).kernel().digest();
+    assert_eq!(first, run_to_end(&settings).kernel().digest());
     let other = RequestSettings {
         seed: 8,
         ..settings
     };
-    assert_ne!(first, finished(&other).kernel().digest());
+    assert_ne!(first, run_to_end(&other).kernel().digest());
 }
 
-/// Starts of each run-once operation at endpoints.
+/// Number of runs of each run-once operation.
 fn runs_by_operation(run: &mut RequestSimulation) -> BTreeMap<OperationKey, u32> {
     let mut runs = BTreeMap::new();
     for entry in run.take_history() {
@@ -94,19 +94,19 @@
 }
 
 #[test]
-fn operations_run_once_with_bramblewheel_and_more_often_without() {
-    let mut run = finished(&settings(TORGNETT, LayerKind::Bramblewheel, 900.0, 6.0));
+fn run_once_operations_run_once_with_bramblewheel_and_repeatedly_with_the_naive_layer() {
+    let mut run = run_to_end(&settings(TORGNETT, LayerKind::Bramblewheel, 900.0, 6.0));
     let runs = runs_by_operation(&mut run);
     assert!(runs.len() > 300, "{} operations", runs.len());
     assert!(runs.values().all(|count| *count == 1));
 
-    let mut run = finished(&settings(TORGNETT, LayerKind::Naive, 900.0, 6.0));
+    let mut run = run_to_end(&settings(TORGNETT, LayerKind::Naive, 900.0, 6.0));
     assert!(runs_by_operation(&mut run).values().any(|count| *count > 1));
 }
 
 #[test]
-fn every_send_is_told_or_given_up_once() {
-    let mut run = finished(&settings(MUSEUM, LayerKind::Bramblewheel, 500.0, 8.0));
+fn every_send_is_answered_or_given_up_exactly_once() {
+    let mut run = run_to_end(&settings(MUSEUM, LayerKind::Bramblewheel, 500.0, 8.0));
     let mut open = BTreeMap::new();
     let mut refused = 0;
     for entry in run.take_history() {
@@ -133,11 +133,11 @@
         }
     }
     assert!(open.is_empty());
-    assert!(refused > 0, "the run has no overload");
+    assert!(refused > 0, "no send was refused: the run has no overload");
 }
 
 #[test]
-fn a_zone_that_is_cut_off_and_healed_serves_again() {
+fn all_requests_complete_again_after_a_zone_cut_is_healed() {
     let mut settings = settings(TORGNETT, LayerKind::Bramblewheel, 300.0, 1.0);
     settings.load.ends = Timestamp::from_millis(12_000);
     let mut run = RequestSimulation::new(&settings);
--- a/crates/bramblewheel-sim/tests/unsafe_doubles.rs
+++ b/crates/bramblewheel-sim/tests/unsafe_doubles.rs
@@ -1,4 +1,4 @@
-//! Each checker reports the unsafe behaviour that it is there for.
+//! Each checker of kind `control` reports the unsafe double that breaks its promise.
 
 use bramblewheel_sim::control::check::Promise;
 use bramblewheel_sim::control::{self, UnsafeDouble};
@@ -7,7 +7,7 @@
 
 const SEEDS: u64 = 20;
 
-/// Replicas lag behind each other, and daemons change from one to the other.
+/// Lost and reordered messages make replicas lag, so that daemons switch between replicas.
 const MANY_CHANGES_IN_DISORDER: &str = r#"
 name = "many-changes-in-disorder"
 kind = "control"
@@ -31,35 +31,38 @@
 in_force_within_ms = 18000
 "#;
 
-/// Seeds of a scenario on which a double makes the checker of a promise report.
-fn reported(text: &str, double: UnsafeDouble, promise: Promise) -> Vec<u64> {
-    let scenario = parse("scenario.toml", text).expect("the file is valid");
+/// Seeds of a scenario on which a double breaks a promise and its checker reports it.
+fn seeds_with_violation(text: &str, double: UnsafeDouble, promise: Promise) -> Vec<u64> {
+    let scenario = parse("scenario.toml", text).expect("the scenario is valid");
     let Body::Control(scenario) = scenario.body else {
-        panic!("the scenario is of another kind");
+        panic!("the scenario is not of kind control");
     };
-    let wanted = promise.to_string();
+    let promise_name = promise.to_string();
     let is_reported = |seed: &u64| {
         let run = control::run(&scenario, *seed, Some(double));
         let report = report_control(&scenario, *seed, &run);
         let mut violations = report.violations.iter();
-        violations.any(|violation| violation.promise == wanted)
+        violations.any(|violation| violation.promise == promise_name)
     };
     (0..SEEDS).filter(is_reported).collect()
 }
 
-fn is_reported(scenario: &str, double: UnsafeDouble, promise: Promise) {
-    let built_in = built_in(scenario).expect("the scenario is there");
-    let seeds = reported(built_in.text, double, promise);
+fn assert_reported(scenario: &str, double: UnsafeDouble, promise: Promise) {
+    let built_in = built_in(scenario).expect("the scenario is built in");
+    let seeds = seeds_with_violation(built_in.text, double, promise);
     println!(
         "{double:?}: {promise} reported on {} of {SEEDS} seeds",
         seeds.len()
     );
-    assert!(!seeds.is_empty(), "{double:?} breaks {promise} unseen");
+    assert!(
+        !seeds.is_empty(),
+        "no seed reports that {double:?} breaks {promise}"
+    );
 }
 
 #[test]
-fn unsynced_replicas_lose_what_was_accepted() {
-    is_reported(
+fn unsynced_replicas_lose_accepted_bundles() {
+    assert_reported(
         "control-chaos",
         UnsafeDouble::UnsyncedReplica,
         Promise::AcceptedNeverLost,
@@ -68,7 +71,7 @@
 
 #[test]
 fn unsynced_replicas_leave_folders_unreadable() {
-    is_reported(
+    assert_reported(
         "torn-write",
         UnsafeDouble::UnsyncedReplica,
         Promise::SyncedStaysReadable,
@@ -76,8 +79,8 @@
 }
 
 #[test]
-fn a_lost_identity_that_comes_back_is_seen() {
-    is_reported(
+fn reuse_of_a_lost_identity_is_reported() {
+    assert_reported(
         "replica-disk-lost",
         UnsafeDouble::IdentityReuse,
         Promise::LostIdentityNeverVotes,
@@ -85,8 +88,8 @@
 }
 
 #[test]
-fn acceptance_before_commit_loses_what_was_accepted() {
-    is_reported(
+fn accepting_before_commit_loses_accepted_bundles() {
+    assert_reported(
         "operators-race",
         UnsafeDouble::AcceptBeforeCommit,
         Promise::AcceptedNeverLost,
@@ -94,8 +97,8 @@
 }
 
 #[test]
-fn acceptance_before_commit_accepts_two_bundles_of_one_version() {
-    is_reported(
+fn accepting_before_commit_accepts_two_bundles_of_one_version() {
+    assert_reported(
         "operators-race",
         UnsafeDouble::AcceptBeforeCommit,
         Promise::OneDigestPerVersion,
@@ -103,8 +106,8 @@
 }
 
 #[test]
-fn the_last_writer_does_not_win() {
-    is_reported(
+fn last_writer_wins_accepts_two_bundles_of_one_version() {
+    assert_reported(
         "operators-race",
         UnsafeDouble::LastWriterWins,
         Promise::OneDigestPerVersion,
@@ -112,8 +115,8 @@
 }
 
 #[test]
-fn answers_without_a_lease_keep_daemons_behind() {
-    is_reported(
+fn answers_without_a_lease_delay_bundles_on_daemons() {
+    assert_reported(
         "replica-silent-cutoff",
         UnsafeDouble::AnswersWithoutLease,
         Promise::InForceInTime,
@@ -121,18 +124,21 @@
 }
 
 #[test]
-fn a_daemon_that_takes_older_bundles_is_seen() {
-    let seeds = reported(
+fn a_daemon_that_installs_older_bundles_is_reported() {
+    let seeds = seeds_with_violation(
         MANY_CHANGES_IN_DISORDER,
         UnsafeDouble::DaemonTakesOlder,
         Promise::OrderNeverGoesBack,
     );
-    assert!(!seeds.is_empty(), "older bundles are taken unseen");
+    assert!(
+        !seeds.is_empty(),
+        "no seed reports that older bundles are installed"
+    );
 }
 
 #[test]
-fn a_daemon_that_uses_before_sync_goes_back() {
-    is_reported(
+fn a_daemon_that_uses_bundles_before_sync_returns_to_an_older_one() {
+    assert_reported(
         "torn-write",
         UnsafeDouble::UnsyncedDaemon,
         Promise::OrderNeverGoesBack,
