--- a/crates/bramblewheel-sim/src/requests/check/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/check/mod.rs
@@ -108,7 +108,7 @@
     pub bounds: Bounds,
 }
 
-/// Returns all violations.
+/// Returns all violations, in the order of [`Promise`].
 pub fn check(evidence: &Evidence<'_>) -> Vec<Violation> {
     let facts = Facts::new(evidence.history);
     let mut violations = Vec::new();
