--- a/crates/bramblewheel-sim/src/requests/callers.rs
+++ b/crates/bramblewheel-sim/src/requests/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of one zone: an open loop of new requests, and hard retries.
+//! Callers of one zone: an open loop of new requests, with aggressive resends.
 
 use super::actor::RequestActor;
 use super::layer::LayerKind;
@@ -16,26 +16,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bits of a send's or request's number that count within one zone's callers.
+/// Low bits of a send's or request's number, which count within one zone; the high bits are the zone.
 const NUMBER_BITS: u32 = 40;
 
-/// What became of one request of a person.
+/// Result of one request of a person.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestResult {
-    /// Kind of request.
+    /// Flow of the request.
     pub flow: FlowIndex,
     /// When it was first sent.
     pub began: Timestamp,
-    /// When the whole answer came, if one came.
+    /// When the whole answer arrived, if it did.
     pub completed: Option<Timestamp>,
-    /// Times that it was sent.
+    /// Number of sends.
     pub sends: u32,
-    /// Id of the send that was answered in full, or of the last one.
+    /// Request id of the send that was answered in full, or of the last one.
     pub request: RequestId,
 }
 
 impl RequestResult {
-    /// Whether the whole answer came within the deadline.
+    /// Whether the whole answer arrived within the deadline.
     pub fn is_good(&self, topology: &Topology) -> bool {
         let deadline = Duration::from_millis(topology.flows[self.flow.0].model.deadline_ms);
         self.completed
@@ -49,14 +49,14 @@
     caller: String,
     has_id: bool,
     in_session: bool,
-    /// Which of the zone's sessions, if they have tokens.
+    /// Position among the zone's sessions, if sessions have tokens.
     session: Option<usize>,
     operation: Option<Operation>,
     resend: u32,
     /// Whether no connection could be opened for the last send.
     is_unsent: bool,
-    /// Where it was sent last.
-    last: Option<ProcessId>,
+    /// Destination of the last send.
+    last_destination: Option<ProcessId>,
 }
 
 #[derive(Debug)]
@@ -78,15 +78,15 @@
     behaviour: CallerBehaviour,
     people: BTreeMap<u64, Person>,
     sends: HashMap<SendId, OpenSend>,
-    told: HashSet<SendId>,
-    /// Tokens of the zone's sessions, none before they are opened.
+    answered_sends: HashSet<SendId>,
+    /// Tokens of the zone's sessions; `None` until a session is opened.
     sessions: Vec<Option<String>>,
-    numbers: u64,
+    last_number: u64,
     results: Vec<RequestResult>,
 }
 
 impl Callers {
-    /// Callers of a zone; `load` is that of all zones together.
+    /// Callers of a zone; `load` is the load of all zones together.
     pub fn new(
         topology: Arc<Topology>,
         zone: ZoneIndex,
@@ -103,29 +103,29 @@
             behaviour,
             people: BTreeMap::new(),
             sends: HashMap::new(),
-            told: HashSet::new(),
+            answered_sends: HashSet::new(),
             sessions: vec![None; behaviour.sessions_per_zone as usize],
-            numbers: (zone.0 as u64) << NUMBER_BITS,
+            last_number: (zone.0 as u64) << NUMBER_BITS,
             results: Vec::new(),
         }
     }
 
-    /// Results of requests that are over, and of those still in progress as far as they are.
+    /// Results of finished requests, and the results so far of those in progress.
     pub fn results(&self) -> impl Iterator<Item = &RequestResult> {
         let open = self.people.values().map(|person| &person.result);
         self.results.iter().chain(open)
     }
 
-    /// Requests that are not over.
+    /// Number of requests in progress.
     pub fn open(&self) -> usize {
         self.people.len()
     }
 
     pub(super) fn start(&mut self, context: &mut Context<'_, RequestActor>) {
-        self.wait_for_arrival(context);
+        self.schedule_arrival(context);
     }
 
-    fn wait_for_arrival(&mut self, context: &mut Context<'_, RequestActor>) {
+    fn schedule_arrival(&mut self, context: &mut Context<'_, RequestActor>) {
         let rate = self.load.peak_rate() / self.topology.zones.len() as f64;
         let wait = next_arrival(rate, context.random());
         context.set_timer(wait, Timer::Arrival);
@@ -134,28 +134,28 @@
     pub(super) fn timer(&mut self, context: &mut Context<'_, RequestActor>, timer: Timer) {
         match timer {
             Timer::Arrival => {
-                // Arrivals come at the peak rate and are thinned to the rate of the moment.
+                // Arrivals are drawn at the peak rate and thinned to the current rate.
                 let now = context.virtual_now();
                 let share = self.load.rate(now) / self.load.peak_rate();
                 if context.random().random_bool(share) {
-                    self.begin(context);
+                    self.begin_request(context);
                 }
                 if now < self.load.ends {
-                    self.wait_for_arrival(context);
+                    self.schedule_arrival(context);
                 }
             }
             Timer::Resend(person) => self.send(context, person),
-            Timer::GiveUp(send) => self.give_up(context, send),
+            Timer::SendTimeout(send) => self.give_up(context, send),
             _ => {}
         }
     }
 
     fn next_number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+        self.last_number += 1;
+        self.last_number
     }
 
-    fn begin(&mut self, context: &mut Context<'_, RequestActor>) {
+    fn begin_request(&mut self, context: &mut Context<'_, RequestActor>) {
         let number = self.next_number();
         let now = context.virtual_now();
         let sessions = self.sessions.len();
@@ -165,7 +165,7 @@
         let caller = random.random_range(0..self.behaviour.callers_per_zone);
         let operation = model.run_once.then(|| Operation {
             key: OperationKey::new(&format!("operation-{number:x}"))
-                .expect("a short text of visible characters is a valid key"),
+                .expect("a short text of visible ASCII characters is a valid operation key"),
             minted_at_unix_millis: now.as_millis(),
         });
         let in_session = random.random_bool(model.in_session);
@@ -185,7 +185,7 @@
             operation,
             resend: 0,
             is_unsent: false,
-            last: None,
+            last_destination: None,
         };
         self.people.insert(number, person);
         self.send(context, number);
@@ -199,7 +199,7 @@
         person.result.sends += 1;
         let is_resend = person.result.sends > 1;
         if std::mem::take(&mut person.is_unsent) {
-            // Nobody took the last send, so this one is no resend.
+            // The last send reached no process, so this one does not count as a resend.
         } else if is_resend && person.has_id {
             person.resend += 1;
         } else if is_resend {
@@ -220,10 +220,10 @@
             operation: person.operation.clone(),
         };
         let in_session = person.in_session;
-        let last = person.last;
+        let last_destination = person.last_destination;
         let open = OpenSend {
             person: number,
-            to: self.destination(context, request.flow, last),
+            to: self.destination(context, request.flow, last_destination),
             request: request.request,
             resend: request.resend,
         };
@@ -241,23 +241,25 @@
         });
         context.send(open.to, Message::Request(Box::new(request)));
         if let Some(person) = self.people.get_mut(&number) {
-            person.last = Some(open.to);
+            person.last_destination = Some(open.to);
         }
-        context.set_timer(timeout + self.behaviour.patience, Timer::GiveUp(send));
+        context.set_timer(timeout + self.behaviour.patience, Timer::SendTimeout(send));
         self.sends.insert(send, open);
     }
 
-    /// A gateway, or without any layer an endpoint anywhere.
+    /// A gateway, or a random endpoint of the service if there is no layer.
     fn destination(
         &self,
         context: &mut Context<'_, RequestActor>,
         flow: FlowIndex,
-        last: Option<ProcessId>,
+        last_destination: Option<ProcessId>,
     ) -> ProcessId {
         if self.layer.has_gateways() {
             let roams = self.behaviour.roams && self.topology.zones.len() > 1;
-            return match last {
-                Some(last) if roams => self.another_gateway(context, last),
+            return match last_destination {
+                Some(last_destination) if roams => {
+                    self.gateway_of_another_zone(context, last_destination)
+                }
                 _ => self.layout.gateway(self.zone),
             };
         }
@@ -268,20 +270,22 @@
         self.layout.host(endpoints[position])
     }
 
-    fn another_gateway(
+    fn gateway_of_another_zone(
         &self,
         context: &mut Context<'_, RequestActor>,
-        last: ProcessId,
+        last_destination: ProcessId,
     ) -> ProcessId {
         let zones = (0..self.topology.zones.len()).map(ZoneIndex);
         let gateways = zones.map(|zone| self.layout.gateway(zone));
-        let others: Vec<ProcessId> = gateways.filter(|gateway| *gateway != last).collect();
+        let others: Vec<ProcessId> = gateways
+            .filter(|gateway| *gateway != last_destination)
+            .collect();
         others[context.random().random_range(0..others.len())]
     }
 
     pub(super) fn receive(&mut self, context: &mut Context<'_, RequestActor>, message: Message) {
         if let Message::Answer(answer) = message {
-            self.answered(context, *answer);
+            self.handle_answer(context, *answer);
         }
     }
 
@@ -291,23 +295,23 @@
         message: Message,
     ) {
         if let Message::Request(request) = message {
-            self.not_reached(context, request.send);
+            self.connection_failed(context, request.send);
         }
     }
 
-    fn answered(&mut self, context: &mut Context<'_, RequestActor>, answer: CallerAnswer) {
+    fn handle_answer(&mut self, context: &mut Context<'_, RequestActor>, answer: CallerAnswer) {
         let CallerAnswer { send, outcome, .. } = answer;
         let Some(open) = self.sends.remove(&send) else {
-            if self.told.contains(&send) {
+            if self.answered_sends.contains(&send) {
                 context.record(Record::ToldAgain { send });
             }
             return;
         };
-        self.told.insert(send);
+        self.answered_sends.insert(send);
         let Some(person) = self.people.get_mut(&open.person) else {
             return;
         };
-        if let (Some(session), Some(token)) = (person.session, answer.opened) {
+        if let (Some(session), Some(token)) = (person.session, answer.session_token) {
             self.sessions[session].get_or_insert(token);
         }
         if answer.session_refused {
@@ -325,10 +329,10 @@
             person.result.completed = Some(context.virtual_now());
             return self.finish(open.person);
         }
-        self.try_again(context, open.person);
+        self.schedule_resend(context, open.person);
     }
 
-    fn not_reached(&mut self, context: &mut Context<'_, RequestActor>, send: SendId) {
+    fn connection_failed(&mut self, context: &mut Context<'_, RequestActor>, send: SendId) {
         let Some(open) = self.sends.remove(&send) else {
             return;
         };
@@ -336,7 +340,7 @@
         if let Some(person) = self.people.get_mut(&open.person) {
             person.is_unsent = true;
         }
-        self.try_again(context, open.person);
+        self.schedule_resend(context, open.person);
     }
 
     fn give_up(&mut self, context: &mut Context<'_, RequestActor>, send: SendId) {
@@ -352,11 +356,11 @@
             resend: open.resend,
             operation: person.operation.as_ref().map(|o| o.key.clone()),
         });
-        context.send(open.to, Message::GiveUp(send));
-        self.try_again(context, open.person);
+        context.send(open.to, Message::CallerDisconnected(send));
+        self.schedule_resend(context, open.person);
     }
 
-    fn try_again(&mut self, context: &mut Context<'_, RequestActor>, number: u64) {
+    fn schedule_resend(&mut self, context: &mut Context<'_, RequestActor>, number: u64) {
         let is_last = self
             .people
             .get(&number)
--- a/crates/bramblewheel-sim/src/requests/check/facts.rs
+++ b/crates/bramblewheel-sim/src/requests/check/facts.rs
@@ -1,4 +1,4 @@
-//! A history sorted by request, run and process.
+//! Index of a history by send, run and process.
 
 use super::super::content::{Content, RunId};
 use super::super::faults::FaultRecord;
@@ -9,7 +9,7 @@
 use bramblewheel_types::{OperationKey, Outcome, RequestId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A send of a caller.
+/// A send by a caller.
 #[derive(Debug)]
 pub(super) struct Send {
     pub(super) at: Timestamp,
@@ -22,7 +22,7 @@
     pub(super) end: Option<SendEnd>,
 }
 
-/// How a send ended for its caller.
+/// End of a send.
 #[derive(Debug)]
 pub(super) struct SendEnd {
     pub(super) at: Timestamp,
@@ -30,14 +30,14 @@
     pub(super) outcome: CallerOutcome,
 }
 
-/// How a send ended, as its caller saw it.
+/// Outcome of a send, as its caller saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallerOutcome {
-    /// The answer.
+    /// Answered, with the outcome and the content that the answer belongs to.
     Answer(Outcome, Option<Content>),
     /// No connection could be opened.
     NotReached,
-    /// Nothing, for as long as it waited.
+    /// The caller stopped waiting without an answer.
     Nothing,
 }
 
@@ -50,29 +50,29 @@
     pub(super) content: Content,
     pub(super) request: RequestId,
     pub(super) operation: Option<OperationKey>,
-    /// When it ended by itself, and whether it succeeded.
+    /// When the run ended on its own, and whether it succeeded.
     pub(super) ended: Option<(Timestamp, bool)>,
-    /// When it was stopped.
+    /// When the run was cancelled.
     pub(super) stopped: Option<Timestamp>,
 }
 
-/// How a sub-call ended, as the endpoint that made it saw it.
+/// End of a sub-call, as the calling endpoint saw it.
 #[derive(Debug)]
-pub(super) struct SubCallTold {
+pub(super) struct SubCallEnd {
     pub(super) index: usize,
     pub(super) content: Content,
     pub(super) outcome: Outcome,
     pub(super) answered: Option<Content>,
 }
 
-/// Times during which something held.
+/// Time spans during which a condition held.
 #[derive(Debug, Default)]
 pub(super) struct Spans(Vec<(Timestamp, Timestamp)>);
 
 impl Spans {
     fn begin(&mut self, at: Timestamp) {
-        let is_on = |span: &(Timestamp, Timestamp)| span.1 == Timestamp::NEVER;
-        if !self.0.last().is_some_and(is_on) {
+        let is_open = |span: &(Timestamp, Timestamp)| span.1 == Timestamp::NEVER;
+        if !self.0.last().is_some_and(is_open) {
             self.0.push((at, Timestamp::NEVER));
         }
     }
@@ -92,18 +92,18 @@
     }
 }
 
-/// A history sorted by request, run and process.
+/// Index of a history by send, run and process.
 #[derive(Debug, Default)]
 pub(super) struct Facts {
     pub(super) sends: BTreeMap<SendId, Send>,
     pub(super) runs: BTreeMap<RunId, Run>,
-    pub(super) sub_calls: Vec<SubCallTold>,
-    pub(super) told_again: Vec<(usize, SendId)>,
-    /// Times during which a process was frozen or not there.
-    pub(super) absent: BTreeMap<ProcessId, Spans>,
-    /// Times during which any zone was cut off.
-    pub(super) cut: Spans,
-    /// Runs by what they were asked for.
+    pub(super) sub_calls: Vec<SubCallEnd>,
+    pub(super) duplicate_answers: Vec<(usize, SendId)>,
+    /// Time spans during which a process was frozen or stopped.
+    pub(super) unavailable: BTreeMap<ProcessId, Spans>,
+    /// Time spans during which any zone was cut off.
+    pub(super) zone_cuts: Spans,
+    /// Runs by content.
     by_content: BTreeMap<Content, BTreeSet<RunId>>,
 }
 
@@ -121,10 +121,10 @@
         match (&entry.fact, entry.process) {
             (Fact::Domain(record), _) => self.add_record(index, at, record),
             (Fact::Stopped(_) | Fact::Frozen, Some(process)) => {
-                self.absent.entry(process).or_default().begin(at);
+                self.unavailable.entry(process).or_default().begin(at);
             }
             (Fact::Started(_) | Fact::Thawed, Some(process)) => {
-                self.absent.entry(process).or_default().end(at);
+                self.unavailable.entry(process).or_default().end(at);
             }
             _ => {}
         }
@@ -163,13 +163,13 @@
                 self.end_send(index, at, *send, CallerOutcome::NotReached)
             }
             Record::GaveUp { send, .. } => self.end_send(index, at, *send, CallerOutcome::Nothing),
-            Record::ToldAgain { send } => self.told_again.push((index, *send)),
+            Record::ToldAgain { send } => self.duplicate_answers.push((index, *send)),
             Record::SubCallTold {
                 run,
                 position,
                 outcome,
                 answered,
-            } => self.sub_calls.push(SubCallTold {
+            } => self.sub_calls.push(SubCallEnd {
                 index,
                 content: Content::SubCall {
                     run: *run,
@@ -178,8 +178,8 @@
                 outcome: *outcome,
                 answered: *answered,
             }),
-            Record::Fault(FaultRecord::ZoneCut { .. }) => self.cut.begin(at),
-            Record::Fault(FaultRecord::Healed) => self.cut.end(at),
+            Record::Fault(FaultRecord::ZoneCut { .. }) => self.zone_cuts.begin(at),
+            Record::Fault(FaultRecord::Healed) => self.zone_cuts.end(at),
             _ => self.add_run(index, at, record),
         }
     }
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Runs that were asked for the same.
+    /// Runs of a content.
     pub(super) fn runs_of(&self, content: Content) -> impl Iterator<Item = &Run> {
         let runs = self.by_content.get(&content).into_iter().flatten();
         runs.map(|run| &self.runs[run])
@@ -246,9 +246,14 @@
         }
     }
 
-    /// Whether a process was frozen or not there at any moment of a time.
-    pub(super) fn was_absent(&self, process: ProcessId, from: Timestamp, to: Timestamp) -> bool {
-        self.absent
+    /// Whether a process was frozen or stopped at any time in a span.
+    pub(super) fn was_unavailable(
+        &self,
+        process: ProcessId,
+        from: Timestamp,
+        to: Timestamp,
+    ) -> bool {
+        self.unavailable
             .get(&process)
             .is_some_and(|spans| spans.overlap(from, to))
     }
--- a/crates/bramblewheel-sim/src/requests/check/outcome_truth.rs
+++ b/crates/bramblewheel-sim/src/requests/check/outcome_truth.rs
@@ -1,4 +1,5 @@
-//! What was told not to have run ran nowhere, before or after, in the whole call tree.
+//! Checks that a request or sub-call reported as not run did not run in its call tree, neither before
+//! nor after the report.
 
 use super::facts::{CallerOutcome, Facts, Run, Send};
 use super::{Promise, Violation};
@@ -18,7 +19,7 @@
         if let Some(run) = ran {
             violations.push(Violation {
                 promise: Promise::NotRunTruth,
-                message: format!("request {} was told not to have run", send.request),
+                message: format!("request {} was reported as not run but ran", send.request),
                 evidence: vec![send.index, run.index, end.index],
             });
         }
@@ -27,7 +28,7 @@
     violations
 }
 
-/// Runs by the request and the operation at the root of their tree.
+/// Runs by the request and the operation at the root of their call tree.
 struct RunIndex<'a> {
     by_request: BTreeMap<RequestId, Vec<&'a Run>>,
     by_operation: BTreeMap<&'a OperationKey, Vec<&'a Run>>,
@@ -64,13 +65,16 @@
 
 fn check_sub_calls(facts: &Facts) -> impl Iterator<Item = Violation> {
     let not_run = facts.sub_calls.iter();
-    let not_run = not_run.filter(|told| told.outcome.is_not_run());
-    not_run.filter_map(|told| {
-        let run = facts.runs_of(told.content).next()?;
+    let not_run = not_run.filter(|sub_call| sub_call.outcome.is_not_run());
+    not_run.filter_map(|sub_call| {
+        let run = facts.runs_of(sub_call.content).next()?;
         Some(Violation {
             promise: Promise::NotRunTruth,
-            message: format!("sub-call {:?} was told not to have run", told.content),
-            evidence: vec![run.index, told.index],
+            message: format!(
+                "sub-call {:?} was reported as not run but ran",
+                sub_call.content
+            ),
+            evidence: vec![run.index, sub_call.index],
         })
     })
 }
--- a/crates/bramblewheel-sim/src/requests/check/planned_stop.rs
+++ b/crates/bramblewheel-sim/src/requests/check/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop interrupts nothing that is in progress, and comes to its end.
+//! Checks that a planned stop interrupts no request in progress, and completes.
 
 use super::super::faults::FaultRecord;
 use super::super::record::Record;
@@ -13,7 +13,7 @@
         let Fact::Domain(Record::Fault(FaultRecord::StopPlanned { process })) = &entry.fact else {
             continue;
         };
-        match stop_after(evidence, *process, index) {
+        match next_stop(evidence, *process, index) {
             Some((stop, at, StopCause::Exited)) => {
                 violations.extend(interrupted_runs(facts, *process, stop, at));
                 violations.extend(interrupted_sends(facts, *process, stop, at));
@@ -22,7 +22,8 @@
             None => {
                 let last = evidence.history.last().map_or(entry.at, |last| last.at);
                 if last.since(entry.at) > evidence.bounds.stop_within {
-                    let message = format!("process {} never came to its end", process.0);
+                    let message =
+                        format!("the planned stop of process {} did not complete", process.0);
                     violations.push(violation(message, vec![index]));
                 }
             }
@@ -31,8 +32,8 @@
     violations
 }
 
-/// How and when a process stops next.
-fn stop_after(
+/// Index, time and cause of the next stop of a process.
+fn next_stop(
     evidence: &Evidence<'_>,
     process: ProcessId,
     after: usize,
@@ -45,7 +46,7 @@
     stops.next()
 }
 
-/// Runs that an endpoint had begun and not ended.
+/// Violations by runs that the endpoint had begun and not ended.
 fn interrupted_runs(
     facts: &Facts,
     process: ProcessId,
@@ -56,15 +57,18 @@
     let open = runs.filter(move |run| {
         let is_here = run.endpoint.0 == process.0 as usize;
         let is_over = run.ended.is_some_and(|(end, _)| end <= at) || run.stopped.is_some();
-        is_here && run.index < stop && !is_over && !facts.was_absent(process, run.at, before(at))
+        is_here
+            && run.index < stop
+            && !is_over
+            && !facts.was_unavailable(process, run.at, before(at))
     });
     open.map(move |run| {
-        let message = format!("process {} ended in the middle of a run", process.0);
+        let message = format!("process {} stopped during a run", process.0);
         violation(message, vec![run.index, stop])
     })
 }
 
-/// Sends that a gateway had taken and not answered.
+/// Violations by sends that the gateway had accepted and not answered.
 fn interrupted_sends(
     facts: &Facts,
     process: ProcessId,
@@ -75,16 +79,16 @@
     sends.filter_map(move |send| {
         let end = send.end.as_ref()?;
         let is_cut = end.outcome == CallerOutcome::Nothing && send.at < at && end.at > at;
-        let is_excused =
-            facts.cut.overlap(send.at, end.at) || facts.was_absent(process, send.at, before(at));
+        let is_excused = facts.zone_cuts.overlap(send.at, end.at)
+            || facts.was_unavailable(process, send.at, before(at));
         (is_cut && !is_excused).then(|| {
-            let message = format!("process {} ended before it answered", process.0);
+            let message = format!("process {} stopped before it answered", process.0);
             violation(message, vec![send.index, stop, end.index])
         })
     })
 }
 
-/// The moment before a time.
+/// The last timestamp before a time.
 fn before(at: Timestamp) -> Timestamp {
     Timestamp(at.0.saturating_sub(1))
 }
--- a/crates/bramblewheel-sim/src/requests/check/priority.rs
+++ b/crates/bramblewheel-sim/src/requests/check/priority.rs
@@ -1,5 +1,5 @@
-//! Nothing is shed while something less important waits at the same daemon, and over a whole run
-//! the more important classes are served better.
+//! Checks that no attempt is shed while a less important one waits at the same daemon, and that over a
+//! whole run no class is served worse than a less important one.
 
 use super::super::record::Record;
 use super::super::topology::EndpointIndex;
@@ -9,15 +9,15 @@
 use bramblewheel_types::{AttemptId, Criticality, NotRunReason, Outcome, ServiceName};
 use std::collections::BTreeMap;
 
-/// Importance of an attempt: class, then whether its root belongs to a session.
+/// Importance of an attempt: class, then whether its root request belongs to a session.
 type Importance = (Criticality, bool);
 
-/// Requests of a class below which its share says nothing.
+/// Number of requests below which the share of a class is not significant.
 const MIN_REQUESTS: usize = 20;
-/// Part of a class that chance may cost it against the next lower one.
+/// Tolerated random difference between the shares of adjacent classes.
 const TOLERANCE: f64 = 0.1;
 
-/// Attempts that wait at the daemon of each endpoint.
+/// Attempts that wait at the daemon of each endpoint, with the index of their arrival in the history.
 type Waiting = BTreeMap<EndpointIndex, BTreeMap<AttemptId, (Importance, usize)>>;
 
 pub(super) fn check(evidence: &Evidence<'_>) -> Vec<Violation> {
@@ -26,10 +26,10 @@
     for (index, entry) in evidence.history.iter().enumerate() {
         match &entry.fact {
             Fact::Domain(record) => {
-                violations.extend(follow(&mut waiting, index, record));
+                violations.extend(track(&mut waiting, index, record));
             }
             Fact::Stopped(_) => {
-                // Processes of endpoints come first and in their order.
+                // The processes of endpoints come first, in the order of the endpoints.
                 if let Some(process) = entry.process {
                     waiting.remove(&EndpointIndex(process.0 as usize));
                 }
@@ -40,7 +40,7 @@
     violations
 }
 
-fn follow(waiting: &mut Waiting, index: usize, record: &Record) -> Option<Violation> {
+fn track(waiting: &mut Waiting, index: usize, record: &Record) -> Option<Violation> {
     match record {
         Record::Offered {
             endpoint,
@@ -84,7 +84,7 @@
 
 fn is_shed(outcome: Outcome) -> bool {
     let reason = NotRunReason::Overloaded;
-    matches!(outcome, Outcome::NotRun { reason: stated, .. } if stated == reason)
+    matches!(outcome, Outcome::NotRun { reason: actual, .. } if actual == reason)
 }
 
 /// Requests of one class at one service.
@@ -104,17 +104,17 @@
 pub(super) fn check_classes(facts: &Facts, evidence: &Evidence<'_>) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (service, classes) in shares(facts, evidence) {
-        let known = classes
+        let significant = classes
             .iter()
             .filter(|(_, share)| share.all >= MIN_REQUESTS);
-        let known: Vec<_> = known.collect();
-        for pair in known.windows(2) {
+        let significant: Vec<_> = significant.collect();
+        for pair in significant.windows(2) {
             let [(lower, low), (higher, high)] = pair else {
                 continue;
             };
             if high.value() + TOLERANCE < low.value() {
                 violations.push(Violation {
-                    promise: Promise::ImportantLast,
+                    promise: Promise::ImportantShedLast,
                     message: format!(
                         "{service}: {:.3} of {higher} completed, {:.3} of {lower}",
                         high.value(),
@@ -132,7 +132,7 @@
     facts: &Facts,
     evidence: &Evidence<'_>,
 ) -> BTreeMap<ServiceName, BTreeMap<Criticality, Share>> {
-    // Each person counts once, however often it sent.
+    // Each person counts once, regardless of the number of sends.
     let mut people = BTreeMap::new();
     for send in facts.sends.values() {
         let outcome = send.end.as_ref().map(|end| end.outcome);
--- a/crates/bramblewheel-sim/src/requests/host.rs
+++ b/crates/bramblewheel-sim/src/requests/host.rs
@@ -1,4 +1,4 @@
-//! A machine of the deployment: an endpoint with the layer beside it, or a gateway.
+//! A machine of the deployment: an endpoint with its part of the layer, or a gateway.
 
 use super::actor::RequestActor;
 use super::endpoint::{EndpointAction, EndpointModel, ReportFault};
@@ -23,7 +23,7 @@
     pub request: RequestId,
     /// When the slot became free.
     pub ended: Timestamp,
-    /// Time in a slot, own work and waiting for sub-calls alike.
+    /// Time in the slot: own work and waiting for sub-calls.
     pub held: Duration,
 }
 
@@ -40,21 +40,21 @@
     actions: Vec<EndpointAction>,
     slot_uses: Vec<SlotUse>,
     counters: LayerCounters,
-    /// Number of the endpoint's next run, over all starts.
+    /// Number of the endpoint's next run, across restarts.
     next_run: u64,
-    failing: f64,
+    failure_share: f64,
     report_fault: Option<ReportFault>,
     options: LayerOptions,
     tape: Option<Tape>,
-    /// What the directory says beside what the topology does.
-    listed: BTreeMap<EndpointId, DirectoryEndpoint>,
+    /// Directory entries that differ from the topology.
+    directory_entries: BTreeMap<EndpointId, DirectoryEndpoint>,
 }
 
-/// Runs that one endpoint may begin in a simulation.
+/// Low bits of a run's number, which count within one endpoint; the high bits are the endpoint.
 const RUN_BITS: u32 = 40;
 
 impl Host {
-    /// A machine, stopped at first; without an endpoint it is a gateway.
+    /// Creates a stopped machine; without an endpoint it is a gateway.
     pub fn new(
         topology: Arc<Topology>,
         zone: ZoneIndex,
@@ -74,45 +74,45 @@
             slot_uses: Vec::new(),
             counters: LayerCounters::default(),
             next_run: endpoint_index.map_or(0, |index| (index.0 as u64) << RUN_BITS),
-            failing: 0.0,
+            failure_share: 0.0,
             report_fault: None,
             options: LayerOptions::default(),
             tape: None,
-            listed: BTreeMap::new(),
+            directory_entries: BTreeMap::new(),
         }
     }
 
-    /// A machine with more than the usual layer.
+    /// Sets the layer's options.
     pub(super) fn with_options(mut self, options: LayerOptions) -> Self {
         self.options = options;
         self
     }
 
-    /// A machine whose endpoint draws with a tape.
+    /// Sets the tape that records or plays the endpoint's draws.
     pub(super) fn with_tape(mut self, tape: Option<Tape>) -> Self {
         self.tape = tape;
         self
     }
 
-    /// Listing of an endpoint that the next start begins with; the running layer gets it separately.
-    pub fn set_listed(&mut self, entry: DirectoryEndpoint) {
-        self.listed.insert(entry.endpoint.clone(), entry);
+    /// Sets a directory entry that applies from the next start; the running layer gets it separately.
+    pub fn set_directory_entry(&mut self, entry: DirectoryEndpoint) {
+        self.directory_entries.insert(entry.endpoint.clone(), entry);
     }
 
-    /// The bundle that the next start begins with; the running layer gets it separately.
+    /// Sets the bundle that applies from the next start; the running layer gets it separately.
     pub fn set_bundle(&mut self, bundle: Arc<Bundle>) {
         self.settings.bundle = bundle;
     }
 
-    /// Share of the endpoint's runs that end in an error, also after a restart.
-    pub fn set_failing(&mut self, share: f64) {
-        self.failing = share;
+    /// Sets the share of the endpoint's runs that end in an error, also after a restart.
+    pub fn set_failure_share(&mut self, share: f64) {
+        self.failure_share = share;
         if let Some(endpoint) = &mut self.endpoint {
-            endpoint.set_failing(share);
+            endpoint.set_failure_share(share);
         }
     }
 
-    /// What is wrong with the endpoint's load report, also after a restart.
+    /// Sets the fault of the endpoint's load report, also after a restart.
     pub fn set_report_fault(&mut self, fault: Option<ReportFault>) {
         self.report_fault = fault;
         if let Some(endpoint) = &mut self.endpoint {
@@ -120,14 +120,14 @@
         }
     }
 
-    /// The endpoint reports that it wants no new work, and leaves it to its daemon to see to that.
+    /// Makes the endpoint report that it drains; its daemon has to enforce that.
     pub fn announce_drain(&mut self) {
         if let Some(endpoint) = &mut self.endpoint {
             endpoint.announce_drain();
         }
     }
 
-    /// Something happens to the layer, from outside of the simulated world.
+    /// Passes an instruction of the scenario to the layer.
     pub(super) fn instruct(
         &mut self,
         context: &mut Context<'_, RequestActor>,
@@ -138,17 +138,17 @@
         });
     }
 
-    /// Slot time spent so far.
+    /// Slot time spent so far, by request.
     pub fn slot_uses(&self) -> &[SlotUse] {
         &self.slot_uses
     }
 
-    /// What the layer did, over all starts.
+    /// Counters of the layer, across restarts.
     pub fn counters(&self) -> LayerCounters {
         self.counters
     }
 
-    /// Makes the endpoint's work slower, also after a restart.
+    /// Slows the endpoint's work by a factor, also after a restart.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor;
         if let Some(endpoint) = &mut self.endpoint {
@@ -157,15 +157,15 @@
     }
 
     pub(super) fn start(&mut self, context: &mut Context<'_, RequestActor>, cause: StartCause) {
-        let shape = self.endpoint_index.map(|index| {
-            let shape = self.topology.endpoints[index.0].clone();
+        let spec = self.endpoint_index.map(|index| {
+            let spec = self.topology.endpoints[index.0].clone();
             let topology = Arc::clone(&self.topology);
-            EndpointModel::new(topology, shape, self.next_run, context.now())
+            EndpointModel::new(topology, spec, self.next_run, context.now())
         });
-        self.endpoint = shape;
+        self.endpoint = spec;
         if let Some(endpoint) = &mut self.endpoint {
             endpoint.set_slowdown(self.slowdown);
-            endpoint.set_failing(self.failing);
+            endpoint.set_failure_share(self.failure_share);
             endpoint.set_report_fault(self.report_fault);
             endpoint.set_tape(self.tape.clone());
             if cause == StartCause::First {
@@ -180,10 +180,10 @@
             context,
         ));
         self.with_layer(context, |layer, environment| layer.start(environment));
-        if !self.listed.is_empty() {
+        if !self.directory_entries.is_empty() {
             let update = DirectoryUpdate {
                 is_complete: false,
-                live: self.listed.values().cloned().collect(),
+                live: self.directory_entries.values().cloned().collect(),
                 removed: Vec::new(),
             };
             self.instruct(context, Instruction::Directory(update));
@@ -231,7 +231,7 @@
             let now = context.now();
             endpoint.work_done(now, run, context.random(), &mut self.actions);
         }
-        self.carry_out(context);
+        self.execute_actions(context);
     }
 
     fn with_layer(
@@ -240,7 +240,7 @@
         call: impl FnOnce(&mut dyn Layer, &mut Environment<'_, '_>),
     ) {
         self.call_layer(context, call);
-        self.carry_out(context);
+        self.execute_actions(context);
     }
 
     fn call_layer(
@@ -264,18 +264,18 @@
         call(layer.as_mut(), &mut environment);
     }
 
-    /// Does what the endpoint wants, until it wants nothing more.
-    fn carry_out(&mut self, context: &mut Context<'_, RequestActor>) {
+    /// Executes the endpoint's actions until none are left.
+    fn execute_actions(&mut self, context: &mut Context<'_, RequestActor>) {
         while !self.actions.is_empty() {
             for action in std::mem::take(&mut self.actions) {
-                self.carry_out_one(context, action);
+                self.execute_action(context, action);
             }
         }
     }
 
-    fn carry_out_one(&mut self, context: &mut Context<'_, RequestActor>, action: EndpointAction) {
+    fn execute_action(&mut self, context: &mut Context<'_, RequestActor>, action: EndpointAction) {
         match action {
-            EndpointAction::Work { run, takes } => context.set_timer(takes, Timer::Work(run)),
+            EndpointAction::Work { run, duration } => context.set_timer(duration, Timer::Work(run)),
             EndpointAction::Started { id, request } => {
                 let Some(endpoint) = self.endpoint_index else {
                     return;
--- a/crates/bramblewheel-sim/src/requests/layer/daemon/attempts.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/daemon/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way to other daemons, and the connections that carry them.
+//! Outbound attempts and their connections.
 
 use super::DaemonLayer;
 use crate::kernel::ProcessId;
@@ -12,16 +12,16 @@
 use bramblewheel_core::event::{AttemptResult, Event};
 use bramblewheel_types::{AttemptId, CallId};
 
-/// An attempt on its way to another daemon.
+/// An outbound attempt in progress.
 #[derive(Clone, Debug)]
 pub(super) struct OutAttempt {
     pub(super) to: ProcessId,
     pub(super) context: Box<CallContext>,
     pub(super) content: Content,
-    /// Rises with each attempt.
+    /// Sequence number; increases with each attempt.
     pub(super) number: u64,
-    /// On a new connection, a refusal proves that nothing was sent.
-    pub(super) is_fresh: bool,
+    /// Whether the connection is new; if so, a refused connection proves that nothing was sent.
+    pub(super) is_new_connection: bool,
     pub(super) state: OutState,
 }
 
@@ -56,7 +56,7 @@
                 context: Box::new(context),
                 content,
                 number: environment.counters.attempts,
-                is_fresh: false,
+                is_new_connection: false,
                 state: OutState::WaitsForConnection,
             },
         );
@@ -65,10 +65,10 @@
         self.use_connection(environment, attempt, acquired);
     }
 
-    /// A process that ended closed its connections; idle ones to it are not used again.
+    /// Drops the idle connections to a process that restarted, since its stop closed them.
     fn drop_closed_connections(&mut self, environment: &Environment<'_, '_>, to: ProcessId) {
         let starts = environment.context.starts_of(to);
-        if self.known_starts.insert(to, starts) != Some(starts) {
+        if self.last_seen_starts.insert(to, starts) != Some(starts) {
             self.connections.reset(&to);
         }
     }
@@ -85,7 +85,7 @@
         match acquired {
             Acquired::Waits => {}
             Acquired::Opened => {
-                out.is_fresh = true;
+                out.is_new_connection = true;
                 out.state = OutState::Connecting;
                 let connect_time = environment.topology.connect_time();
                 let timer = Timer::Connected(attempt);
@@ -128,7 +128,7 @@
             return;
         };
         if out.state == OutState::WaitsForConnection {
-            self.connections.give_up(&out.to, &attempt);
+            self.connections.cancel_wait(&out.to, &attempt);
             return;
         }
         if out.state == OutState::Sent {
@@ -152,7 +152,7 @@
         self.bodies.remove(&attempt);
     }
 
-    /// Nobody listens at the other end of an attempt's connection.
+    /// Handles an attempt whose destination accepts no connections.
     pub(super) fn connection_refused(
         &mut self,
         environment: &mut Environment<'_, '_>,
@@ -165,8 +165,11 @@
             .context
             .record(Record::ConnectionRefused { request });
         let attempt = context.attempt;
-        let is_fresh = self.attempts.get(&attempt).is_some_and(|out| out.is_fresh);
-        let result = if is_fresh {
+        let is_new_connection = self
+            .attempts
+            .get(&attempt)
+            .is_some_and(|out| out.is_new_connection);
+        let result = if is_new_connection {
             AttemptResult::NotSent
         } else {
             AttemptResult::Lost
--- a/crates/bramblewheel-sim/src/requests/layer/ledger_client.rs
+++ b/crates/bramblewheel-sim/src/requests/layer/ledger_client.rs
@@ -1,7 +1,7 @@
-//! A daemon's requests to the ledger, repeated until they are answered.
+//! Client of the ledger; repeats requests until they are answered.
 //!
-//! The ledger is the single process that stands for the control replicas, or the replicas
-//! themselves; then each request is a batch of one operation.
+//! The ledger is either the single ledger process or the control replicas. Control replicas get each
+//! request as a batch of one operation.
 
 use super::super::message::{Message, Timer};
 use super::super::process_layout::ProcessLayout;
@@ -15,33 +15,33 @@
 use bramblewheel_types::{AttemptId, OperationKey};
 use std::time::Duration;
 
-/// Time after which unanswered requests are repeated.
+/// Interval at which unanswered requests are repeated.
 const REPEAT_AFTER: Duration = Duration::from_millis(200);
 
 #[derive(Debug)]
 struct Pending {
     attempt: AttemptId,
     request: LedgerRequest,
-    /// Number of the last message that asked for it.
-    asked: u64,
+    /// Number of the last message that carried the request.
+    last_message: u64,
 }
 
-/// Requests to the ledger that are not answered yet.
+/// Unanswered requests to the ledger.
 #[derive(Debug)]
 pub(super) struct LedgerClient {
     pending: Vec<Pending>,
     is_armed: bool,
     replicas: u32,
-    /// Replica that is asked.
+    /// Replica that receives the requests.
     target: u32,
-    /// Whether the replica answered since the last repetition.
+    /// Whether a replica answered since the last repetition.
     has_reply: bool,
     incarnation: u64,
-    asked: u64,
+    last_message: u64,
 }
 
 impl LedgerClient {
-    /// A client of `replicas` control replicas, or with 0 of the process that stands for them.
+    /// Creates a client of `replicas` control replicas, or of the single ledger process if 0.
     pub(super) fn new(replicas: u32, incarnation: u64) -> Self {
         Self {
             pending: Vec::new(),
@@ -50,61 +50,64 @@
             target: 0,
             has_reply: false,
             incarnation,
-            asked: 0,
+            last_message: 0,
         }
     }
 
-    /// Asks the ledger.
-    pub(super) fn ask(
+    /// Sends a request to the ledger.
+    pub(super) fn send_request(
         &mut self,
         environment: &mut Environment<'_, '_>,
         attempt: AttemptId,
         request: LedgerRequest,
     ) {
         if matches!(request, LedgerRequest::Release { .. }) {
-            self.forget_claim(attempt);
+            self.drop_claim(attempt);
         }
         self.pending.push(Pending {
             attempt,
             request,
-            asked: 0,
+            last_message: 0,
         });
         self.send(environment, self.pending.len() - 1);
         self.arm(environment);
     }
 
-    /// A claim that is given up is not asked for again.
-    fn forget_claim(&mut self, attempt: AttemptId) {
+    /// Drops a pending claim that is being released, so that it is not repeated.
+    fn drop_claim(&mut self, attempt: AttemptId) {
         self.pending
             .retain(|pending| pending.attempt != attempt || !is_claim(&pending.request));
     }
 
-    /// The process that stands for the replicas answered; false if nothing of the kind was asked.
-    pub(super) fn answered(
+    /// Handles an answer of the single ledger process; false if no such request is pending.
+    pub(super) fn handle_answer(
         &mut self,
         attempt: AttemptId,
         key: &OperationKey,
-        answers_claim: bool,
+        is_claim_answer: bool,
     ) -> bool {
         let before = self.pending.len();
         self.pending.retain(|pending| {
             let is_same = pending.attempt == attempt && key_of(&pending.request) == key;
-            !(is_same && is_claim(&pending.request) == answers_claim)
+            !(is_same && is_claim(&pending.request) == is_claim_answer)
         });
         self.pending.len() < before
     }
 
-    /// A replica answered. Returns what it says of a claim.
-    pub(super) fn replied(
+    /// Handles the reply of a replica; returns the answer if the request was a claim.
+    pub(super) fn handle_reply(
         &mut self,
         environment: &mut Environment<'_, '_>,
         reply: ControlReply,
     ) -> Option<(AttemptId, ClaimAnswer)> {
-        let position = self.pending.iter().position(|p| p.asked == reply.id)?;
+        let position = self
+            .pending
+            .iter()
+            .position(|p| p.last_message == reply.id)?;
         match reply.body {
             ReplyBody::Operations(replies) => {
                 self.has_reply = true;
-                self.settle(position, replies.into_iter().next()?)
+                self.resolve(position, replies.into_iter().next()?)
             }
             ReplyBody::Unavailable(Unavailable::NotLeader(Some(leader))) => {
                 let before = self.target;
@@ -123,7 +126,7 @@
         }
     }
 
-    fn settle(
+    fn resolve(
         &mut self,
         position: usize,
         reply: OperationReply,
@@ -131,15 +134,15 @@
         if reply == OperationReply::Undecided {
             return None;
         }
-        let settled = self.pending.remove(position);
-        is_claim(&settled.request).then(|| (settled.attempt, claim_answer(reply)))
+        let resolved = self.pending.remove(position);
+        is_claim(&resolved.request).then(|| (resolved.attempt, claim_answer(reply)))
     }
 
     fn next_replica(&mut self) {
         self.target = (self.target + 1) % self.replicas.max(1);
     }
 
-    /// Time to ask again.
+    /// Repeats the unanswered requests.
     pub(super) fn repeat(&mut self, environment: &mut Environment<'_, '_>) {
         self.is_armed = false;
         if !std::mem::take(&mut self.has_reply) {
@@ -163,17 +166,17 @@
     }
 
     fn send(&mut self, environment: &mut Environment<'_, '_>, position: usize) {
-        self.asked += 1;
+        self.last_message += 1;
         let pending = &mut self.pending[position];
-        pending.asked = self.asked;
+        pending.last_message = self.last_message;
         let (attempt, request) = (pending.attempt, pending.request.clone());
         let (to, message) = if self.replicas == 0 {
-            let message = Message::AskLedger { attempt, request };
+            let message = Message::LedgerRequest { attempt, request };
             (environment.layout.ledger(), message)
         } else {
             let operation = operation(self.incarnation, attempt, request);
             let request = ControlRequest {
-                id: self.asked,
+                id: self.last_message,
                 body: RequestBody::Operations(vec![operation]),
             };
             let message = Message::ControlRequest(Box::new(request));
--- a/crates/bramblewheel-sim/src/requests/scenario/mod.rs
+++ b/crates/bramblewheel-sim/src/requests/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios of kind `requests`: a deployment under load and faults, held to the promises.
+//! Scenarios of kind `requests`: a deployment under load and faults, checked against the promises.
 
 mod examples;
 mod figures;
@@ -11,4 +11,4 @@
     CallersTable, Direction, Fault, FaultKind, LoadTable, MachineKind, Outcomes, RequestScenario,
     SeenOn, WorldTable,
 };
-pub use run::{RequestRun, held_to, run};
+pub use run::{RequestRun, check_inputs, run};
--- a/crates/bramblewheel-sim/src/requests/scripted.rs
+++ b/crates/bramblewheel-sim/src/requests/scripted.rs
@@ -1,4 +1,4 @@
-//! Callers of one zone that do what they are told, and try nothing again by themselves.
+//! Callers of one zone that send what a script says and never resend on their own.
 
 use super::actor::RequestActor;
 use super::message::{CallerAnswer, Message, RootRequest, SendId, SessionClaim, Timer};
@@ -12,34 +12,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One send of a request, at a stated time.
+/// One send of a request at a given time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptedSend {
     /// This send.
     pub send: SendId,
-    /// The request that it is a send of.
+    /// The person whose request is sent.
     pub person: u64,
-    /// When it is sent.
+    /// Time of the send.
     pub at: Timestamp,
-    /// Where the caller is.
+    /// Zone of the caller.
     pub zone: ZoneIndex,
-    /// Whose gateway it is sent to.
+    /// Zone of the gateway that receives the send.
     pub gateway: ZoneIndex,
     /// Id of the original request.
     pub request: RequestId,
-    /// Number of the resend under the same id.
+    /// Number of resends so far under the same id.
     pub resend: u32,
-    /// Kind of request.
+    /// Flow of the request.
     pub flow: FlowIndex,
     /// Name of the caller.
     pub caller: String,
-    /// How long the caller waits for the whole answer.
+    /// Time that the caller allows for the whole answer.
     pub timeout: Duration,
-    /// Class that the caller asks for; that of the bundle if none.
+    /// Class that the caller requests; the bundle's class if `None`.
     pub criticality: Option<Criticality>,
-    /// Whether it belongs to a session.
+    /// Whether the request belongs to a session.
     pub in_session: bool,
-    /// Present when the request must not run twice.
+    /// Set if the request must not run twice.
     pub operation: Option<Operation>,
 }
 
@@ -49,7 +49,7 @@
     position: usize,
 }
 
-/// Callers of one zone that send what a script says.
+/// Callers of one zone that follow a script.
 #[derive(Debug)]
 pub struct ScriptedCallers {
     layout: ProcessLayout,
@@ -57,11 +57,11 @@
     patience: Duration,
     script: Vec<ScriptedSend>,
     open: HashMap<SendId, OpenSend>,
-    told: BTreeMap<SendId, Outcome>,
+    answered_sends: BTreeMap<SendId, Outcome>,
 }
 
 impl ScriptedCallers {
-    /// Callers with their sends; they wait for `patience` beyond their deadlines.
+    /// Creates callers with their sends; each waits for `patience` beyond its deadline.
     pub fn new(topology: Arc<Topology>, patience: Duration, script: Vec<ScriptedSend>) -> Self {
         Self {
             layout: ProcessLayout::new(&topology),
@@ -69,7 +69,7 @@
             patience,
             script,
             open: HashMap::new(),
-            told: BTreeMap::new(),
+            answered_sends: BTreeMap::new(),
         }
     }
 
@@ -82,7 +82,7 @@
     pub(super) fn timer(&mut self, context: &mut Context<'_, RequestActor>, timer: Timer) {
         match timer {
             Timer::Resend(position) => self.send(context, position),
-            Timer::GiveUp(send) => self.give_up(context, send),
+            Timer::SendTimeout(send) => self.give_up(context, send),
             _ => {}
         }
     }
@@ -120,25 +120,25 @@
             operation: request.operation.as_ref().map(|o| o.key.clone()),
         });
         context.send(to, Message::Request(Box::new(request)));
-        context.set_timer(scripted.timeout + self.patience, Timer::GiveUp(send));
+        context.set_timer(scripted.timeout + self.patience, Timer::SendTimeout(send));
         self.open.insert(send, OpenSend { to, position });
     }
 
     pub(super) fn receive(&mut self, context: &mut Context<'_, RequestActor>, message: Message) {
         if let Message::Answer(answer) = message {
-            self.answered(context, *answer);
+            self.handle_answer(context, *answer);
         }
     }
 
-    fn answered(&mut self, context: &mut Context<'_, RequestActor>, answer: CallerAnswer) {
+    fn handle_answer(&mut self, context: &mut Context<'_, RequestActor>, answer: CallerAnswer) {
         let CallerAnswer { send, outcome, .. } = answer;
         let Some(open) = self.open.remove(&send) else {
-            if self.told.contains_key(&send) {
+            if self.answered_sends.contains_key(&send) {
                 context.record(Record::ToldAgain { send });
             }
             return;
         };
-        self.told.insert(send, outcome);
+        self.answered_sends.insert(send, outcome);
         let scripted = &self.script[open.position];
         context.record(Record::Told {
             send,
@@ -174,6 +174,6 @@
             resend: scripted.resend,
             operation: scripted.operation.as_ref().map(|o| o.key.clone()),
         });
-        context.send(open.to, Message::GiveUp(send));
+        context.send(open.to, Message::CallerDisconnected(send));
     }
 }
