--- a/crates/bramblewheel-sim/src/trace/ends.rs
+++ b/crates/bramblewheel-sim/src/trace/ends.rs
@@ -1,4 +1,4 @@
-//! How the sends of a run ended, and what ran for them.
+//! Outcomes of the sends of a simulated run, and the runs at endpoints that they caused.
 
 use super::outcome::StatedOutcome;
 use crate::kernel::{Entry, Fact};
@@ -6,50 +6,50 @@
 use bramblewheel_types::{OperationKey, RequestId, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// How a send ended.
+/// Time and outcome of a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendEnd {
-    /// When.
+    /// Virtual time at which the send ended.
     pub at: Timestamp,
-    /// How.
+    /// Outcome for the caller.
     pub outcome: StatedOutcome,
 }
 
-/// A run at an endpoint.
+/// A run of a request or sub-call at an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct SeenRun {
-    /// The send at the root of its call tree.
+    /// The caller's send at the root of the call tree; `None` if unknown.
     pub(super) root: Option<SendId>,
     pub(super) content: Content,
     pub(super) request: RequestId,
     pub(super) operation: Option<OperationKey>,
 }
 
-/// How the sends of a run ended, and what ran for them.
+/// Outcomes of the sends of a simulated run, and the runs at endpoints that they caused.
 #[derive(Clone, Debug, Default)]
 pub struct Ends {
-    /// Sends that ended.
+    /// Sends that have ended, by id.
     pub sends: BTreeMap<SendId, SendEnd>,
     pub(super) runs: Vec<SeenRun>,
 }
 
 impl Ends {
     pub(super) fn new(history: &[Entry<Record>]) -> Self {
-        let mut ends = Self::default();
+        let mut outcomes = Self::default();
         let mut roots = HashMap::new();
         for entry in history {
             if let Fact::Domain(record) = &entry.fact {
-                ends.add(entry.at, record, &mut roots);
+                outcomes.add(entry.at, record, &mut roots);
             }
         }
-        ends
+        outcomes
     }
 
     fn add(&mut self, at: Timestamp, record: &Record, roots: &mut HashMap<RunId, SendId>) {
         match record {
-            Record::Told { send, outcome, .. } => self.end(at, *send, (*outcome).into()),
-            Record::NotReached { send } => self.end(at, *send, StatedOutcome::NotReached),
-            Record::GaveUp { send, .. } => self.end(at, *send, StatedOutcome::GaveUp),
+            Record::Told { send, outcome, .. } => self.record_end(at, *send, (*outcome).into()),
+            Record::NotReached { send } => self.record_end(at, *send, StatedOutcome::NotReached),
+            Record::GaveUp { send, .. } => self.record_end(at, *send, StatedOutcome::GaveUp),
             Record::Ran {
                 run,
                 content,
@@ -75,11 +75,11 @@
         }
     }
 
-    fn end(&mut self, at: Timestamp, send: SendId, outcome: StatedOutcome) {
+    fn record_end(&mut self, at: Timestamp, send: SendId, outcome: StatedOutcome) {
         self.sends.insert(send, SendEnd { at, outcome });
     }
 
-    /// Runs at endpoints.
+    /// Number of runs at endpoints.
     pub fn run_count(&self) -> usize {
         self.runs.len()
     }
--- a/crates/bramblewheel-sim/src/trace/error.rs
+++ b/crates/bramblewheel-sim/src/trace/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a trace, and what can differ in its replay.
+//! Errors in trace files, and differences between a trace and its replay.
 
 use super::outcome::StatedOutcome;
 use bramblewheel_types::RequestId;
@@ -6,91 +6,91 @@
 
 pub use crate::source_text::SourceError as TraceError;
 
-/// A stated outcome that the replay did not bring.
+/// A stated outcome that the replay did not reproduce.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Difference {
-    /// A send ended in another way.
+    /// A send ended with another outcome.
     #[error("request {request}, send {send}: stated {stated}, replayed {replayed}")]
     Send {
         /// The request.
         request: RequestId,
-        /// Which of its sends, from 1.
+        /// Position of the send among those of the request, from 1.
         send: usize,
-        /// What the trace states.
+        /// Outcome that the trace states.
         stated: StatedOutcome,
-        /// What the replay brought.
+        /// Outcome in the replay.
         replayed: StatedOutcome,
     },
-    /// Too few requests were answered in time.
+    /// Too few requests were completed within their deadlines.
     #[error("completed, {subject}: stated at least {stated}, replayed {replayed}")]
     Completed {
-        /// Which requests count.
+        /// Description of the requests that count.
         subject: String,
-        /// What the trace states.
+        /// Least number that the trace states.
         stated: u64,
-        /// What the replay brought.
+        /// Number in the replay.
         replayed: u64,
     },
-    /// Requests were not served again in time.
+    /// Too few requests were completed after the stated time to recover.
     #[error(
         "recovery within {within_ms} ms of {from_ms} ms: stated {stated} percent completed from \
-         then on, replayed {good} of {all}; first that was not: request {request}"
+         then on, replayed {completed} of {all}; first that was not: request {request}"
     )]
     Recovery {
-        /// When the cause ended, in milliseconds.
+        /// End of the disturbance, in milliseconds of virtual time.
         from_ms: u64,
-        /// Time to recover, in milliseconds.
+        /// Stated time to recover, in milliseconds.
         within_ms: u64,
-        /// Percent stated.
+        /// Least percentage of completed requests that the trace states.
         stated: u64,
-        /// Requests completed in time.
-        good: u64,
-        /// Requests that count.
+        /// Requests completed within their deadlines.
+        completed: u64,
+        /// Requests first sent after the time to recover.
         all: u64,
-        /// The first request that was not completed in time.
+        /// The first request that was not completed within its deadline.
         request: RequestId,
     },
-    /// An operation ran more than once.
+    /// A run-once operation ran more than once.
     #[error("operations run once: {operation} of request {request} ran {times} times")]
     RanTwice {
-        /// The operation.
+        /// Key of the operation.
         operation: String,
-        /// A request that asked for it.
+        /// A request that carried the key.
         request: RequestId,
-        /// How often it ran.
+        /// Number of runs.
         times: usize,
     },
-    /// A request caused more extra runs than it may.
+    /// A request caused more extra runs than the bundle's retry tokens allow.
     #[error("retries within bound: request {request} caused {extra} extra runs, bound {bound}")]
     Retries {
         /// The request.
         request: RequestId,
-        /// Extra runs.
+        /// Runs beyond the first of each call.
         extra: usize,
         /// Extra runs allowed.
         bound: usize,
     },
-    /// Something ran for a send that was told that nothing did.
+    /// A send was answered `not-run` although an endpoint ran it.
     #[error("not-run is true: request {request}, send {send}: told not-run, yet {runs} runs")]
     NotRunUntrue {
         /// The request.
         request: RequestId,
-        /// Which of its sends, from 1.
+        /// Position of the send among those of the request, from 1.
         send: usize,
-        /// Runs for it.
+        /// Runs that the send caused.
         runs: usize,
     },
 }
 
-/// A run could not be recorded.
+/// A run can't be recorded as a trace.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// The replay brings other outcomes than the run that was recorded.
+    /// The replay differs from the recorded run or from what the plan states.
     #[error("the replay differs from the run in {} places, first: {first}", .count)]
     Differs {
         /// Number of differences.
         count: usize,
-        /// The first one.
+        /// The first difference.
         first: Box<Difference>,
     },
 }
--- a/crates/bramblewheel-sim/src/trace/expect.rs
+++ b/crates/bramblewheel-sim/src/trace/expect.rs
@@ -1,4 +1,4 @@
-//! What a trace states beside the outcomes of single sends.
+//! Expectations of a trace beyond the outcomes of single sends.
 
 use super::ends::Ends;
 use super::error::Difference;
@@ -9,59 +9,59 @@
 use bramblewheel_types::{Criticality, Timestamp};
 use std::time::Duration;
 
-/// What a trace states beside the outcomes of single sends.
+/// Expectations of a trace beyond the outcomes of single sends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Expect {
     /// No run-once operation runs twice.
     pub operations_run_once: bool,
     /// No request causes more extra runs than the bundle's retry tokens.
     pub retries_within_bound: bool,
-    /// Nothing runs for a send that is told `not-run`.
+    /// No endpoint runs a send that is answered `not-run`.
     pub not_run_is_true: bool,
-    /// How many requests are completed within their deadlines.
+    /// Least numbers of requests completed within their deadlines.
     pub completed: Vec<Completed>,
-    /// How soon requests are served again.
+    /// Times to recover after a disturbance.
     pub recovery: Vec<Recovery>,
 }
 
-/// At least so many requests are completed within their deadlines.
+/// Least number of requests completed within their deadlines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completed {
     /// Which requests count.
     pub subject: Subject,
-    /// How many.
+    /// Least number of them.
     pub at_least: u64,
 }
 
-/// Which requests count.
+/// The requests that an expectation counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// All.
+    /// All requests.
     All,
-    /// Those of a flow.
+    /// Requests of one flow.
     Flow(FlowIndex),
-    /// Those of a class.
+    /// Requests of one class.
     Class(Criticality),
 }
 
-/// Of the requests first sent from `from + within` on, a share is completed within its deadline.
+/// Least share of the requests first sent at or after `from + within` that is completed within the deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Recovery {
-    /// End of what had to be recovered from.
+    /// End of the disturbance.
     pub from: Timestamp,
     /// Time to recover.
     pub within: Duration,
-    /// Share in percent.
+    /// Least share of completed requests, in percent.
     pub at_least_percent: u64,
 }
 
-/// A request with whether it was completed in time.
-struct Judged<'a> {
+/// A request with its result in the replay.
+struct JudgedRequest<'a> {
     request: &'a Request,
-    is_good: bool,
+    completed_in_time: bool,
 }
 
-/// All statements that the replay did not bring.
+/// Returns the expectations that the replay did not meet.
 pub(super) fn check(trace: &Trace, ends: &Ends) -> Vec<Difference> {
     let judged = judge(trace, ends);
     let expect = &trace.head.expect;
@@ -73,19 +73,22 @@
     differences
 }
 
-/// Requests completed within their deadlines.
+/// Number of requests completed within their deadlines.
 pub(super) fn count_completed(trace: &Trace, ends: &Ends) -> usize {
     let judged = judge(trace, ends);
-    judged.iter().filter(|judged| judged.is_good).count()
+    judged
+        .iter()
+        .filter(|judged| judged.completed_in_time)
+        .count()
 }
 
-fn judge<'a>(trace: &'a Trace, ends: &Ends) -> Vec<Judged<'a>> {
-    let mut judged: Vec<Judged<'a>> = trace
+fn judge<'a>(trace: &'a Trace, ends: &Ends) -> Vec<JudgedRequest<'a>> {
+    let mut judged: Vec<JudgedRequest<'a>> = trace
         .requests
         .iter()
-        .map(|request| Judged {
+        .map(|request| JudgedRequest {
             request,
-            is_good: false,
+            completed_in_time: false,
         })
         .collect();
     for (id, position, _) in trace.sends() {
@@ -95,19 +98,25 @@
         };
         let took = end.at.since(request.sends[0].at);
         let in_time = took <= trace.deadline(request);
-        judged[position].is_good |= in_time && end.outcome == StatedOutcome::Completed;
+        judged[position].completed_in_time |= in_time && end.outcome == StatedOutcome::Completed;
     }
     judged
 }
 
-fn check_completed(trace: &Trace, judged: &[Judged<'_>], stated: &Completed) -> Option<Difference> {
+fn check_completed(
+    trace: &Trace,
+    judged: &[JudgedRequest<'_>],
+    stated: &Completed,
+) -> Option<Difference> {
     let counts = |request: &Request| match stated.subject {
         Subject::All => true,
         Subject::Flow(flow) => request.flow == flow,
         Subject::Class(class) => trace.criticality(request) == class,
     };
-    let good = judged.iter().filter(|j| j.is_good && counts(j.request));
-    let replayed = good.count() as u64;
+    let completed = judged
+        .iter()
+        .filter(|request| request.completed_in_time && counts(request.request));
+    let replayed = completed.count() as u64;
     (replayed < stated.at_least).then(|| Difference::Completed {
         subject: stated.subject.describe(trace),
         stated: stated.at_least,
@@ -128,19 +137,26 @@
     }
 }
 
-fn check_recovery(judged: &[Judged<'_>], stated: &Recovery) -> Option<Difference> {
+fn check_recovery(judged: &[JudgedRequest<'_>], stated: &Recovery) -> Option<Difference> {
     let recovered = stated.from + stated.within;
-    let later = |judged: &&Judged<'_>| judged.request.sends[0].at >= recovered;
-    let all = judged.iter().filter(later).count() as u64;
-    let good = judged.iter().filter(later).filter(|j| j.is_good).count() as u64;
-    let first_bad = judged.iter().filter(later).find(|j| !j.is_good)?;
-    let is_kept = good * 100 >= all * stated.at_least_percent;
-    (!is_kept).then(|| Difference::Recovery {
+    let is_after_recovery = |judged: &&JudgedRequest<'_>| judged.request.sends[0].at >= recovered;
+    let all = judged.iter().filter(is_after_recovery).count() as u64;
+    let completed = judged
+        .iter()
+        .filter(is_after_recovery)
+        .filter(|request| request.completed_in_time)
+        .count() as u64;
+    let first_failed = judged
+        .iter()
+        .filter(is_after_recovery)
+        .find(|request| !request.completed_in_time)?;
+    let is_met = completed * 100 >= all * stated.at_least_percent;
+    (!is_met).then(|| Difference::Recovery {
         from_ms: stated.from.as_millis(),
         within_ms: u64::try_from(stated.within.as_millis()).unwrap_or(u64::MAX),
         stated: stated.at_least_percent,
-        good,
+        completed,
         all,
-        request: first_bad.request.id,
+        request: first_failed.request.id,
     })
 }
--- a/crates/bramblewheel-sim/src/trace/fault.rs
+++ b/crates/bramblewheel-sim/src/trace/fault.rs
@@ -1,4 +1,4 @@
-//! Faults at stated times, for the run that is recorded and for its replay alike.
+//! Faults at stated times, injected in the same way while recording and while replaying.
 
 use crate::kernel::{ProcessId, StopCause};
 use crate::requests::{
@@ -10,35 +10,35 @@
 /// A fault at a stated time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// When it begins.
+    /// Virtual time at which the fault begins.
     pub begins: Timestamp,
-    /// How long it lasts; a stopped process stays down for as long.
+    /// Duration; a stopped process stays down for this long.
     pub lasts: Duration,
-    /// What fails.
+    /// The kind of fault with its target.
     pub action: FaultAction,
 }
 
-/// What fails.
+/// The kind of a fault with its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultAction {
-    /// All work of a service takes longer.
+    /// The work of a service takes longer or shorter than usual.
     Slow {
         /// The service.
         service: ServiceIndex,
-        /// Time that work takes, in percent of the usual.
+        /// Duration of the work, in percent of the usual.
         percent: u64,
     },
-    /// A process is killed, and started again.
+    /// A process is killed and restarted.
     Kill(Machine),
     /// A process is frozen.
     Freeze(Machine),
-    /// A planned stop; the process is started again.
+    /// A planned stop; the process is restarted.
     StopPlanned(Machine),
-    /// A zone is cut off from the others.
+    /// A zone is partitioned from the others.
     CutZone(ZoneIndex),
 }
 
-/// A process that faults concern.
+/// A process that can be the target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Machine {
     /// An endpoint with its daemon.
@@ -59,7 +59,7 @@
     }
 }
 
-/// Runs on to a time, with all faults that begin or end until then.
+/// Runs the simulation until `ends`, and begins and ends the faults that are due by then.
 pub(super) fn run_until(run: &mut RequestSimulation, faults: &[Fault], ends: Timestamp) {
     let mut steps = Vec::new();
     for fault in faults {
@@ -122,7 +122,7 @@
     match fault.action {
         FaultAction::Slow { service, .. } => run.set_slowdown(service, 1.0),
         FaultAction::Freeze(machine) => run.kernel_mut().thaw(machine.process(layout)),
-        // Started again by the kernel.
+        // `begin` has scheduled the restart; `run_until` opens cuts.
         FaultAction::Kill(_) | FaultAction::StopPlanned(_) | FaultAction::CutZone(_) => {}
     }
 }
--- a/crates/bramblewheel-sim/src/trace/file.rs
+++ b/crates/bramblewheel-sim/src/trace/file.rs
@@ -1,10 +1,10 @@
-//! The shape of a trace's TOML.
+//! TOML structure of trace and plan files.
 
 use bramblewheel_types::{Criticality, EndpointId, OperationKey, ServiceName, ZoneName};
 use serde::Deserialize;
 use toml::Spanned;
 
-/// A whole trace, or a plan to record one from.
+/// A trace, or a plan from which a trace is recorded.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(in crate::trace) struct TraceFile {
@@ -61,19 +61,19 @@
     }
 }
 
-/// Load to record; a trace has none, since its requests say what is sent.
+/// Load of a plan. A trace has none, since it lists its requests.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(in crate::trace) struct LoadTable {
     pub(in crate::trace) rate: f64,
-    #[serde(default = "one")]
+    #[serde(default = "default_surge")]
     pub(in crate::trace) surge: f64,
     #[serde(default)]
     pub(in crate::trace) surge_begins_ms: u64,
     #[serde(default)]
     pub(in crate::trace) surge_ends_ms: u64,
     pub(in crate::trace) ends_ms: u64,
-    #[serde(default = "four")]
+    #[serde(default = "default_max_sends")]
     pub(in crate::trace) max_sends: u32,
     #[serde(default = "fifty")]
     pub(in crate::trace) pause_ms: u64,
@@ -85,7 +85,7 @@
     pub(in crate::trace) roams: bool,
 }
 
-fn four() -> u32 {
+fn default_max_sends() -> u32 {
     4
 }
 
@@ -93,7 +93,7 @@
     50
 }
 
-fn one() -> f64 {
+fn default_surge() -> f64 {
     1.0
 }
 
--- a/crates/bramblewheel-sim/src/trace/mod.rs
+++ b/crates/bramblewheel-sim/src/trace/mod.rs
@@ -1,8 +1,8 @@
-//! Recorded traces: what callers sent, what endpoints drew, which faults came, and the outcomes
-//! that are stated for it; see `docs/TRACES.md`.
+//! Traces: recorded sends of callers, random draws of endpoints and faults, with the expected outcomes; see
+//! `docs/TRACES.md`.
 //!
-//! A trace is replayed through the real engines in the request simulation. It holds everything
-//! that a run would otherwise draw, so that its outcomes depend on the engines' decisions alone.
+//! A trace is replayed through the real decision code in the request simulation. It holds every value that a run
+//! would otherwise draw at random, so that its outcomes depend only on the decisions.
 
 mod ends;
 mod error;
--- a/crates/bramblewheel-sim/src/trace/model.rs
+++ b/crates/bramblewheel-sim/src/trace/model.rs
@@ -1,4 +1,4 @@
-//! A trace as it is replayed, with all names resolved.
+//! A trace with all names resolved, ready for replay.
 
 use super::expect::Expect;
 use super::fault::Fault;
@@ -10,27 +10,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A value with the text that it was read from.
+/// A parsed value with its source text.
 #[derive(Clone, Debug)]
 pub struct Embedded<T> {
-    /// The text.
+    /// Source text.
     pub text: String,
-    /// What it says.
+    /// Parsed value.
     pub value: Arc<T>,
 }
 
-/// What holds for the whole trace.
+/// Settings, faults and expectations of a whole trace.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// How the trace came to be, for readers.
+    /// Origin of the trace, as text for readers.
     pub origin: String,
-    /// Seed of the daemons' own draws.
+    /// Seed of the daemons' random draws.
     pub seed: u64,
-    /// When the replay ends.
+    /// Virtual time at which the replay ends.
     pub ends: Timestamp,
-    /// Time that callers wait beyond their deadlines.
+    /// Time that callers wait after their deadlines.
     pub patience: Duration,
-    /// Control replicas that keep the ledger; 0 for one process that stands for them.
+    /// Number of control replicas that keep the ledger; 0 for a single process in their place.
     pub control_replicas: u32,
     /// The deployment.
     pub deployment: Embedded<Topology>,
@@ -38,14 +38,14 @@
     pub bundle: Embedded<Bundle>,
     /// Faults.
     pub faults: Vec<Fault>,
-    /// What is stated beside the outcomes of single sends.
+    /// Expectations beyond the outcomes of single sends.
     pub expect: Expect,
 }
 
-/// A trace.
+/// A trace, ready for replay.
 #[derive(Clone, Debug)]
 pub struct Trace {
-    /// What holds for the whole trace.
+    /// Settings, faults and expectations.
     pub head: Head,
     /// Requests with their stated outcomes.
     pub requests: Vec<Request>,
@@ -54,44 +54,44 @@
 /// A request of a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Id of the original request.
+    /// Request id of the first send.
     pub id: RequestId,
-    /// Kind of request.
+    /// Flow, the kind of request.
     pub flow: FlowIndex,
     /// Name of the caller.
     pub caller: String,
-    /// How long the caller waits for the whole answer to a send; that of the flow if none.
+    /// Time that the caller waits for the whole answer to a send; defaults to the deadline of the flow.
     pub deadline: Option<Duration>,
-    /// Class that the caller asks for; that of the bundle if none.
+    /// Class that the caller asks for; defaults to the class in the bundle.
     pub criticality: Option<Criticality>,
     /// Whether it belongs to a session.
     pub in_session: bool,
     /// Key of a run-once operation.
     pub operation: Option<OperationKey>,
-    /// Its sends, at least one, in the order of time.
+    /// Sends ordered by time; at least one.
     pub sends: Vec<Send>,
 }
 
 /// One send of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Send {
-    /// When it is sent.
+    /// Virtual time at which it is sent.
     pub at: Timestamp,
-    /// Gateway that it is sent to.
+    /// Zone of the gateway that it is sent to.
     pub gateway: ZoneIndex,
-    /// Where the caller is, if not in the zone of the gateway.
+    /// Zone of the caller if it differs from the gateway's.
     pub from: Option<ZoneIndex>,
-    /// Id under which it is sent, if not under that of the request.
+    /// Request id of this send if it differs from the request's.
     pub id: Option<RequestId>,
-    /// Number of the resend under its id; counted if none.
+    /// Number of the resend with the same id; `None` if it is to be counted.
     pub resend: Option<u32>,
-    /// How long the caller waits, if not as long as the request says.
+    /// Time that the caller waits if it differs from the request's deadline.
     pub deadline: Option<Duration>,
     /// Stated outcome.
     pub outcome: Option<StatedOutcome>,
-    /// What the recorded run brought where nothing is stated; for readers only.
+    /// Outcome in the recorded run where none is stated; for readers only.
     pub recorded: Option<StatedOutcome>,
-    /// What the runs for it drew.
+    /// Random draws of the runs that this send causes.
     pub runs: Vec<RunDraws>,
 }
 
@@ -99,20 +99,19 @@
     /// Time that a caller waits for the answer to a request.
     pub fn deadline(&self, request: &Request) -> Duration {
         let flow = &self.head.deployment.value.flows[request.flow.0];
-        let of_flow = Duration::from_millis(flow.model.deadline_ms);
-        request.deadline.unwrap_or(of_flow)
+        let flow_deadline = Duration::from_millis(flow.model.deadline_ms);
+        request.deadline.unwrap_or(flow_deadline)
     }
 
     /// Class of a request.
     pub fn criticality(&self, request: &Request) -> Criticality {
         let flow = &self.head.deployment.value.flows[request.flow.0].model;
         let route = self.head.bundle.value.resolve(&flow.service, &flow.path);
-        let of_route = route.map_or_else(Criticality::default, |route| route.criticality);
-        request.criticality.unwrap_or(of_route)
+        let route_criticality = route.map_or_else(Criticality::default, |route| route.criticality);
+        request.criticality.unwrap_or(route_criticality)
     }
 
-    /// All sends with the position of their request and their position in it, in the order in
-    /// which [`SendId`]s are given.
+    /// All sends in order of their [`SendId`]s: id, position of the request, position of the send in the request.
     pub fn sends(&self) -> impl Iterator<Item = (SendId, usize, usize)> {
         let requests = self.requests.iter().enumerate();
         let positions =
@@ -122,31 +121,31 @@
             .map(|((request, send), number)| (SendId(number), request, send))
     }
 
-    /// What the callers are to send, in the order of time.
+    /// The sends of all callers, ordered by time.
     pub fn script(&self) -> Vec<ScriptedSend> {
         let mut script: Vec<ScriptedSend> = self
             .sends()
-            .map(|(id, request, send)| self.scripted(id, request, send))
+            .map(|(id, request, send)| self.scripted_send(id, request, send))
             .collect();
         script.sort_by_key(|send| send.at);
         script
     }
 
-    fn scripted(&self, id: SendId, position: usize, number: usize) -> ScriptedSend {
+    fn scripted_send(&self, id: SendId, position: usize, number: usize) -> ScriptedSend {
         let request = &self.requests[position];
         let send = &request.sends[number];
-        let under = |send: &Send| send.id.unwrap_or(request.id);
+        let id_of = |send: &Send| send.id.unwrap_or(request.id);
         let earlier = request.sends[..number].iter();
-        let same = earlier.filter(|earlier| under(earlier) == under(send));
-        let counted = u32::try_from(same.count()).unwrap_or(u32::MAX);
-        let minted = request.sends[0].at.as_millis();
+        let same_id = earlier.filter(|earlier| id_of(earlier) == id_of(send));
+        let counted = u32::try_from(same_id.count()).unwrap_or(u32::MAX);
+        let minted_at = request.sends[0].at.as_millis();
         ScriptedSend {
             send: id,
             person: position as u64,
             at: send.at,
             zone: send.from.unwrap_or(send.gateway),
             gateway: send.gateway,
-            request: under(send),
+            request: id_of(send),
             resend: send.resend.unwrap_or(counted),
             flow: request.flow,
             caller: request.caller.clone(),
@@ -155,7 +154,7 @@
             in_session: request.in_session,
             operation: request.operation.clone().map(|key| Operation {
                 key,
-                minted_at_unix_millis: minted,
+                minted_at_unix_millis: minted_at,
             }),
         }
     }
--- a/crates/bramblewheel-sim/src/trace/outcome.rs
+++ b/crates/bramblewheel-sim/src/trace/outcome.rs
@@ -1,24 +1,24 @@
-//! How a send ended for its caller, as traces state it.
+//! Outcome of a send for its caller, as written in traces.
 
 use bramblewheel_types::{NotRunReason, Outcome};
 use std::fmt;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// How a send ended for its caller.
+/// Outcome of a send for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StatedOutcome {
-    /// The whole answer came.
+    /// The whole answer arrived.
     Completed,
-    /// It provably did not run; any reason fits if none is stated.
+    /// No endpoint ran it; `None` matches any reason.
     NotRun(Option<NotRunReason>),
-    /// It ran and ended in an error.
+    /// An endpoint ran it and answered with an error.
     Failed,
-    /// It may have run.
+    /// An endpoint may have run it.
     Unknown,
     /// No connection to the gateway could be opened.
     NotReached,
-    /// The caller stopped waiting without an answer.
+    /// The caller stopped waiting before an answer arrived.
     GaveUp,
 }
 
@@ -30,11 +30,11 @@
 const GAVE_UP: &str = "gave-up";
 
 impl StatedOutcome {
-    /// Whether what happened is what is stated.
-    pub fn fits(self, happened: Self) -> bool {
-        match (self, happened) {
+    /// Whether the actual outcome matches this stated one.
+    pub fn fits(self, actual: Self) -> bool {
+        match (self, actual) {
             (Self::NotRun(None), Self::NotRun(_)) => true,
-            _ => self == happened,
+            _ => self == actual,
         }
     }
 }
@@ -64,7 +64,7 @@
     }
 }
 
-/// The text names no outcome.
+/// The text is not the name of an outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error(
     "unknown outcome `{0}`: expected completed, not-run, not-run: REASON, failed, unknown, \
--- a/crates/bramblewheel-sim/src/trace/plan.rs
+++ b/crates/bramblewheel-sim/src/trace/plan.rs
@@ -1,15 +1,15 @@
-//! What a trace is recorded from.
+//! Plan from which a trace is recorded.
 
 use super::model::Head;
 use crate::requests::{CallerBehaviour, LoadProfile};
 
-/// What a trace is recorded from: the head that the trace will have, and the load.
+/// Plan from which a trace is recorded: the head of the trace, the load and the behaviour of callers.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Head of the trace.
     pub head: Head,
-    /// Load.
+    /// Load to generate.
     pub load: LoadProfile,
-    /// How callers behave.
+    /// Behaviour of callers.
     pub callers: CallerBehaviour,
 }
--- a/crates/bramblewheel-sim/src/trace/promises.rs
+++ b/crates/bramblewheel-sim/src/trace/promises.rs
@@ -1,4 +1,4 @@
-//! The promises that a trace may state to hold in its replay.
+//! Checks the promises that a trace states for its replay.
 
 use super::ends::Ends;
 use super::error::Difference;
@@ -10,19 +10,19 @@
     let expect = &trace.head.expect;
     let mut differences = Vec::new();
     if expect.operations_run_once {
-        differences.extend(run_once(ends));
+        differences.extend(check_run_once(ends));
     }
     if expect.retries_within_bound {
         let bound = trace.head.bundle.value.limits.retry_tokens as usize;
-        differences.extend(retries(ends, bound));
+        differences.extend(check_retries(ends, bound));
     }
     if expect.not_run_is_true {
-        differences.extend(not_run(trace, ends));
+        differences.extend(check_not_run(trace, ends));
     }
     differences
 }
 
-fn run_once(ends: &Ends) -> Vec<Difference> {
+fn check_run_once(ends: &Ends) -> Vec<Difference> {
     let mut runs: BTreeMap<_, (_, usize)> = BTreeMap::new();
     for run in &ends.runs {
         if let Some(operation) = &run.operation {
@@ -30,8 +30,8 @@
             *times += 1;
         }
     }
-    let several = runs.into_iter().filter(|(_, (_, times))| *times > 1);
-    several
+    let repeated = runs.into_iter().filter(|(_, (_, times))| *times > 1);
+    repeated
         .map(|(operation, (request, times))| Difference::RanTwice {
             operation: operation.to_string(),
             request,
@@ -40,8 +40,8 @@
         .collect()
 }
 
-/// A call is what was asked for, so each send of a caller is a call of its own.
-fn retries(ends: &Ends, bound: usize) -> Vec<Difference> {
+/// Counts the runs of each call. Every send of a caller is a separate call, so a caller's resends are not extra runs.
+fn check_retries(ends: &Ends, bound: usize) -> Vec<Difference> {
     let mut requests: BTreeMap<_, BTreeMap<_, usize>> = BTreeMap::new();
     for run in &ends.runs {
         let calls = requests.entry(run.request).or_default();
@@ -61,15 +61,15 @@
     differences
 }
 
-fn not_run(trace: &Trace, ends: &Ends) -> Vec<Difference> {
+fn check_not_run(trace: &Trace, ends: &Ends) -> Vec<Difference> {
     let mut runs: BTreeMap<_, usize> = BTreeMap::new();
     for root in ends.runs.iter().filter_map(|run| run.root) {
         *runs.entry(root).or_default() += 1;
     }
     let mut differences = Vec::new();
     for (id, position, send) in trace.sends() {
-        let told = ends.sends.get(&id).map(|end| end.outcome);
-        let (Some(StatedOutcome::NotRun(_)), Some(runs)) = (told, runs.get(&id)) else {
+        let outcome = ends.sends.get(&id).map(|end| end.outcome);
+        let (Some(StatedOutcome::NotRun(_)), Some(runs)) = (outcome, runs.get(&id)) else {
             continue;
         };
         differences.push(Difference::NotRunUntrue {
--- a/crates/bramblewheel-sim/src/trace/read/faults.rs
+++ b/crates/bramblewheel-sim/src/trace/read/faults.rs
@@ -1,4 +1,4 @@
-//! Faults and the machines that they concern.
+//! Reads the faults of a trace and their targets.
 
 use crate::requests::{EndpointIndex, ServiceIndex, Topology, ZoneIndex};
 use crate::trace::error::TraceError;
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// A field and what is wrong with it.
-type Wrong = (&'static str, String);
+/// Name of an invalid field, and the message about it.
+type FieldError = (&'static str, String);
 
 pub(super) fn read(
     source: &Source<'_>,
@@ -36,32 +36,37 @@
     table: &FaultTable,
     topology: &Topology,
     replicas: u32,
-) -> Result<FaultAction, Wrong> {
+) -> Result<FaultAction, FieldError> {
     match table.kind {
-        FaultKind::Slow => slow(table, topology),
-        FaultKind::Kill => Ok(FaultAction::Kill(machine(table, topology, replicas)?)),
-        FaultKind::Freeze => Ok(FaultAction::Freeze(machine(table, topology, replicas)?)),
-        FaultKind::StopPlanned => match machine(table, topology, replicas)? {
-            Machine::Replica(_) => Err(("replica", "only killed or frozen".to_owned())),
+        FaultKind::Slow => read_slow(table, topology),
+        FaultKind::Kill => Ok(FaultAction::Kill(read_machine(table, topology, replicas)?)),
+        FaultKind::Freeze => Ok(FaultAction::Freeze(read_machine(
+            table, topology, replicas,
+        )?)),
+        FaultKind::StopPlanned => match read_machine(table, topology, replicas)? {
+            Machine::Replica(_) => Err((
+                "replica",
+                "a replica can only be killed or frozen".to_owned(),
+            )),
             machine => Ok(FaultAction::StopPlanned(machine)),
         },
         FaultKind::CutZone => {
-            let zone = table.zone.as_ref().ok_or_else(|| needed("zone"))?;
+            let zone = table.zone.as_ref().ok_or_else(|| missing("zone"))?;
             Ok(FaultAction::CutZone(zone_named(topology, zone, "zone")?))
         }
     }
 }
 
-fn needed(field: &'static str) -> Wrong {
-    (field, "needed for a fault of this kind".to_owned())
+fn missing(field: &'static str) -> FieldError {
+    (field, "required for a fault of this kind".to_owned())
 }
 
-fn slow(table: &FaultTable, topology: &Topology) -> Result<FaultAction, Wrong> {
-    let percent = table.percent.ok_or_else(|| needed("percent"))?;
+fn read_slow(table: &FaultTable, topology: &Topology) -> Result<FaultAction, FieldError> {
+    let percent = table.percent.ok_or_else(|| missing("percent"))?;
     if percent == 0 {
         return Err(("percent", "must be above 0".to_owned()));
     }
-    let name = table.service.as_ref().ok_or_else(|| needed("service"))?;
+    let name = table.service.as_ref().ok_or_else(|| missing("service"))?;
     let mut services = topology.services.iter();
     let position = services.position(|service| service.name == *name);
     let position = position.ok_or_else(|| ("service", format!("no service `{name}`")))?;
@@ -71,7 +76,11 @@
     })
 }
 
-fn machine(table: &FaultTable, topology: &Topology, replicas: u32) -> Result<Machine, Wrong> {
+fn read_machine(
+    table: &FaultTable,
+    topology: &Topology,
+    replicas: u32,
+) -> Result<Machine, FieldError> {
     match (&table.endpoint, &table.gateway, table.replica) {
         (Some(name), None, None) => {
             let mut endpoints = topology.endpoints.iter();
@@ -81,9 +90,12 @@
         }
         (None, Some(zone), None) => Ok(Machine::Gateway(zone_named(topology, zone, "gateway")?)),
         (None, None, Some(number)) if number < replicas => Ok(Machine::Replica(number)),
-        (None, None, Some(_)) => Err(("replica", format!("there are {replicas} replicas"))),
+        (None, None, Some(_)) => Err((
+            "replica",
+            format!("must be below the number of replicas, {replicas}"),
+        )),
         _ => {
-            let message = "one of `endpoint`, `gateway` and `replica` is needed";
+            let message = "exactly one of `endpoint`, `gateway` and `replica` is required";
             Err(("kind", message.to_owned()))
         }
     }
@@ -93,7 +105,7 @@
     topology: &Topology,
     name: &ZoneName,
     field: &'static str,
-) -> Result<ZoneIndex, Wrong> {
+) -> Result<ZoneIndex, FieldError> {
     let position = topology.zones.iter().position(|zone| zone == name);
     let position = position.ok_or_else(|| (field, format!("no zone `{name}`")))?;
     Ok(ZoneIndex(position))
--- a/crates/bramblewheel-sim/src/trace/read/head.rs
+++ b/crates/bramblewheel-sim/src/trace/read/head.rs
@@ -1,4 +1,4 @@
-//! What holds for the whole trace.
+//! Reads the head of a trace: deployment, bundle, faults and expectations.
 
 use super::Files;
 use super::faults;
@@ -15,21 +15,21 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The one format that there is.
+/// Supported format version.
 const FORMAT: u64 = 1;
-/// Longest replay, so that a slip of the pen does not run for ever.
+/// Longest replay in virtual milliseconds, so that a typing error does not cause an endless run.
 const MAX_RUN_MS: u64 = 600_000;
-/// Most control replicas.
+/// Largest number of control replicas.
 const MAX_REPLICAS: u32 = 9;
 
-/// A text that a trace holds or names.
+/// A text that is embedded in a trace or read from a file that the trace names.
 struct Text<'a> {
     file: &'a str,
     text: String,
-    /// Where it stands in the trace, if it does.
+    /// Byte offset of the text in the trace; `None` if it comes from a file.
     at: Option<usize>,
-    /// Where the trace says which file it is.
-    named_at: usize,
+    /// Byte offset of the file name or of the embedded text in the trace.
+    reference_at: usize,
 }
 
 pub(super) fn read(
@@ -38,7 +38,7 @@
     files: Files<'_>,
 ) -> Result<Head, TraceError> {
     if *shape.format.get_ref() != FORMAT {
-        let message = format!("this program reads format {FORMAT}");
+        let message = format!("only format {FORMAT} is supported");
         return Err(source.error_at(shape.format.span().start, 0, "format", message));
     }
     let run_ms = *shape.run_ms.get_ref();
@@ -73,25 +73,25 @@
     files: Files<'_>,
 ) -> Result<Embedded<Topology>, TraceError> {
     let TextTable { file, text } = table.get_ref();
-    let found = find_text(
+    let loaded = load_text(
         source,
         table.span().start,
         file.as_ref(),
         text.as_ref(),
         files,
     )?;
-    let deployment = deployment::parse(found.file, &found.text);
-    let deployment: Deployment = deployment.map_err(|error| match (error, found.at) {
+    let deployment = deployment::parse(loaded.file, &loaded.text);
+    let deployment: Deployment = deployment.map_err(|error| match (error, loaded.at) {
         (DeploymentError::Syntax { line, message, .. }, Some(at)) => {
             source.error_at(at, line, "deployment.text", message)
         }
         (error, at) => {
-            let at = at.unwrap_or(found.named_at);
+            let at = at.unwrap_or(loaded.reference_at);
             source.error_at(at, 0, "deployment", error.to_string())
         }
     })?;
     Ok(Embedded {
-        text: found.text,
+        text: loaded.text,
         value: Arc::new(Topology::new(&deployment)),
     })
 }
@@ -106,20 +106,20 @@
         file,
         text,
     } = table.get_ref();
-    let found = find_text(
+    let loaded = load_text(
         source,
         table.span().start,
         file.as_ref(),
         text.as_ref(),
         files,
     )?;
-    let bundle = bramblewheel_bundle::parse(found.file, &found.text);
-    let bundle = bundle.map_err(|error| match (error.findings.first(), found.at) {
+    let bundle = bramblewheel_bundle::parse(loaded.file, &loaded.text);
+    let bundle = bundle.map_err(|error| match (error.findings.first(), loaded.at) {
         (Some(first), Some(at)) => {
             let message = first.finding.to_string();
             source.error_at(at, first.location.line, "bundle.text", message)
         }
-        _ => source.error_at(found.named_at, 0, "bundle", error.to_string()),
+        _ => source.error_at(loaded.reference_at, 0, "bundle", error.to_string()),
     })?;
     if let Some(stated) = stated {
         let actual = digest(&canonical::encode(&bundle));
@@ -134,12 +134,12 @@
         }
     }
     Ok(Embedded {
-        text: found.text,
+        text: loaded.text,
         value: Arc::new(bundle),
     })
 }
 
-fn find_text<'a>(
+fn load_text<'a>(
     source: &Source<'_>,
     table: usize,
     file: Option<&'a Spanned<String>>,
@@ -148,25 +148,29 @@
 ) -> Result<Text<'a>, TraceError> {
     match (file, text) {
         (Some(name), None) => {
-            let named_at = name.span().start;
+            let reference_at = name.span().start;
             let file = name.get_ref();
             let read = files(file).map_err(|error| {
-                source.error_at(named_at, 0, "file", format!("{file}: {error}"))
+                source.error_at(reference_at, 0, "file", format!("{file}: {error}"))
             })?;
             Ok(Text {
                 file,
                 text: read,
                 at: None,
-                named_at,
+                reference_at,
             })
         }
         (None, Some(text)) => Ok(Text {
             file: "text",
             text: text.get_ref().clone(),
             at: Some(text.span().start),
-            named_at: text.span().start,
+            reference_at: text.span().start,
         }),
-        _ => Err(source.error(table, "text", "either `text` or `file` is needed")),
+        _ => Err(source.error(
+            table,
+            "text",
+            "exactly one of `text` and `file` is required",
+        )),
     }
 }
 
@@ -209,7 +213,7 @@
         (None, Some(criticality)) => Subject::Class(criticality),
         (None, None) => Subject::All,
         (Some(_), Some(_)) => {
-            let message = "either `flow` or `criticality`, not both";
+            let message = "only one of `flow` and `criticality` is allowed";
             return Err(source.error(at, "flow", message));
         }
     };
@@ -219,7 +223,7 @@
     })
 }
 
-/// The flow of that name.
+/// Index of the flow named `name`.
 pub(super) fn flow_named(topology: &Topology, name: &str) -> Option<crate::requests::FlowIndex> {
     let position = topology.flows.iter().position(|f| f.model.name == name);
     position.map(crate::requests::FlowIndex)
--- a/crates/bramblewheel-sim/src/trace/read/mod.rs
+++ b/crates/bramblewheel-sim/src/trace/read/mod.rs
@@ -1,4 +1,4 @@
-//! Reading of traces and plans.
+//! Reads traces and plans.
 
 mod faults;
 mod head;
@@ -12,7 +12,7 @@
 use super::source::Source;
 pub(super) use requests::FAILED;
 
-/// Reads a file that a trace names; the name is relative to the trace.
+/// Reads a file that a trace or plan names, relative to the folder of the trace.
 pub type Files<'a> = &'a dyn Fn(&str) -> Result<String, String>;
 
 /// Reads and checks a trace; `file` is the name used in errors.
@@ -23,7 +23,7 @@
     let source = Source::new(file, text);
     let shape: TraceFile = source.deserialize()?;
     if let Some(load) = &shape.load {
-        let message = "a trace has no load: its requests say what is sent";
+        let message = "not allowed in a trace, which lists its requests";
         return Err(source.error(load.span().start, "load", message));
     }
     let head = head::read(&source, &shape, files)?;
@@ -39,7 +39,7 @@
     let source = Source::new(file, text);
     let shape: TraceFile = source.deserialize()?;
     if let Some(request) = shape.request.first() {
-        let message = "a plan has no requests: its load says what is sent";
+        let message = "not allowed in a plan, whose load defines the requests";
         return Err(source.error(request.span().start, "request", message));
     }
     let head = head::read(&source, &shape, files)?;
--- a/crates/bramblewheel-sim/src/trace/read/plan.rs
+++ b/crates/bramblewheel-sim/src/trace/read/plan.rs
@@ -1,4 +1,4 @@
-//! The load of a plan.
+//! Reads the load of a plan.
 
 use crate::requests::{CallerBehaviour, LoadProfile};
 use crate::trace::error::TraceError;
@@ -16,25 +16,25 @@
     head: Head,
 ) -> Result<Plan, TraceError> {
     let Some(load) = load else {
-        return Err(source.error(0, "load", "a plan says what is sent"));
+        return Err(source.error(0, "load", "required in a plan"));
     };
     let offset = load.span().start;
     let table = load.get_ref();
-    let wrong = |field, message: &str| Err(source.error(offset, field, message));
+    let invalid = |field, message: &str| Err(source.error(offset, field, message));
     if table.rate <= 0.0 || !table.rate.is_finite() {
-        return wrong("rate", "must be above 0");
+        return invalid("rate", "must be above 0");
     }
     if table.surge <= 0.0 || !table.surge.is_finite() {
-        return wrong("surge", "must be above 0");
+        return invalid("surge", "must be above 0");
     }
     if table.max_sends == 0 {
-        return wrong("max_sends", "must be at least 1");
+        return invalid("max_sends", "must be at least 1");
     }
     if table.with_id_percent > 100 {
-        return wrong("with_id_percent", "no more than 100 percent");
+        return invalid("with_id_percent", "must be at most 100");
     }
     let Ok(callers_per_zone @ 1..) = u32::try_from(table.callers_per_zone) else {
-        return wrong("callers_per_zone", "must be at least 1");
+        return invalid("callers_per_zone", "must be at least 1");
     };
     let callers = CallerBehaviour {
         max_sends: table.max_sends,
--- a/crates/bramblewheel-sim/src/trace/read/requests.rs
+++ b/crates/bramblewheel-sim/src/trace/read/requests.rs
@@ -1,4 +1,4 @@
-//! Requests with their sends.
+//! Reads the requests of a trace with their sends.
 
 use super::head::flow_named;
 use crate::requests::{CallPath, RouteIndex, RunDraws, Topology, ZoneIndex};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// Marks a run that ended in an error of its own.
+/// Suffix of a run that ends in an error of the endpoint itself.
 pub(in crate::trace) const FAILED: &str = "failed";
 
 pub(super) fn read(
@@ -21,11 +21,11 @@
     head: &Head,
 ) -> Result<Vec<Request>, TraceError> {
     let reader = Reader { source, head };
-    let mut known = BTreeSet::new();
+    let mut ids = BTreeSet::new();
     let mut requests = Vec::new();
     for table in tables {
         let request = reader.request(table)?;
-        if !known.insert(request.id) {
+        if !ids.insert(request.id) {
             let at = table.get_ref().id.span().start;
             return Err(source.error_at(at, 0, "id", "another request has this id"));
         }
@@ -57,7 +57,7 @@
         for send_table in &table.send {
             let send = self.send(send_table, route)?;
             if sends.last().is_some_and(|last| last.at > send.at) {
-                let message = "earlier than the send before it";
+                let message = "must not be before the preceding send";
                 let at = send_table.span().start;
                 return Err(self.source.error(at, "at_us", message));
             }
@@ -66,7 +66,7 @@
         if sends.is_empty() {
             return Err(self
                 .source
-                .error(offset, "send", "a request is sent at least once"));
+                .error(offset, "send", "at least one send is required"));
         }
         Ok(Request {
             id: self.request_id(&table.id)?,
@@ -93,7 +93,7 @@
         let table = table.get_ref();
         let at = Timestamp(table.at_us);
         if at > self.head.ends {
-            let message = "the replay has ended by then; see run_ms";
+            let message = "after the end of the replay (run_ms)";
             return Err(self.source.error(offset, "at_us", message));
         }
         let runs = table.runs.iter().map(|text| self.run(text, route));
@@ -136,23 +136,23 @@
         })
     }
 
-    /// A run is a place in the call tree, then times in microseconds, then perhaps `failed`.
+    /// Parses a run: a position in the call tree, times in microseconds, and optionally `failed`.
     fn run(&self, text: &Spanned<String>, route: RouteIndex) -> Result<RunDraws, TraceError> {
-        let wrong = |message: String| self.source.error_at(text.span().start, 0, "runs", message);
+        let invalid = |message: String| self.source.error_at(text.span().start, 0, "runs", message);
         let mut words: Vec<&str> = text.get_ref().split_whitespace().collect();
         let fails = words.last() == Some(&FAILED);
         if fails {
             words.pop();
         }
-        let Some((place, times)) = words.split_first() else {
-            return Err(wrong(
-                "empty: expected a place such as root or 1.2, and times".to_owned(),
+        let Some((position, times)) = words.split_first() else {
+            return Err(invalid(
+                "empty: expected a position such as root or 1.2, and times".to_owned(),
             ));
         };
-        let path = self.path(place, route).map_err(wrong)?;
+        let path = self.path(position, route).map_err(invalid)?;
         let micros = |word: &&str| {
             let parsed = word.parse().map(Duration::from_micros);
-            parsed.map_err(|_| wrong(format!("`{word}` is no time in whole microseconds")))
+            parsed.map_err(|_| invalid(format!("`{word}` is not a whole number of microseconds")))
         };
         Ok(RunDraws {
             path,
@@ -161,18 +161,18 @@
         })
     }
 
-    fn path(&self, place: &str, route: RouteIndex) -> Result<CallPath, String> {
-        let path: CallPath = place
+    fn path(&self, position: &str, route: RouteIndex) -> Result<CallPath, String> {
+        let path: CallPath = position
             .parse()
-            .map_err(|()| format!("`{place}` is no place such as root or 1.2"))?;
+            .map_err(|()| format!("`{position}` is not a position such as root or 1.2"))?;
         let mut route = &self.topology().routes[route.0];
-        for position in path.positions() {
-            let Some(call) = route.calls.get(position) else {
+        for call_index in path.positions() {
+            let Some(call) = route.calls.get(call_index) else {
                 let count = route.calls.len();
-                let number = position + 1;
+                let number = call_index + 1;
                 let path = &route.path;
                 return Err(format!(
-                    "`{place}`: sub-call {number} of {path}, which makes {count}"
+                    "`{position}`: sub-call {number} of {path}, which makes {count} sub-calls"
                 ));
             };
             route = &self.topology().routes[call.0];
--- a/crates/bramblewheel-sim/src/trace/record.rs
+++ b/crates/bramblewheel-sim/src/trace/record.rs
@@ -1,4 +1,4 @@
-//! The recording of traces from simulated runs.
+//! Recording of traces from simulated runs.
 
 use super::ends::Ends;
 use super::error::RecordError;
@@ -14,11 +14,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Runs a plan and records it: what was sent, what endpoints drew, and how each send ended. The
-/// trace is replayed at once, since one that does not replay is of no use.
+/// Runs a plan and records the sends, the random draws of endpoints and the outcome of each send. Replays the
+/// trace at once, because a trace with other outcomes in its replay is useless.
 ///
 /// # Errors
-/// [`RecordError`] when the replay brings other outcomes than the run, or than the plan states.
+/// [`RecordError`] when outcomes in the replay differ from the run or from what the plan states.
 pub fn record(plan: &Plan) -> Result<Trace, RecordError> {
     let head = &plan.head;
     let settings = RequestSettings {
@@ -72,7 +72,7 @@
 }
 
 impl Recording<'_> {
-    /// The requests in the order of their first sends.
+    /// The requests, ordered by their first sends.
     fn requests(&self, history: &[Entry<Record>]) -> Vec<Request> {
         let mut requests: Vec<Request> = Vec::new();
         let mut positions: BTreeMap<u64, usize> = BTreeMap::new();
@@ -127,7 +127,7 @@
             send, to, request, ..
         } = record
         else {
-            unreachable!("only sends are looked at");
+            unreachable!("`send` is called with sent records only");
         };
         let gateway = self.zone_of(*to, ProcessLayout::gateway);
         let caller = entry
@@ -142,15 +142,15 @@
             deadline: None,
             outcome: self.ends.sends.get(send).map(|end| end.outcome),
             recorded: None,
-            runs: self.draws_of(*send),
+            runs: self.draws_for(*send),
         }
     }
 
-    fn draws_of(&self, send: SendId) -> Vec<crate::requests::RunDraws> {
+    fn draws_for(&self, send: SendId) -> Vec<crate::requests::RunDraws> {
         self.draws.get(&send).cloned().unwrap_or_default()
     }
 
-    /// The zone whose process of a kind this is.
+    /// The zone whose process, as given by `of`, is `process`.
     fn zone_of(
         &self,
         process: ProcessId,
@@ -158,26 +158,26 @@
     ) -> ZoneIndex {
         let mut zones = (0..self.topology.zones.len()).map(ZoneIndex);
         let found = zones.find(|zone| of(&self.layout, *zone) == process);
-        found.expect("callers send to the gateways of zones")
+        found.expect("each gateway and each caller process belongs to a zone")
     }
 }
 
-/// States the recorded outcomes of those sends that end alike in the replay, and leaves the others
-/// as a note. Returns how many are stated, and how many are not.
+/// Turns the recorded outcome of each send into a stated one if the replay reproduces it, and leaves it as a note
+/// otherwise. Returns the numbers of stated outcomes and of notes.
 pub fn state_outcomes(trace: &mut Trace) -> (usize, usize) {
     let ends = play(trace, None).ends;
     let sends: Vec<_> = trace.sends().collect();
-    let (mut stated, mut noted) = (0, 0);
+    let (mut stated, mut not_stated) = (0, 0);
     for (id, request, number) in sends {
         let send = &mut trace.requests[request].sends[number];
         let replayed = ends.sends.get(&id).map(|end| end.outcome);
-        let is_alike = send.recorded.is_some() && send.recorded == replayed;
-        if is_alike {
+        let is_reproduced = send.recorded.is_some() && send.recorded == replayed;
+        if is_reproduced {
             send.outcome = send.recorded.take();
             stated += 1;
         } else {
-            noted += 1;
+            not_stated += 1;
         }
     }
-    (stated, noted)
+    (stated, not_stated)
 }
--- a/crates/bramblewheel-sim/src/trace/replay.rs
+++ b/crates/bramblewheel-sim/src/trace/replay.rs
@@ -1,4 +1,4 @@
-//! The replay of a trace through the real engines, and the verdict on it.
+//! Replays a trace through the real decision code and compares it with the stated outcomes.
 
 use super::ends::Ends;
 use super::error::Difference;
@@ -14,47 +14,48 @@
 use bramblewheel_types::Timestamp;
 use std::sync::Arc;
 
-/// What a replay brought.
+/// Result of a replay.
 #[derive(Clone, Debug)]
 pub struct Replay {
-    /// How the sends ended, and what ran for them.
+    /// Outcomes of the sends and the runs that they caused.
     pub ends: Ends,
-    /// Digest of all that happened: the same for each replay of a trace.
+    /// Digest of the history; equal for every replay of a trace.
     pub digest: HistoryDigest,
 }
 
-/// Whether a replay brought the stated outcomes.
+/// Comparison of a replay with the stated outcomes.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// Stated outcomes that it did not bring.
+    /// Stated outcomes that the replay did not reproduce.
     pub differences: Vec<Difference>,
-    /// Digest of all that happened: the same for each replay of a trace.
+    /// Digest of the history; equal for every replay of a trace.
     pub digest: HistoryDigest,
-    /// Requests of the trace.
+    /// Number of requests in the trace.
     pub requests: usize,
-    /// Sends of the trace.
+    /// Number of sends in the trace.
     pub sends: usize,
-    /// Sends with a stated outcome.
+    /// Number of sends with a stated outcome.
     pub stated: usize,
-    /// Requests completed within their deadlines.
+    /// Number of requests completed within their deadlines.
     pub completed: usize,
-    /// Runs at endpoints.
+    /// Number of runs at endpoints.
     pub runs: usize,
 }
 
 impl Verdict {
-    /// Whether all stated outcomes came.
+    /// Whether the replay reproduced all stated outcomes.
     pub fn passed(&self) -> bool {
         self.differences.is_empty()
     }
 }
 
-/// Replays a trace and compares.
+/// Replays a trace and compares it with the stated outcomes.
 pub fn replay(trace: &Trace) -> Verdict {
     replay_with_double(trace, None)
 }
 
-/// Replays a trace with unsafe daemons, if any, to see that its stated outcomes can fail.
+/// Like [`replay`], with daemons replaced by an unsafe double if one is given, to show that the stated outcomes
+/// can fail.
 pub fn replay_with_double(trace: &Trace, double: Option<UnsafeDouble>) -> Verdict {
     let replay = play(trace, double);
     let mut differences = compare_sends(trace, &replay.ends);
@@ -78,7 +79,7 @@
         let Some(stated) = request.sends[number].outcome else {
             continue;
         };
-        // Whoever is not answered at the end of the replay waited in vain.
+        // A send without an end got no answer by the end of the replay.
         let end = ends.sends.get(&id);
         let replayed = end.map_or(StatedOutcome::GaveUp, |end| end.outcome);
         if !stated.fits(replayed) {
@@ -93,7 +94,7 @@
     differences
 }
 
-/// Replays a trace.
+/// Replays a trace without comparing outcomes.
 pub fn play(trace: &Trace, double: Option<UnsafeDouble>) -> Replay {
     let head = &trace.head;
     let settings = RequestSettings {
@@ -126,7 +127,7 @@
     }
 }
 
-/// Scripted callers have no load of their own.
+/// Scripted callers send only what the script says.
 const NO_LOAD: LoadProfile = LoadProfile {
     base_rate: 0.0,
     surge: 1.0,
--- a/crates/bramblewheel-sim/src/trace/source.rs
+++ b/crates/bramblewheel-sim/src/trace/source.rs
@@ -1,4 +1,4 @@
-//! The text of a trace, to find lines and fields for errors.
+//! Finds the lines and fields of a trace for error messages.
 
 use super::error::TraceError;
 use crate::source_text::{SourceText, key_of};
@@ -6,9 +6,9 @@
 
 /// The text of a trace with the name of its file.
 ///
-/// It adds to [`SourceText`] what only traces need. They have hundreds of tables of one kind, so a
-/// field is looked for in its own table alone; and they hold whole files as texts, so an error may
-/// lie some lines below a value, in lines whose equals sign need not follow a key.
+/// Extends [`SourceText`] for traces. A trace has hundreds of tables of one kind, so a field is searched only in its
+/// own table. A trace also embeds whole files as strings, so an error may lie several lines below the start of a
+/// value, and text before an equals sign there need not be a key.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Source<'a> {
     text: SourceText<'a>,
@@ -20,17 +20,17 @@
         Self { text }
     }
 
-    /// Reads the text as TOML of a shape; the error names a missing field, which is on no line.
+    /// Parses the text as TOML. For a missing field, the error takes the name from the parser's message.
     pub(super) fn deserialize<T: DeserializeOwned>(&self) -> Result<T, TraceError> {
         self.text.deserialize().map_err(|error: TraceError| {
-            let in_line = error.field.filter(|field| is_bare_key(field));
-            let field = in_line.or_else(|| quoted(&error.message).map(str::to_owned));
+            let field_in_line = error.field.filter(|field| is_bare_key(field));
+            let field = field_in_line.or_else(|| quoted(&error.message).map(str::to_owned));
             TraceError { field, ..error }
         })
     }
 
-    /// An error about a field of the table that begins at byte `offset`; the line is that of the
-    /// table if the field is not in it.
+    /// An error about a field of the table that begins at byte `offset`; points to the start of the table if the
+    /// field is missing.
     pub(super) fn error(
         &self,
         offset: usize,
@@ -39,13 +39,14 @@
     ) -> TraceError {
         let first = self.text.line_of_offset(offset);
         let lines = self.text.lines_from(first);
-        let mut own = lines.take_while(|(number, line)| *number == first || !line.starts_with('['));
-        let found = own.find(|(_, line)| key_of(line) == Some(field));
+        let mut table_lines =
+            lines.take_while(|(number, line)| *number == first || !line.starts_with('['));
+        let found = table_lines.find(|(_, line)| key_of(line) == Some(field));
         let line = found.map_or(first, |(number, _)| number);
         self.text.error_in_line(line, Some(field), message)
     }
 
-    /// An error at the value that begins at byte `offset`, some lines further down.
+    /// An error `lines_below` lines after the start of the value at byte `offset`.
     pub(super) fn error_at(
         &self,
         offset: usize,
@@ -59,11 +60,11 @@
 }
 
 fn is_bare_key(text: &str) -> bool {
-    let may_stand = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-' || c == '.';
-    !text.is_empty() && text.chars().all(may_stand)
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-' || c == '.';
+    !text.is_empty() && text.chars().all(is_allowed)
 }
 
-/// What a message sets in backquotes, such as the name of a missing field.
+/// The first text in backquotes in a message, such as the name of a missing field.
 fn quoted(message: &str) -> Option<&str> {
     message.split('`').nth(1)
 }
--- a/crates/bramblewheel-sim/src/trace/write.rs
+++ b/crates/bramblewheel-sim/src/trace/write.rs
@@ -1,4 +1,4 @@
-//! Traces as text.
+//! Writes traces as TOML.
 
 use super::expect::{Expect, Subject};
 use super::fault::{Fault, FaultAction, Machine};
@@ -9,27 +9,27 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// A trace as text; reading it again gives the same trace.
+/// Formats a trace as TOML; parsing the result gives the same trace.
 pub fn to_toml(trace: &Trace) -> String {
     let topology = trace.head.deployment.value.as_ref();
-    let mut out = Out::default();
-    out.head(&trace.head);
+    let mut writer = TomlWriter::default();
+    writer.head(&trace.head);
     for fault in &trace.head.faults {
-        out.fault(fault, topology);
+        writer.fault(fault, topology);
     }
-    out.expect(&trace.head.expect, topology);
+    writer.expect(&trace.head.expect, topology);
     for request in &trace.requests {
-        out.request(request, topology);
+        writer.request(request, topology);
     }
-    out.0
+    writer.0
 }
 
 #[derive(Default)]
-struct Out(String);
+struct TomlWriter(String);
 
-impl Out {
+impl TomlWriter {
     fn line(&mut self, line: std::fmt::Arguments<'_>) {
-        writeln!(self.0, "{line}").expect("a string takes every write");
+        writeln!(self.0, "{line}").expect("writing to a string never fails");
     }
 
     fn text(&mut self, key: &str, value: impl std::fmt::Display) {
@@ -45,7 +45,7 @@
         self.line(format_args!("\n{header}"));
     }
 
-    /// Several lines as they are, if TOML allows that.
+    /// Writes a multi-line literal string, or an escaped string if the text can't stand in a literal.
     fn block(&mut self, key: &str, text: &str) {
         if text.contains("'''") || text.contains('\r') {
             return self.text(key, text);
@@ -168,19 +168,19 @@
             self.text("recorded", outcome);
         }
         if !send.runs.is_empty() {
-            let runs: Vec<String> = send.runs.iter().map(run).collect();
+            let runs: Vec<String> = send.runs.iter().map(format_run).collect();
             self.line(format_args!("runs = [{}]", runs.join(", ")));
         }
     }
 }
 
-fn run(run: &RunDraws) -> String {
+fn format_run(run: &RunDraws) -> String {
     let mut text = format!("\"{}", run.path);
     for part in &run.work {
-        write!(text, " {}", part.as_micros()).expect("a string takes every write");
+        write!(text, " {}", part.as_micros()).expect("writing to a string never fails");
     }
     if run.fails {
-        write!(text, " {FAILED}").expect("a string takes every write");
+        write!(text, " {FAILED}").expect("writing to a string never fails");
     }
     text + "\""
 }
--- a/crates/bramblewheel-sim/tests/traces.rs
+++ b/crates/bramblewheel-sim/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Recorded traces: the examples pass, what differs is named, and bad input is located.
+//! Traces: the examples replay with their stated outcomes, differences are reported, and errors name line and field.
 
 use bramblewheel_sim::requests::UnsafeDouble;
 use bramblewheel_sim::trace::{
@@ -31,7 +31,7 @@
     parse(name, &text_of(name), &files).expect("the examples are valid")
 }
 
-/// Names of the traces among the examples.
+/// File names of the example traces.
 fn names() -> Vec<String> {
     let entries = fs::read_dir(folder()).expect("folder exists");
     let names = entries.map(|entry| entry.expect("readable").file_name());
@@ -42,31 +42,31 @@
 }
 
 #[test]
-fn each_example_passes_and_replays_alike() {
+fn every_example_passes_and_replays_with_equal_digest() {
     let names = names();
     assert!(names.len() >= 4, "{names:?}");
     for name in names {
         let trace = example(&name);
         let verdict = replay(&trace);
         assert!(verdict.passed(), "{name}: {}", verdict.differences[0]);
-        assert!(verdict.stated > 0, "{name} states nothing");
+        assert!(verdict.stated > 0, "{name}: no outcome is stated");
         assert_eq!(verdict.digest, replay(&trace).digest, "{name}");
     }
 }
 
 #[test]
-fn a_trace_written_and_read_again_is_the_same() {
+fn writing_and_parsing_a_trace_preserves_it() {
     for name in names() {
         let trace = example(&name);
         let written = to_toml(&trace);
-        let again = parse("written", &written, &files).expect("what is written can be read");
+        let again = parse("written", &written, &files).expect("a written trace is valid");
         assert_eq!(to_toml(&again), written, "{name}");
         assert_eq!(replay(&again).digest, replay(&trace).digest, "{name}");
     }
 }
 
 #[test]
-fn a_changed_outcome_is_found_and_its_request_named() {
+fn changed_outcome_is_reported_with_its_request_id() {
     let mut trace = example("torgnett-kills.toml");
     let request = &mut trace.requests[100];
     let id = request.id;
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_reason_counts_only_if_it_is_stated() {
+fn not_run_without_a_reason_matches_any_reason() {
     let mut trace = example("torgnett-surge.toml");
     let sends = trace.requests.iter_mut().flat_map(|r| &mut r.sends);
     let mut refused = 0;
@@ -101,10 +101,10 @@
 }
 
 #[test]
-fn statements_on_many_requests_can_fail() {
+fn unmet_completed_and_recovery_expectations_are_reported() {
     let mut trace = example("museum-surge.toml");
     let payments = trace.head.expect.completed[0];
-    let above = Completed {
+    let too_many_payments = Completed {
         at_least: payments.at_least + 1,
         ..payments
     };
@@ -112,13 +112,13 @@
         subject: Subject::All,
         at_least: trace.requests.len() as u64 + 1,
     };
-    let at_once = Recovery {
+    let immediate = Recovery {
         from: Timestamp::from_millis(1_000),
         within: Duration::ZERO,
         at_least_percent: 100,
     };
-    trace.head.expect.completed = vec![above, all];
-    trace.head.expect.recovery = vec![at_once];
+    trace.head.expect.completed = vec![too_many_payments, all];
+    trace.head.expect.recovery = vec![immediate];
     let differences = replay(&trace).differences;
     let kinds: Vec<&str> = differences.iter().map(kind).collect();
     assert_eq!(kinds, ["completed", "completed", "recovery"]);
@@ -143,16 +143,19 @@
 }
 
 #[test]
-fn unsafe_daemons_break_the_stated_promises() {
+fn unsafe_doubles_break_the_stated_promises() {
     let without_tokens = kinds_with("by-hand.toml", UnsafeDouble::RetryPerHop);
     assert!(without_tokens.contains(&"retries"), "{without_tokens:?}");
     let late_claims = kinds_with("torgnett-kills.toml", UnsafeDouble::ClaimAfterDispatch);
     assert!(late_claims.contains(&"ran-twice"), "{late_claims:?}");
-    let untrue = kinds_with("torgnett-kills.toml", UnsafeDouble::NotRunOnTimeout);
-    assert!(untrue.contains(&"not-run-untrue"), "{untrue:?}");
+    let false_not_run = kinds_with("torgnett-kills.toml", UnsafeDouble::NotRunOnTimeout);
+    assert!(
+        false_not_run.contains(&"not-run-untrue"),
+        "{false_not_run:?}"
+    );
 }
 
-/// What is wrong after one line of an example is replaced.
+/// Parses an example in which one text is replaced; returns the error and the line that it names.
 fn error_of(name: &str, from: &str, to: &str) -> (TraceError, String) {
     let text = text_of(name);
     let changed = text.replacen(from, to, 1);
@@ -163,7 +166,7 @@
 }
 
 #[test]
-fn bad_lines_are_located() {
+fn errors_name_line_and_field_of_invalid_values() {
     let cases = [
         ("flow = \"price-board\"", "flow = \"price\"", "flow"),
         ("gateway = \"molde-hall\"", "gateway = \"molde\"", "gateway"),
@@ -208,9 +211,9 @@
 }
 
 #[test]
-fn a_field_left_out_and_a_repeated_id_are_located() {
+fn errors_locate_missing_field_and_duplicate_id() {
     let text = text_of("torgnett-surge.toml");
-    let at = text.find("at_us = ").expect("requests are sent at a time");
+    let at = text.find("at_us = ").expect("the example has a send");
     let end = at + text[at..].find('\n').expect("line ends") + 1;
     let without = format!("{}{}", &text[..at], &text[end..]);
     let error = parse("t", &without, &files).expect_err("a field is missing");
@@ -230,17 +233,17 @@
 }
 
 #[test]
-fn plans_and_traces_are_told_apart() {
+fn plan_is_rejected_as_trace_and_trace_as_plan() {
     let plan = text_of("plans/torgnett-surge.toml");
-    let error = parse("plan", &plan, &plan_files).expect_err("a plan is no trace");
+    let error = parse("plan", &plan, &plan_files).expect_err("a plan is not a valid trace");
     assert_eq!(error.field.as_deref(), Some("load"));
     let trace = text_of("torgnett-surge.toml");
-    let error = parse_plan("trace", &trace, &files).expect_err("a trace is no plan");
+    let error = parse_plan("trace", &trace, &files).expect_err("a trace is not a valid plan");
     assert_eq!(error.field.as_deref(), Some("request"));
 }
 
 #[test]
-fn a_recorded_run_replays_with_its_own_outcomes() {
+fn recorded_run_replays_with_recorded_outcomes() {
     let text = text_of("plans/torgnett-kills.toml");
     for seed in [21, 22, 23] {
         let mut plan = parse_plan("plan", &text, &plan_files).expect("plan");
@@ -254,20 +257,21 @@
 }
 
 #[test]
-fn a_run_that_breaks_its_plan_is_not_recorded() {
+fn run_that_violates_its_plan_is_not_recorded() {
     let text = text_of("plans/torgnett-kills.toml");
     let mut plan = parse_plan("plan", &text, &plan_files).expect("plan");
     plan.head.expect.completed[0].at_least = 10_000;
-    let RecordError::Differs { first, .. } = record(&plan).expect_err("too much is stated");
+    let RecordError::Differs { first, .. } =
+        record(&plan).expect_err("the stated number is out of reach");
     assert_eq!(kind(&first), "completed");
 }
 
 #[test]
-fn the_last_run_listed_of_a_place_stands_for_further_ones() {
+fn last_listed_run_of_a_position_is_reused_for_further_runs() {
     let mut trace = example("by-hand.toml");
-    let is_failing = |request: &Request| request.sends[0].runs.len() == 3;
-    let request = trace.requests.iter_mut().find(|r| is_failing(r));
-    let request = request.expect("a request of which one run fails");
+    let has_three_runs = |request: &Request| request.sends[0].runs.len() == 3;
+    let request = trace.requests.iter_mut().find(|r| has_three_runs(r));
+    let request = request.expect("a request with three runs");
     assert!(request.sends[0].runs[1].fails);
     request.sends[0].runs.pop();
     let id = request.id;
