--- a/crates/bramblewheel-sim/src/control/actor.rs
+++ b/crates/bramblewheel-sim/src/control/actor.rs
@@ -1,4 +1,4 @@
-//! The one actor type of the control domain.
+//! Actor type of the control domain.
 
 use super::daemon::DaemonMachine;
 use super::disk::SimulatedDisk;
@@ -8,11 +8,11 @@
 use super::replica::ReplicaMachine;
 use crate::kernel::{Actor, Context, ProcessId, StartCause, StopCause};
 
-/// A process of the control domain with its machine.
+/// A process of the control domain together with its machine.
 pub enum ControlActor {
     /// A control replica: the real node over a simulated disk.
     Replica(Box<ReplicaMachine>),
-    /// A daemon without requests.
+    /// A daemon that serves no requests.
     Daemon(Box<DaemonMachine>),
     /// An operator.
     Operator(Box<Operator>),
@@ -58,7 +58,7 @@
             (Self::Operator(operator), ControlMessage::Reply(reply)) => {
                 operator.receive(context, from, *reply);
             }
-            // What was meant for an earlier process at the address.
+            // The message was meant for an earlier process at the address.
             _ => {}
         }
     }
@@ -66,7 +66,7 @@
     fn timer(&mut self, context: &mut Context<'_, Self>, timer: ControlTimer) {
         match (self, timer) {
             (Self::Replica(replica), ControlTimer::Wake) => replica.wake(context),
-            (Self::Daemon(daemon), ControlTimer::Poll) => daemon.ask(context),
+            (Self::Daemon(daemon), ControlTimer::Poll) => daemon.poll(context),
             (Self::Daemon(daemon), ControlTimer::PollTimeout(id)) => {
                 daemon.timed_out(context, id);
             }
@@ -74,7 +74,7 @@
             (Self::Operator(operator), ControlTimer::RequestTimeout(id)) => {
                 operator.timed_out(context, id);
             }
-            (_, timer) => unreachable!("nobody sets {timer:?} for this process"),
+            (_, timer) => unreachable!("a process of this kind never sets {timer:?}"),
         }
     }
 
@@ -97,7 +97,7 @@
 }
 
 impl ControlActor {
-    /// The replica; none if it is another process.
+    /// The replica; `None` for other processes.
     pub(super) fn as_replica(&self) -> Option<&ReplicaMachine> {
         match self {
             Self::Replica(replica) => Some(replica),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The replica, to inject faults.
+    /// Mutable replica, to inject faults; `None` for other processes.
     pub(super) fn as_replica_mut(&mut self) -> Option<&mut ReplicaMachine> {
         match self {
             Self::Replica(replica) => Some(replica),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The disk; none if the process has none.
+    /// The disk; `None` for operators.
     pub(super) fn disk(&self) -> Option<&SimulatedDisk> {
         match self {
             Self::Replica(replica) => Some(replica.disk()),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The operator; none if it is another process.
+    /// The operator; `None` for other processes.
     pub(super) fn as_operator(&self) -> Option<&Operator> {
         match self {
             Self::Operator(operator) => Some(operator),
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The operator, to give it tasks.
+    /// Mutable operator, to give it tasks; `None` for other processes.
     pub(super) fn as_operator_mut(&mut self) -> Option<&mut Operator> {
         match self {
             Self::Operator(operator) => Some(operator),
--- a/crates/bramblewheel-sim/src/control/address.rs
+++ b/crates/bramblewheel-sim/src/control/address.rs
@@ -1,34 +1,34 @@
-//! Addresses of simulated replicas: the port names the process.
+//! Addresses of simulated replicas; the port encodes the process id.
 
 use crate::kernel::ProcessId;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// First port for daemons and operators.
-const SERVICE_PORTS: u16 = 10_000;
-/// First port for peers.
-const PEER_PORTS: u16 = 20_000;
+/// First service port, for daemons and operators.
+const FIRST_SERVICE_PORT: u16 = 10_000;
+/// First peer port, for other replicas.
+const FIRST_PEER_PORT: u16 = 20_000;
 
-fn address(first: u16, process: ProcessId) -> SocketAddr {
-    let offset = u16::try_from(process.0).expect("replicas are the first processes");
-    SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), first + offset)
+fn address(first_port: u16, process: ProcessId) -> SocketAddr {
+    let offset = u16::try_from(process.0).expect("replicas have the lowest process ids");
+    SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), first_port + offset)
 }
 
-/// Where daemons and operators reach a replica.
+/// Address of a replica for daemons and operators.
 pub(super) fn service(process: ProcessId) -> SocketAddr {
-    address(SERVICE_PORTS, process)
+    address(FIRST_SERVICE_PORT, process)
 }
 
-/// Where its peers reach a replica.
+/// Address of a replica for its peers.
 pub(super) fn peer(process: ProcessId) -> SocketAddr {
-    address(PEER_PORTS, process)
+    address(FIRST_PEER_PORT, process)
 }
 
-/// The process behind either address.
+/// The replica process with the given service or peer address.
 pub(super) fn process(address: SocketAddr) -> ProcessId {
-    let first = if address.port() >= PEER_PORTS {
-        PEER_PORTS
+    let first_port = if address.port() >= FIRST_PEER_PORT {
+        FIRST_PEER_PORT
     } else {
-        SERVICE_PORTS
+        FIRST_SERVICE_PORT
     };
-    ProcessId(u32::from(address.port() - first))
+    ProcessId(u32::from(address.port() - first_port))
 }
--- a/crates/bramblewheel-sim/src/control/bundles.rs
+++ b/crates/bramblewheel-sim/src/control/bundles.rs
@@ -1,4 +1,4 @@
-//! Bundles that simulated operators publish: small, valid, each with content of its own.
+//! Small valid bundles with distinct content, published by simulated operators.
 
 use bramblewheel_bundle::{
     Bundle, OperatorKey, OperatorPolicy, ServicePolicy, canonical, defaults, digest,
@@ -9,28 +9,29 @@
 
 /// The one service of the simulated deployment.
 pub(super) const SERVICE: &str = "kassa";
-/// Operators whose signatures a bundle needs, and how many keys there are in one generation.
+/// Number of signatures that a bundle needs, and of keys in one generation.
 const SIGNERS: u32 = 2;
-/// Generations of keys that sign a bundle beside its own: as many rotations may fail in a row.
+/// Number of earlier key generations that also sign a bundle, so that it stays valid after as many failed key
+/// rotations in a row.
 const EARLIER_GENERATIONS: u64 = 8;
 
-/// What tells one bundle from another.
+/// Parameters that determine the content of a bundle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct BundlePlan {
     pub(super) version: u64,
-    /// Makes the content differ from that of others of the same version.
+    /// Distinguishes the content from that of other bundles with the same version.
     pub(super) variant: u64,
     /// Generation of the operators' keys that the bundle lists.
     pub(super) generation: u64,
 }
 
-/// The service as a name.
+/// Name of the service.
 pub(super) fn service() -> ServiceName {
-    ServiceName::new(SERVICE).expect("a valid name")
+    ServiceName::new(SERVICE).expect("the name is valid")
 }
 
-/// A bundle, signed by the keys of its generation and of those before it.
-pub(super) fn signed(plan: BundlePlan) -> SignedBundle {
+/// A bundle signed with the keys of its generation and of earlier ones.
+pub(super) fn signed_bundle(plan: BundlePlan) -> SignedBundle {
     let bytes = canonical::encode(&bundle(plan));
     let digest = digest(&bytes);
     let oldest = plan.generation.saturating_sub(EARLIER_GENERATIONS);
@@ -76,6 +77,6 @@
         secret[..8].copy_from_slice(&generation.to_le_bytes());
         secret[8..16].copy_from_slice(&(signer + 1).to_le_bytes());
         let name = format!("operator-{generation}-{signer}");
-        OperatorKey::from_secret(&name, &secret).expect("a valid name")
+        OperatorKey::from_secret(&name, &secret).expect("the name is valid")
     })
 }
--- a/crates/bramblewheel-sim/src/control/check/accepted_kept.rs
+++ b/crates/bramblewheel-sim/src/control/check/accepted_kept.rs
@@ -1,5 +1,5 @@
-//! What was accepted is accepted ever after: a resend is accepted again, and in the end every
-//! replica holds it or a newer one.
+//! Checks that accepted bundles are never lost: a resend is accepted again, and at the end every replica has the newest
+//! accepted bundle or a newer one in force.
 
 use super::{Evidence, Promise, Violation};
 use crate::control::record::{BundleName, ControlRecord, PublishAnswer};
@@ -8,7 +8,7 @@
 
 pub(super) fn check(evidence: Evidence<'_>) -> Vec<Violation> {
     let mut accepted: BTreeMap<BundleName, usize> = BTreeMap::new();
-    let mut held: BTreeMap<ProcessId, (BundleName, usize)> = BTreeMap::new();
+    let mut in_force: BTreeMap<ProcessId, (BundleName, usize)> = BTreeMap::new();
     let mut violations = Vec::new();
     for line in evidence.records() {
         match (line.record, line.process) {
@@ -30,34 +30,34 @@
                 }
             }
             (ControlRecord::ReplicaInForce { bundle, .. }, Some(replica)) => {
-                held.insert(replica, (*bundle, line.index));
+                in_force.insert(replica, (*bundle, line.index));
             }
             _ => {}
         }
     }
-    violations.extend(missing_at_the_end(evidence, &accepted, &held));
+    violations.extend(replicas_behind_at_end(evidence, &accepted, &in_force));
     violations
 }
 
-fn missing_at_the_end(
+fn replicas_behind_at_end(
     evidence: Evidence<'_>,
     accepted: &BTreeMap<BundleName, usize>,
-    held: &BTreeMap<ProcessId, (BundleName, usize)>,
+    in_force: &BTreeMap<ProcessId, (BundleName, usize)>,
 ) -> Vec<Violation> {
-    let Some((newest, accepted_at)) = accepted.last_key_value() else {
+    let Some((newest, accepted_index)) = accepted.last_key_value() else {
         return Vec::new();
     };
     let mut violations = Vec::new();
-    for replica in &evidence.cast.replicas {
-        let last = held.get(replica);
+    for replica in &evidence.roles.replicas {
+        let last = in_force.get(replica);
         if last.is_some_and(|(bundle, _)| bundle.version >= newest.version) {
             continue;
         }
-        let name = evidence.cast.name(*replica);
+        let name = evidence.roles.name(*replica);
         let version = last.map_or(0, |(bundle, _)| bundle.version.0);
-        let shown = last.map(|(_, index)| *index);
-        let mut lines = vec![*accepted_at];
-        lines.extend(shown);
+        let in_force_index = last.map(|(_, index)| *index);
+        let mut lines = vec![*accepted_index];
+        lines.extend(in_force_index);
         lines.sort_unstable();
         violations.push(Violation {
             promise: Promise::AcceptedNeverLost,
--- a/crates/bramblewheel-sim/src/control/check/identity.rs
+++ b/crates/bramblewheel-sim/src/control/check/identity.rs
@@ -1,5 +1,5 @@
-//! An identity whose state was lost takes no part any more: it is not opened again, gives no vote,
-//! acknowledges no entry and leads nobody.
+//! Checks that an identity whose state was lost takes no further part: it is not opened again, does not vote,
+//! acknowledges no entry and does not become leader.
 
 use super::{Evidence, Promise, Violation};
 use crate::control::record::ControlRecord;
@@ -20,11 +20,11 @@
             | ControlRecord::Leading { identity, .. } => identity,
             _ => continue,
         };
-        if let Some(&shown) = lost.get(identity) {
+        if let Some(&lost_index) = lost.get(identity) {
             violations.push(Violation {
                 promise: Promise::LostIdentityNeverVotes,
                 message: format!("identity {identity:016x} was lost and takes part again"),
-                evidence: vec![shown, line.index],
+                evidence: vec![lost_index, line.index],
             });
         }
     }
--- a/crates/bramblewheel-sim/src/control/check/in_force.rs
+++ b/crates/bramblewheel-sim/src/control/check/in_force.rs
@@ -1,8 +1,8 @@
-//! Every accepted bundle, or a newer one, is in force on every daemon in time.
+//! Checks that every accepted bundle, or a newer one, is in force on every daemon in time.
 //!
-//! The time runs from the acceptance, which is the first answer or the first replica that applies
-//! it; from the end of all faults, if that is later and the scenario does not ask for more; and
-//! from the last start of the daemon.
+//! The time counts from the latest of: the acceptance, which is the first positive answer or the first replica that
+//! applies the bundle; the end of all faults, unless the scenario sets `in_force_during_faults`; and the last start of
+//! the daemon.
 
 use super::{Evidence, Promise, Violation};
 use crate::control::record::{ControlRecord, PublishAnswer};
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// When a daemon got to a version.
+/// The time and history index at which a daemon put a version in force.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     at: Timestamp,
@@ -19,12 +19,12 @@
     index: usize,
 }
 
-/// What the checker reads out of a history.
+/// Events of a history that the checker needs.
 #[derive(Default)]
 struct Timeline {
     accepted: BTreeMap<BundleVersion, (Timestamp, usize)>,
     in_force: BTreeMap<ProcessId, Vec<Step>>,
-    /// Times at which a process started or went on.
+    /// Times at which processes started or thawed.
     starts: BTreeMap<ProcessId, Vec<Timestamp>>,
     healed: Option<Timestamp>,
     end: Timestamp,
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Since when a daemon can be expected to get a bundle accepted at `accepted`, and when it had
-    /// it.
-    fn due_since(
+    /// Start of the time limit for a daemon to put a bundle in force that was accepted at `accepted`; `reached` is the
+    /// time at which it did.
+    fn limit_starts_at(
         &self,
         daemon: ProcessId,
         accepted: Timestamp,
@@ -93,9 +93,9 @@
         during_faults: bool,
     ) -> Timestamp {
         let healed = self.healed.filter(|_| !during_faults).unwrap_or_default();
-        let before = reached.unwrap_or(self.end);
+        let latest = reached.unwrap_or(self.end);
         let starts = self.starts.get(&daemon).into_iter().flatten();
-        let last_start = starts.copied().filter(|at| *at <= before).max();
+        let last_start = starts.copied().filter(|at| *at <= latest).max();
         accepted.max(healed).max(last_start.unwrap_or_default())
     }
 
@@ -110,25 +110,25 @@
     let bound = Duration::from_millis(evidence.outcomes.in_force_within_ms);
     let during_faults = evidence.outcomes.in_force_during_faults;
     let mut violations = Vec::new();
-    for &daemon in &evidence.cast.daemons {
-        for (&version, &(accepted, shown)) in &timeline.accepted {
+    for &daemon in &evidence.roles.daemons {
+        for (&version, &(accepted, accepted_index)) in &timeline.accepted {
             let reached = timeline.reached(daemon, version);
             let at = reached.map(|step| step.at);
-            let since = timeline.due_since(daemon, accepted, at, during_faults);
-            let needed = at.unwrap_or(timeline.end).since(since);
-            if needed <= bound {
+            let since = timeline.limit_starts_at(daemon, accepted, at, during_faults);
+            let elapsed = at.unwrap_or(timeline.end).since(since);
+            if elapsed <= bound {
                 continue;
             }
-            let name = evidence.cast.name(daemon);
-            let late = match reached {
-                Some(_) => format!("{} ms later", needed.as_millis()),
+            let name = evidence.roles.name(daemon);
+            let delay = match reached {
+                Some(_) => format!("{} ms later", elapsed.as_millis()),
                 None => "never".to_owned(),
             };
-            let mut lines = vec![shown];
+            let mut lines = vec![accepted_index];
             lines.extend(reached.map(|step| step.index));
             violations.push(Violation {
                 promise: Promise::InForceInTime,
-                message: format!("version {version} is in force on {name} {late}"),
+                message: format!("version {version} is in force on {name} {delay}"),
                 evidence: lines,
             });
         }
@@ -136,12 +136,12 @@
     violations
 }
 
-/// Time from acceptance until in force, for each bundle and each daemon that got it or a newer
-/// one; faults and restarts are not taken out.
+/// Time from acceptance until in force, for each accepted bundle and each daemon that put it or a newer one in force.
+/// Includes the duration of faults and restarts.
 pub fn delays(evidence: Evidence<'_>) -> Vec<Duration> {
     let timeline = Timeline::read(evidence);
     let mut delays = Vec::new();
-    for &daemon in &evidence.cast.daemons {
+    for &daemon in &evidence.roles.daemons {
         for (&version, &(accepted, _)) in &timeline.accepted {
             let reached = timeline.reached(daemon, version);
             delays.extend(reached.map(|step| step.at.since(accepted)));
--- a/crates/bramblewheel-sim/src/control/check/mod.rs
+++ b/crates/bramblewheel-sim/src/control/check/mod.rs
@@ -1,4 +1,4 @@
-//! Checkers: each reads the history only, and knows nothing of the code that is checked.
+//! Checkers of the promises. They read only the history and are independent of the checked code.
 
 mod accepted_kept;
 mod identity;
@@ -12,26 +12,26 @@
 
 use super::record::ControlRecord;
 use super::scenario::Outcomes;
-use super::world::Cast;
+use super::world::ProcessRoles;
 use crate::kernel::{Entry, Fact, ProcessId};
 use std::fmt;
 
-/// What a checker holds the history against.
+/// A property that every history must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Promise {
     /// No two bundles of one version are accepted or in force anywhere.
     OneDigestPerVersion,
-    /// What was accepted is accepted ever after.
+    /// Accepted bundles stay accepted.
     AcceptedNeverLost,
     /// No replica and no daemon goes back to an older bundle.
     OrderNeverGoesBack,
     /// Every accepted bundle, or a newer one, is in force on every daemon in time.
     InForceInTime,
-    /// An identity whose state was lost takes no part any more.
+    /// An identity whose state was lost takes no further part.
     LostIdentityNeverVotes,
-    /// Whatever crash comes, a data folder can be read again.
+    /// A data folder is readable after any crash.
     SyncedStaysReadable,
-    /// Everything asked for is answered in the end, and as much as the scenario states.
+    /// Every publish and repair is answered at the end, and at least as many succeed as the scenario states.
     WorkIsDone,
 }
 
@@ -49,30 +49,30 @@
     }
 }
 
-/// A promise that a history breaks.
+/// A violation of a promise in a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The promise.
     pub promise: Promise,
-    /// What happened instead.
+    /// Description of the violation.
     pub message: String,
-    /// Lines of the history that show it, in order.
+    /// Indices of the history entries that show it, in order.
     pub evidence: Vec<usize>,
 }
 
-/// What checkers are given.
+/// Input of the checkers.
 #[derive(Clone, Copy, Debug)]
 pub struct Evidence<'a> {
-    /// The history from beginning to end.
+    /// The whole history.
     pub history: &'a [Entry<ControlRecord>],
-    /// Who is who.
-    pub cast: &'a Cast,
-    /// What the scenario states.
+    /// Processes by role.
+    pub roles: &'a ProcessRoles,
+    /// Outcomes that the scenario states.
     pub outcomes: &'a Outcomes,
 }
 
 impl<'a> Evidence<'a> {
-    /// What the domain recorded, with its position in the history.
+    /// Records of the domain with their positions in the history.
     fn records(self) -> impl Iterator<Item = Line<'a>> {
         let lines = self.history.iter().enumerate();
         lines.filter_map(|(index, entry)| match &entry.fact {
@@ -86,7 +86,7 @@
     }
 }
 
-/// One record of the domain.
+/// A record of the domain with its position in the history.
 #[derive(Clone, Copy, Debug)]
 struct Line<'a> {
     index: usize,
@@ -94,7 +94,7 @@
     record: &'a ControlRecord,
 }
 
-/// Holds a history against all promises.
+/// Checks a history against all promises.
 pub fn check(evidence: Evidence<'_>) -> Vec<Violation> {
     let checkers = [
         one_digest::check,
--- a/crates/bramblewheel-sim/src/control/check/one_digest.rs
+++ b/crates/bramblewheel-sim/src/control/check/one_digest.rs
@@ -1,4 +1,4 @@
-//! No two bundles of one version are accepted or in force anywhere.
+//! Checks that all bundles of one version that are accepted or in force have the same digest.
 
 use super::{Evidence, Line, Promise, Violation};
 use crate::control::record::{BundleName, ControlRecord, PublishAnswer};
@@ -9,28 +9,28 @@
     let mut first: BTreeMap<BundleVersion, (BundleDigest, usize)> = BTreeMap::new();
     let mut violations = Vec::new();
     for line in evidence.records() {
-        let Some(bundle) = held_valid(&line) else {
+        let Some(bundle) = accepted_bundle(&line) else {
             continue;
         };
-        let known = first
+        let first_seen = first
             .entry(bundle.version)
             .or_insert((bundle.digest, line.index));
-        if known.0 != bundle.digest {
+        if first_seen.0 != bundle.digest {
             violations.push(Violation {
                 promise: Promise::OneDigestPerVersion,
                 message: format!(
                     "version {} is {} and also {}",
-                    bundle.version, known.0, bundle.digest
+                    bundle.version, first_seen.0, bundle.digest
                 ),
-                evidence: vec![known.1, line.index],
+                evidence: vec![first_seen.1, line.index],
             });
         }
     }
     violations
 }
 
-/// The bundle that a line shows to be the one of its version.
-fn held_valid(line: &Line<'_>) -> Option<BundleName> {
+/// The bundle that a record shows as accepted or in force, if any.
+fn accepted_bundle(line: &Line<'_>) -> Option<BundleName> {
     match line.record {
         ControlRecord::PublishAnswered {
             bundle,
--- a/crates/bramblewheel-sim/src/control/check/order.rs
+++ b/crates/bramblewheel-sim/src/control/check/order.rs
@@ -1,5 +1,5 @@
-//! No replica and no daemon goes back to an older bundle; all replicas see one order, and a term
-//! has one leader.
+//! Checks that no replica or daemon goes back to an older bundle, that all replicas apply bundles in the same order,
+//! and that each term has one leader.
 
 use super::{Evidence, Line, Promise, Violation};
 use crate::control::record::{BundleName, ControlRecord};
@@ -10,10 +10,10 @@
 
 pub(super) fn check(evidence: Evidence<'_>) -> Vec<Violation> {
     let mut violations = Vec::new();
-    violations.extend(daemons(evidence));
-    violations.extend(replicas(evidence));
-    violations.extend(one_order(evidence));
-    violations.extend(leaders(evidence));
+    violations.extend(check_daemons(evidence));
+    violations.extend(check_replicas(evidence));
+    violations.extend(check_log_order(evidence));
+    violations.extend(check_leaders(evidence));
     violations
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// What is known of one daemon.
+/// State of one daemon as earlier_index by the history.
 #[derive(Default)]
 struct DaemonState {
     in_force: Option<(BundleVersion, usize)>,
@@ -33,7 +33,7 @@
     has_empty_disk: bool,
 }
 
-fn daemons(evidence: Evidence<'_>) -> Vec<Violation> {
+fn check_daemons(evidence: Evidence<'_>) -> Vec<Violation> {
     let mut states: BTreeMap<ProcessId, DaemonState> = BTreeMap::new();
     let mut violations = Vec::new();
     for line in evidence.records() {
@@ -47,7 +47,7 @@
         let Some(process) = line.process else {
             continue;
         };
-        let name = || evidence.cast.name(process);
+        let name = || evidence.roles.name(process);
         let state = states.entry(process).or_default();
         match line.record {
             ControlRecord::DaemonOpened { bundle } => {
@@ -59,9 +59,10 @@
             }
             ControlRecord::DaemonSeen { index } => {
                 let earlier = state.seen.replace((*index, line.index));
-                if let Some((before, shown)) = earlier.filter(|(before, _)| before > index) {
+                if let Some((before, earlier_index)) = earlier.filter(|(before, _)| before > index)
+                {
                     let message = format!("{} saw entry {before}, then {index}", name());
-                    violations.push(violation(message, vec![shown, line.index]));
+                    violations.push(violation(message, vec![earlier_index, line.index]));
                 }
             }
             _ => {}
@@ -80,17 +81,17 @@
         if bundle.is_none() && self.has_empty_disk {
             return None;
         }
-        let (before, shown) = self.in_force?;
+        let (before, earlier_index) = self.in_force?;
         let version = bundle.map(|bundle| bundle.version).unwrap_or_default();
         if version >= before {
             self.in_force = Some((version, line.index));
             return None;
         }
         let message = format!("{} had {before} in force, restarts with {version}", name());
-        Some(violation(message, vec![shown, line.index]))
+        Some(violation(message, vec![earlier_index, line.index]))
     }
 
-    /// Holds after the loss of the disk as well: the group never forgets what a daemon had.
+    /// Also checked after the loss of the disk, since the group keeps every bundle that a daemon had in force.
     fn put_in_force(
         &mut self,
         line: &Line<'_>,
@@ -99,15 +100,15 @@
     ) -> Option<Violation> {
         self.has_empty_disk = false;
         let before = self.in_force.replace((bundle.version, line.index));
-        let (before, shown) = before.filter(|(before, _)| *before > bundle.version)?;
+        let (before, earlier_index) = before.filter(|(before, _)| *before > bundle.version)?;
         let message = format!("{} goes from {before} to {}", name(), bundle.version);
-        Some(violation(message, vec![shown, line.index]))
+        Some(violation(message, vec![earlier_index, line.index]))
     }
 }
 
-/// Within one start, a replica's bundle only goes forward.
-fn replicas(evidence: Evidence<'_>) -> Vec<Violation> {
-    let mut held: BTreeMap<ProcessId, (BundleVersion, usize)> = BTreeMap::new();
+/// Checks that the bundle of a replica never goes back within one incarnation.
+fn check_replicas(evidence: Evidence<'_>) -> Vec<Violation> {
+    let mut in_force: BTreeMap<ProcessId, (BundleVersion, usize)> = BTreeMap::new();
     let mut violations = Vec::new();
     for (index, entry) in evidence.history.iter().enumerate() {
         let Some(process) = entry.process else {
@@ -115,14 +116,15 @@
         };
         match &entry.fact {
             Fact::Started(_) => {
-                held.remove(&process);
+                in_force.remove(&process);
             }
             Fact::Domain(ControlRecord::ReplicaInForce { bundle, .. }) => {
-                let before = held.insert(process, (bundle.version, index));
-                if let Some((before, shown)) = before.filter(|(v, _)| *v >= bundle.version) {
-                    let name = evidence.cast.name(process);
+                let before = in_force.insert(process, (bundle.version, index));
+                if let Some((before, earlier_index)) = before.filter(|(v, _)| *v >= bundle.version)
+                {
+                    let name = evidence.roles.name(process);
                     let message = format!("{name} goes from {before} to {}", bundle.version);
-                    violations.push(violation(message, vec![shown, index]));
+                    violations.push(violation(message, vec![earlier_index, index]));
                 }
             }
             _ => {}
@@ -131,21 +133,21 @@
     violations
 }
 
-/// What is in force follows from the position in the log, and goes forward with it.
-fn one_order(evidence: Evidence<'_>) -> Vec<Violation> {
-    let mut shown: Vec<(u64, BundleVersion, usize)> = Vec::new();
+/// Checks that the version in force depends only on the log position and grows with it.
+fn check_log_order(evidence: Evidence<'_>) -> Vec<Violation> {
+    let mut applied: Vec<(u64, BundleVersion, usize)> = Vec::new();
     for line in evidence.records() {
         if let ControlRecord::ReplicaInForce { bundle, index } = line.record {
-            shown.push((*index, bundle.version, line.index));
+            applied.push((*index, bundle.version, line.index));
         }
     }
-    shown.sort_unstable();
-    let pairs = shown.iter().zip(shown.iter().skip(1));
-    let wrong = pairs.filter(|(earlier, later)| {
+    applied.sort_unstable();
+    let pairs = applied.iter().zip(applied.iter().skip(1));
+    let inconsistent = pairs.filter(|(earlier, later)| {
         let is_same_position = earlier.0 == later.0;
         later.1 < earlier.1 || (is_same_position && later.1 != earlier.1)
     });
-    let violations = wrong.map(|(earlier, later)| {
+    let violations = inconsistent.map(|(earlier, later)| {
         let message = format!(
             "{} is in force at entry {}, and {} at entry {}",
             earlier.1, earlier.0, later.1, later.0
@@ -157,17 +159,17 @@
     violations.collect()
 }
 
-fn leaders(evidence: Evidence<'_>) -> Vec<Violation> {
+fn check_leaders(evidence: Evidence<'_>) -> Vec<Violation> {
     let mut first: BTreeMap<u64, (u64, usize)> = BTreeMap::new();
     let mut violations = Vec::new();
     for line in evidence.records() {
         let ControlRecord::Leading { identity, term } = line.record else {
             continue;
         };
-        let (leader, shown) = *first.entry(*term).or_insert((*identity, line.index));
+        let (leader, earlier_index) = *first.entry(*term).or_insert((*identity, line.index));
         if leader != *identity {
             let message = format!("term {term} has two leaders");
-            violations.push(violation(message, vec![shown, line.index]));
+            violations.push(violation(message, vec![earlier_index, line.index]));
         }
     }
     violations
--- a/crates/bramblewheel-sim/src/control/check/progress.rs
+++ b/crates/bramblewheel-sim/src/control/check/progress.rs
@@ -1,12 +1,13 @@
-//! Everything asked for is answered in the end, and as much as the scenario states.
+//! Checks that every publish and repair is answered at the end, and that at least as many succeed as the scenario
+//! states.
 
 use super::{Evidence, Promise, Violation};
 use crate::control::record::{ControlRecord, PublishAnswer};
 use std::collections::BTreeSet;
 
-/// What was done in a run.
+/// Completed and open work of a run.
 #[derive(Default)]
-struct Done {
+struct Progress {
     has_bootstrapped: bool,
     accepted: BTreeSet<crate::control::record::BundleName>,
     repairs_begun: u64,
@@ -15,64 +16,70 @@
     refused: Vec<(String, usize)>,
 }
 
-impl Done {
+impl Progress {
     fn read(evidence: Evidence<'_>) -> Self {
-        let mut done = Self::default();
+        let mut progress = Self::default();
         for line in evidence.records() {
             match line.record {
-                ControlRecord::Bootstrapped => done.has_bootstrapped = true,
-                ControlRecord::RepairBegun { .. } => done.repairs_begun += 1,
-                ControlRecord::RepairDone { .. } => done.repairs += 1,
+                ControlRecord::Bootstrapped => progress.has_bootstrapped = true,
+                ControlRecord::RepairBegun { .. } => progress.repairs_begun += 1,
+                ControlRecord::RepairDone { .. } => progress.repairs += 1,
                 ControlRecord::Ended { open_publishes } => {
-                    done.open_publishes = Some(*open_publishes);
+                    progress.open_publishes = Some(*open_publishes);
                 }
                 ControlRecord::PublishAnswered { bundle, answer, .. } => match answer {
                     PublishAnswer::Accepted => {
-                        done.accepted.insert(*bundle);
+                        progress.accepted.insert(*bundle);
                     }
                     PublishAnswer::Refused(reason) => {
-                        done.refused.push((reason.clone(), line.index));
+                        progress.refused.push((reason.clone(), line.index));
                     }
                     PublishAnswer::Conflict(_) | PublishAnswer::Outdated(_) => {}
                 },
                 _ => {}
             }
         }
-        done
+        progress
     }
 }
 
 pub(super) fn check(evidence: Evidence<'_>) -> Vec<Violation> {
-    let done = Done::read(evidence);
+    let progress = Progress::read(evidence);
     let outcomes = evidence.outcomes;
-    let mut found = Vec::new();
-    if !done.has_bootstrapped {
-        found.push(("the group was never made".to_owned(), Vec::new()));
+    let mut problems = Vec::new();
+    if !progress.has_bootstrapped {
+        problems.push((
+            "the control group was never bootstrapped".to_owned(),
+            Vec::new(),
+        ));
     }
-    let accepted = done.accepted.len() as u64;
+    let accepted = progress.accepted.len() as u64;
     if accepted < outcomes.min_accepted {
         let message = format!("{accepted} of {} bundles accepted", outcomes.min_accepted);
-        found.push((message, Vec::new()));
+        problems.push((message, Vec::new()));
     }
-    if done.repairs < outcomes.min_repairs {
-        let message = format!("{} of {} repairs", done.repairs, outcomes.min_repairs);
-        found.push((message, Vec::new()));
+    if progress.repairs < outcomes.min_repairs {
+        let message = format!("{} of {} repairs", progress.repairs, outcomes.min_repairs);
+        problems.push((message, Vec::new()));
     }
-    if done.repairs < done.repairs_begun {
+    if progress.repairs < progress.repairs_begun {
         let message = format!(
             "{} of {} repairs finished",
-            done.repairs, done.repairs_begun
+            progress.repairs, progress.repairs_begun
         );
-        found.push((message, Vec::new()));
+        problems.push((message, Vec::new()));
     }
-    if done.open_publishes != Some(0) {
-        let message = format!("publishes without an answer: {:?}", done.open_publishes);
-        found.push((message, Vec::new()));
+    if progress.open_publishes != Some(0) {
+        let message = format!("publishes without an answer: {:?}", progress.open_publishes);
+        problems.push((message, Vec::new()));
     }
-    for (reason, index) in done.refused {
-        found.push((format!("a right publish is refused: {reason}"), vec![index]));
+    for (reason, index) in progress.refused {
+        problems.push((
+            format!("a valid publish was refused: {reason}"),
+            vec![index],
+        ));
     }
-    let violations = found.into_iter().map(|(message, evidence)| Violation {
+    let violations = problems.into_iter().map(|(message, evidence)| Violation {
         promise: Promise::WorkIsDone,
         message,
         evidence,
--- a/crates/bramblewheel-sim/src/control/check/readable.rs
+++ b/crates/bramblewheel-sim/src/control/check/readable.rs
@@ -1,4 +1,4 @@
-//! Whatever crash comes, a data folder can be read again, unless a synced file was damaged.
+//! Checks that a data folder is readable after any crash, unless a fault damaged a synced file.
 
 use super::{Evidence, Promise, Violation};
 use crate::control::record::ControlRecord;
@@ -16,10 +16,10 @@
             (ControlRecord::ReplicaUnusable { reason }, Some(process))
                 if !damaged.contains(&process) =>
             {
-                let name = evidence.cast.name(process);
+                let name = evidence.roles.name(process);
                 violations.push(Violation {
                     promise: Promise::SyncedStaysReadable,
-                    message: format!("{name} can't read its folder: {reason}"),
+                    message: format!("{name} can't read its data folder: {reason}"),
                     evidence: vec![line.index],
                 });
             }
--- a/crates/bramblewheel-sim/src/control/daemon.rs
+++ b/crates/bramblewheel-sim/src/control/daemon.rs
@@ -1,5 +1,5 @@
-//! A daemon without requests: it polls, keeps the bundle in force, and refuses older ones, by the
-//! real daemon's rules.
+//! A daemon that serves no requests: it polls the control group, stores the bundle in force and refuses older bundles,
+//! using the code of the real daemon.
 
 use super::actor::ControlActor;
 use super::address;
@@ -28,22 +28,22 @@
 
 /// Data folder on the simulated disk.
 const FOLDER: &str = "data";
-/// After how long a process that ended because of its disk is started again.
+/// Delay before a process that exited because of a disk failure is restarted.
 const RESTART_AFTER: Duration = Duration::from_secs(1);
 
-/// How long a double waits until it asks again.
+/// Time between two polls of an unsafe double.
 const DOUBLE_PAUSE: Duration = Duration::from_millis(100);
 
-/// What does not change over the life of a machine.
+/// Settings of a machine, fixed for the whole run.
 #[derive(Clone, Debug)]
 pub(super) struct DaemonSettings {
-    /// What the daemon says of itself, apart from its incarnation.
+    /// Registration of the daemon; the incarnation is filled in at each start.
     pub(super) registration: Registration,
     pub(super) replicas: Vec<SocketAddr>,
     pub(super) double: Option<UnsafeDouble>,
 }
 
-/// A daemon with its machine.
+/// A daemon together with its machine.
 pub struct DaemonMachine {
     settings: DaemonSettings,
     disk: SimulatedDisk,
@@ -51,15 +51,15 @@
     incarnation: Option<Incarnation>,
 }
 
-/// What one start of the process has in memory.
+/// State in memory of one incarnation of the process.
 struct Incarnation {
     store: BundleStore<SimulatedDisk>,
-    intake: PollState,
+    poll_state: PollState,
     choice: ReplicaChoice,
     registration: Registration,
-    /// The last question; an answer to another one is too late.
-    asked: u64,
-    is_waiting: bool,
+    /// Id of the last poll; replies to earlier polls are ignored.
+    last_poll: u64,
+    is_awaiting_reply: bool,
 }
 
 type ActorContext<'a> = Context<'a, ControlActor>;
@@ -78,10 +78,13 @@
     pub(super) fn start(&mut self, context: &mut ActorContext<'_>) {
         match self.open(context) {
             Ok(incarnation) => {
-                let bundle = incarnation.intake.bundle().map(|bundle| name(bundle));
+                let bundle = incarnation
+                    .poll_state
+                    .bundle()
+                    .map(|bundle| bundle_name(bundle));
                 context.record(ControlRecord::DaemonOpened { bundle });
                 self.incarnation = Some(incarnation);
-                self.ask(context);
+                self.poll(context);
             }
             Err(error) => {
                 let reason = error.to_string();
@@ -99,12 +102,12 @@
         registration.incarnation = incarnation;
         Ok(Incarnation {
             store,
-            intake: PollState::new(bundle),
+            poll_state: PollState::new(bundle),
             choice: ReplicaChoice::new(self.settings.replicas.clone(), incarnation),
             registration,
-            // Answers to an earlier start must not be taken for answers to this one.
-            asked: u64::from(context.starts()) << 32,
-            is_waiting: false,
+            // Replies to polls of an earlier incarnation must not match polls of this one.
+            last_poll: u64::from(context.starts()) << 32,
+            is_awaiting_reply: false,
         })
     }
 
@@ -117,19 +120,19 @@
         }
     }
 
-    /// Asks the replica chosen.
-    pub(super) fn ask(&mut self, context: &mut ActorContext<'_>) {
+    /// Sends a poll to the chosen replica.
+    pub(super) fn poll(&mut self, context: &mut ActorContext<'_>) {
         let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        if incarnation.intake.bundle().is_none() {
+        if incarnation.poll_state.bundle().is_none() {
             context.record(ControlRecord::DaemonAsksAnew);
         }
-        incarnation.asked += 1;
-        incarnation.is_waiting = true;
+        incarnation.last_poll += 1;
+        incarnation.is_awaiting_reply = true;
         let services = vec![bundles::service()];
         let mut poll = incarnation
-            .intake
+            .poll_state
             .request(incarnation.registration.clone(), services);
         if self.settings.double == Some(UnsafeDouble::DaemonTakesOlder) {
             poll.position = LogPosition::default();
@@ -137,23 +140,23 @@
             poll.whole_bundle = true;
         }
         let request = ControlRequest {
-            id: incarnation.asked,
+            id: incarnation.last_poll,
             body: RequestBody::Poll(Box::new(poll)),
         };
         let to = address::process(incarnation.choice.address());
         context.send(to, ControlMessage::Request(Box::new(request)));
-        let timer = ControlTimer::PollTimeout(incarnation.asked);
+        let timer = ControlTimer::PollTimeout(incarnation.last_poll);
         context.set_timer(POLL_WAIT + POLL_GRACE, timer);
     }
 
-    /// No answer in time, or nobody listens.
+    /// Handles a poll that got no reply in time or could not be delivered.
     pub(super) fn timed_out(&mut self, context: &mut ActorContext<'_>, id: u64) {
         let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        if incarnation.is_waiting && incarnation.asked == id {
+        if incarnation.is_awaiting_reply && incarnation.last_poll == id {
             incarnation.choice.next_replica();
-            incarnation.ask_later(context);
+            incarnation.poll_later(context);
         }
     }
 
@@ -161,59 +164,59 @@
         let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        if !incarnation.is_waiting || incarnation.asked != reply.id {
+        if !incarnation.is_awaiting_reply || incarnation.last_poll != reply.id {
             return;
         }
         match reply.body {
-            ReplyBody::Poll(reply) => self.take(context, *reply),
+            ReplyBody::Poll(reply) => self.apply_reply(context, *reply),
             ReplyBody::Unavailable(reason) => {
                 incarnation.choice.record_unavailable(&reason);
-                incarnation.ask_later(context);
+                incarnation.poll_later(context);
             }
-            other => unreachable!("a replica answers a poll with {other:?}"),
+            other => unreachable!("unexpected reply to a poll: {other:?}"),
         }
     }
 
-    fn take(&mut self, context: &mut ActorContext<'_>, reply: PollReply) {
+    fn apply_reply(&mut self, context: &mut ActorContext<'_>, reply: PollReply) {
         let double = self.settings.double;
         let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        let news = match incarnation.check(&reply, double) {
-            Ok(news) => news,
+        let new_bundle = match incarnation.check(&reply, double) {
+            Ok(new_bundle) => new_bundle,
             Err(refused) => {
                 let reason = refused.to_string();
                 context.record(ControlRecord::DaemonRefused { reason });
                 incarnation.choice.next_replica();
-                return incarnation.ask_later(context);
+                return incarnation.poll_later(context);
             }
         };
         let mut in_force = None;
-        if let Some(NewBundle { bundle, signed }) = news {
+        if let Some(NewBundle { bundle, signed }) = new_bundle {
             if let Err(error) = incarnation.store.save(&signed) {
                 let reason = error.to_string();
                 context.record(ControlRecord::StorageFailed { reason });
-                return incarnation.ask_later(context);
+                return incarnation.poll_later(context);
             }
-            let name = name(&bundle);
+            let name = bundle_name(&bundle);
             context.record(ControlRecord::DaemonInForce { bundle: name });
             in_force = Some(Arc::new(bundle));
         }
-        if reply.position != incarnation.intake.position() {
+        if reply.position != incarnation.poll_state.position() {
             let index = reply.position.index;
             context.record(ControlRecord::DaemonSeen { index });
         }
-        incarnation.intake.accept(&reply, in_force);
+        incarnation.poll_state.accept(&reply, in_force);
         incarnation.choice.record_success();
         if double == Some(UnsafeDouble::DaemonTakesOlder) {
-            // It always gets an answer at once, and asks all replicas in turn.
+            // This double always gets its reply at once, so it waits, and polls the replicas in turn.
             incarnation.choice.next_replica();
             return context.set_timer(DOUBLE_PAUSE, ControlTimer::Poll);
         }
-        self.ask(context);
+        self.poll(context);
     }
 
-    /// The disk, to inject faults.
+    /// Disk of the machine, to inject faults.
     pub(super) fn disk(&self) -> &SimulatedDisk {
         &self.disk
     }
@@ -229,27 +232,27 @@
             Some(BundleUpdate::Whole(offered))
                 if double == Some(UnsafeDouble::DaemonTakesOlder) =>
             {
-                Ok(Some(take_unseen(offered)?))
+                Ok(Some(decode_unchecked(offered)?))
             }
-            _ => self.intake.check(reply),
+            _ => self.poll_state.check(reply),
         }
     }
 
-    fn ask_later(&mut self, context: &mut ActorContext<'_>) {
-        self.is_waiting = false;
+    fn poll_later(&mut self, context: &mut ActorContext<'_>) {
+        self.is_awaiting_reply = false;
         let pause = self.choice.pause();
         context.set_timer(pause, ControlTimer::Poll);
     }
 }
 
-fn take_unseen(offered: &SignedBundle) -> Result<NewBundle, RefusedReply> {
+fn decode_unchecked(offered: &SignedBundle) -> Result<NewBundle, RefusedReply> {
     Ok(NewBundle {
         bundle: decode(offered)?,
         signed: offered.clone(),
     })
 }
 
-fn name(bundle: &Bundle) -> BundleName {
+fn bundle_name(bundle: &Bundle) -> BundleName {
     BundleName {
         version: bundle.version,
         digest: digest(&canonical::encode(bundle)),
--- a/crates/bramblewheel-sim/src/control/disk.rs
+++ b/crates/bramblewheel-sim/src/control/disk.rs
@@ -1,15 +1,15 @@
-//! The disk of a simulated machine: files in memory that lose what was not synced.
+//! Disk of a simulated machine: files in memory that lose unsynced data in a crash.
 
 use bramblewheel_storage::file_system::MemoryFile;
 use bramblewheel_storage::{AppendFile, FileSystem, MemoryFileSystem};
 use std::io;
 use std::path::Path;
 
-/// The disk of a simulated machine. Clones share the files.
+/// Disk of a simulated machine. Clones share the files.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SimulatedDisk {
     files: MemoryFileSystem,
-    /// Says that it synced and does not (an unsafe double).
+    /// Whether syncs report success without an effect (unsafe doubles).
     ignores_sync: bool,
 }
 
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The files, to inject faults.
+    /// Files, to inject faults.
     pub(super) fn files(&self) -> &MemoryFileSystem {
         &self.files
     }
--- a/crates/bramblewheel-sim/src/control/double.rs
+++ b/crates/bramblewheel-sim/src/control/double.rs
@@ -1,22 +1,22 @@
-//! Unsafe doubles: behaviour that breaks a promise, to see the checker of that promise fail.
+//! Unsafe doubles: behaviour that violates a promise, to test that its checker reports it.
 //!
-//! No scenario file can ask for one.
+//! Scenario files can't select them.
 
-/// Behaviour that breaks a promise.
+/// Behaviour that violates a promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsafeDouble {
-    /// Disks of replicas say that they synced and did not.
+    /// Disks of replicas report a sync without performing it.
     UnsyncedReplica,
-    /// A replica that lost its folder comes back as its old self.
+    /// A replica that lost its data folder restarts with its old identity.
     IdentityReuse,
     /// A replica reports a bundle as accepted before it is committed.
     AcceptBeforeCommit,
-    /// A replica reports the loser of a race as accepted too.
+    /// A replica reports a bundle that lost a race for its version as accepted too.
     LastWriterWins,
-    /// A replica goes on answering polls when its lease is over.
+    /// A replica keeps answering polls after its lease has expired.
     AnswersWithoutLease,
-    /// A daemon does not say what it has, and uses whatever it is offered, also what is older.
+    /// A daemon does not report its bundle version and puts every offered bundle in force, even an older one.
     DaemonTakesOlder,
-    /// Disks of daemons say that they synced and did not.
+    /// Disks of daemons report a sync without performing it.
     UnsyncedDaemon,
 }
--- a/crates/bramblewheel-sim/src/control/faults.rs
+++ b/crates/bramblewheel-sim/src/control/faults.rs
@@ -1,9 +1,9 @@
-//! Carries out a scenario's faults: when, on which machines, and what ends them.
+//! Injects the faults of a scenario at their drawn times, chooses their targets, and ends them.
 
 use super::actor::ControlActor;
 use super::record::{ControlRecord, FaultRecord};
 use super::scenario::{After, Direction, Fault, FaultKind, Target};
-use super::world::Cast;
+use super::world::ProcessRoles;
 use crate::kernel::{Disorder, ProcessId, ProcessState, Purpose, Simulation, StopCause, ZoneId};
 use bramblewheel_storage::FileSystem;
 use bramblewheel_types::Timestamp;
@@ -13,20 +13,20 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How long a loss that can't be allowed now is put off.
-const POSTPONED: Duration = Duration::from_millis(500);
-/// Most operations of the disk after which power fails in the middle of a write.
+/// Delay before a fault that destroys state is tried again while another replica is damaged or under repair.
+const POSTPONE_INTERVAL: Duration = Duration::from_millis(500);
+/// Largest number of disk operations before power fails in the middle of a write.
 const MAX_OPERATIONS_BEFORE_TEAR: u64 = 12;
-/// Most syncs after which one fails.
+/// Largest number of successful syncs before one fails.
 const MAX_SYNCS_BEFORE_FAILURE: u64 = 4;
-/// Longest time until operators notice a lost disk, in milliseconds.
+/// Longest time before operators react to a lost disk, in milliseconds.
 const MAX_REPAIR_DELAY: u64 = 2_000;
 
 type World = Simulation<ControlActor>;
 
-/// What ends a fault.
+/// Action that ends a fault.
 #[derive(Clone, Debug)]
-enum Ending {
+enum FaultEnd {
     Start(Vec<ProcessId>),
     Thaw(Vec<ProcessId>),
     Links(Vec<(ProcessId, ProcessId)>),
@@ -35,36 +35,36 @@
     Disorder,
 }
 
-/// Something to do at one moment.
+/// The begin or the end of a fault.
 #[derive(Clone, Debug)]
-enum Entry {
+enum ScheduledAction {
     Begin(Fault),
-    End(FaultKind, Ending),
+    End(FaultKind, FaultEnd),
 }
 
-/// All faults that are to come and to end.
+/// Scheduled begins and ends of faults.
 pub(super) struct Faults {
-    agenda: BTreeMap<(Timestamp, u64), Entry>,
-    added: u64,
-    /// Faults whose moment is counted from the end of a repair.
+    scheduled: BTreeMap<(Timestamp, u64), ScheduledAction>,
+    sequence: u64,
+    /// Faults whose times count from the end of a repair.
     after_repair: Vec<Fault>,
-    /// Faults whose moment is counted from the end of the load.
+    /// Faults whose times count from the end of the load.
     after_load: Vec<Fault>,
     random: Pcg64Mcg,
     /// Machines whose replica is being replaced.
     repairs: BTreeSet<ProcessId>,
-    /// Machines with damaged files, of which it is not known yet whether they are usable.
+    /// Machines with damaged files that have not restarted yet, so that their files may turn out unusable.
     damaged: BTreeSet<ProcessId>,
     repairs_done: usize,
 }
 
 impl Faults {
-    /// Draws the moments of all faults.
+    /// Draws the times of the faults that count from the start of the load, and keeps the others for later.
     pub(super) fn draw(world: &World, faults: &[Fault]) -> Self {
         let start = world.now();
         let mut drawn = Self {
-            agenda: BTreeMap::new(),
-            added: 0,
+            scheduled: BTreeMap::new(),
+            sequence: 0,
             after_repair: Vec::new(),
             after_load: Vec::new(),
             damaged: BTreeSet::new(),
@@ -84,59 +84,59 @@
         drawn
     }
 
-    fn add(&mut self, at: Timestamp, entry: Entry) {
-        self.added += 1;
-        self.agenda.insert((at, self.added), entry);
+    fn add(&mut self, at: Timestamp, action: ScheduledAction) {
+        self.sequence += 1;
+        self.scheduled.insert((at, self.sequence), action);
     }
 
-    /// Draws a fault's moment, counted from `origin`.
+    /// Draws the time of a fault, counted from `origin`, and schedules it.
     fn schedule(&mut self, origin: Timestamp, fault: Fault) {
         let delay = fault.at_ms.draw(&mut self.random);
-        self.add(origin + delay, Entry::Begin(fault));
+        self.add(origin + delay, ScheduledAction::Begin(fault));
     }
 
-    /// The load is over: draws the moments of the faults that are counted from then.
+    /// Schedules the faults whose times count from the end of the load.
     pub(super) fn load_is_over(&mut self, now: Timestamp) {
         for fault in std::mem::take(&mut self.after_load) {
             self.schedule(now, fault);
         }
     }
 
-    /// When there is something to do next.
+    /// Time of the next scheduled begin or end.
     pub(super) fn next_at(&self) -> Option<Timestamp> {
-        self.agenda.keys().next().map(|(at, _)| *at)
+        self.scheduled.keys().next().map(|(at, _)| *at)
     }
 
-    /// Whether nothing is to come any more.
+    /// Whether no begin or end is scheduled and no repair is in progress.
     pub(super) fn are_over(&self) -> bool {
-        self.agenda.is_empty() && self.repairs.is_empty()
+        self.scheduled.is_empty() && self.repairs.is_empty()
     }
 
-    /// Does what is due.
-    pub(super) fn advance(&mut self, world: &mut World, cast: &Cast) {
+    /// Begins and ends the faults that are due.
+    pub(super) fn advance(&mut self, world: &mut World, roles: &ProcessRoles) {
         while self.next_at().is_some_and(|at| at <= world.now()) {
-            let Some((_, entry)) = self.agenda.pop_first() else {
+            let Some((_, action)) = self.scheduled.pop_first() else {
                 return;
             };
-            match entry {
-                Entry::Begin(fault) => self.begin(world, cast, fault),
-                Entry::End(kind, ending) => end(world, kind, ending),
+            match action {
+                ScheduledAction::Begin(fault) => self.begin(world, roles, fault),
+                ScheduledAction::End(kind, ending) => end(world, kind, ending),
             }
         }
     }
 
-    /// Looks for replicas that must be replaced and for replacements that are finished.
-    pub(super) fn watch_repairs(&mut self, world: &mut World, cast: &Cast) {
-        for &replica in &cast.replicas {
+    /// Starts the repair of replicas with unusable data folders, and notices finished replacements.
+    pub(super) fn watch_repairs(&mut self, world: &mut World, roles: &ProcessRoles) {
+        for &replica in &roles.replicas {
             let actor = world.actor(replica).as_replica();
             if actor.is_some_and(|machine| machine.is_unusable()) {
-                self.lose_disk(world, cast, replica, Duration::ZERO);
+                self.lose_disk(world, roles, replica, Duration::ZERO);
             }
             if world.state(replica) != ProcessState::Stopped {
                 self.damaged.remove(&replica);
             }
         }
-        let done = repairs_done(world, cast);
+        let done = repairs_done(world, roles);
         if done > self.repairs_done {
             self.repairs_done = done;
             self.repairs.clear();
@@ -152,34 +152,37 @@
         self.schedule(now, fault);
     }
 
-    fn begin(&mut self, world: &mut World, cast: &Cast, fault: Fault) {
-        let may_destroy = self.repairs.is_empty() && self.damaged.is_empty();
+    fn begin(&mut self, world: &mut World, roles: &ProcessRoles, fault: Fault) {
+        let can_destroy = self.repairs.is_empty() && self.damaged.is_empty();
         let is_loss = fault.kind.destroys() && fault.target.is_one_replica();
-        if is_loss && !may_destroy {
-            return self.add(world.now() + POSTPONED, Entry::Begin(fault));
+        if is_loss && !can_destroy {
+            return self.add(
+                world.now() + POSTPONE_INTERVAL,
+                ScheduledAction::Begin(fault),
+            );
         }
-        let targets = self.choose(world, cast, fault.target);
+        let targets = self.choose(world, roles, fault.target);
         let record = FaultRecord {
             kind: fault.kind,
             processes: targets.clone(),
         };
         world.record(None, ControlRecord::Fault(record));
-        let lasting = fault.for_ms.draw(&mut self.random);
-        let ending = self.strike(world, cast, &fault, targets, lasting);
+        let duration = fault.for_ms.draw(&mut self.random);
+        let ending = self.inject(world, roles, &fault, targets, duration);
         if let Some(ending) = ending {
-            let at = world.now() + lasting;
-            self.add(at, Entry::End(fault.kind, ending));
+            let at = world.now() + duration;
+            self.add(at, ScheduledAction::End(fault.kind, ending));
         }
     }
 
-    fn strike(
+    fn inject(
         &mut self,
         world: &mut World,
-        cast: &Cast,
+        roles: &ProcessRoles,
         fault: &Fault,
         targets: Vec<ProcessId>,
-        lasting: Duration,
-    ) -> Option<Ending> {
+        duration: Duration,
+    ) -> Option<FaultEnd> {
         match fault.kind {
             FaultKind::Kill => Some(stop(world, targets, StopCause::Killed)),
             FaultKind::PowerLoss => Some(stop(world, targets, StopCause::PowerLost)),
@@ -187,7 +190,7 @@
                 for target in targets {
                     let operations = self.random.random_range(0..=MAX_OPERATIONS_BEFORE_TEAR);
                     if let Some(machine) = world.actor_mut(target).as_replica_mut() {
-                        machine.fail_power_after(operations, lasting);
+                        machine.fail_power_after(operations, duration);
                     }
                 }
                 None
@@ -203,17 +206,17 @@
             }
             FaultKind::DiskFull => {
                 set_capacity(world, &targets, Some(0));
-                Some(Ending::Capacity(targets))
+                Some(FaultEnd::Capacity(targets))
             }
             FaultKind::Freeze => {
                 for &target in &targets {
                     world.freeze(target);
                 }
-                Some(Ending::Thaw(targets))
+                Some(FaultEnd::Thaw(targets))
             }
             FaultKind::DiskLoss => {
                 for target in targets {
-                    self.lose_disk(world, cast, target, lasting);
+                    self.lose_disk(world, roles, target, duration);
                 }
                 None
             }
@@ -223,25 +226,31 @@
                     self.damage(world, target);
                     self.damaged.insert(target);
                 }
-                Some(Ending::Start(targets))
+                Some(FaultEnd::Start(targets))
             }
             FaultKind::Cut => {
                 let direction = self.direction(fault.direction);
-                Some(cut_links(world, cast, &targets, direction))
+                Some(cut_links(world, roles, &targets, direction))
             }
             FaultKind::ZoneCut => {
                 let direction = self.direction(fault.direction);
-                Some(cut_zones(world, cast, &targets, direction))
+                Some(cut_zones(world, roles, &targets, direction))
             }
             FaultKind::Disorder => {
                 world.network_mut().set_disorder(disorder(fault));
-                Some(Ending::Disorder)
+                Some(FaultEnd::Disorder)
             }
         }
     }
 
-    /// The machine comes back with an empty disk; a replica is then replaced by operators.
-    fn lose_disk(&mut self, world: &mut World, cast: &Cast, target: ProcessId, down: Duration) {
+    /// Restarts a machine with an empty disk; if it is a replica, an operator replaces it.
+    fn lose_disk(
+        &mut self,
+        world: &mut World,
+        roles: &ProcessRoles,
+        target: ProcessId,
+        down: Duration,
+    ) {
         world.stop(target, StopCause::PowerLost);
         let mut lost = None;
         if let Some(machine) = world.actor_mut(target).as_replica_mut() {
@@ -258,15 +267,15 @@
         self.damaged.remove(&target);
         self.repairs.insert(target);
         let delay = Duration::from_millis(self.random.random_range(0..=MAX_REPAIR_DELAY));
-        world.with(cast.operators[0], |actor, context| {
+        world.with(roles.operators[0], |actor, context| {
             if let Some(operator) = actor.as_operator_mut() {
                 operator.replace(context, down + delay, identity, target);
             }
         });
     }
 
-    /// Flips a bit of something that was synced and is not at the end of the log, where it could
-    /// not be told from a torn write.
+    /// Flips a bit in a synced file other than the last log segment, where damage could not be distinguished from a
+    /// torn write.
     fn damage(&mut self, world: &mut World, target: ProcessId) {
         let Some(disk) = world.actor(target).disk() else {
             return;
@@ -298,36 +307,36 @@
         }
     }
 
-    fn choose(&mut self, world: &World, cast: &Cast, target: Target) -> Vec<ProcessId> {
-        let leads = |process: &ProcessId| {
+    fn choose(&mut self, world: &World, roles: &ProcessRoles, target: Target) -> Vec<ProcessId> {
+        let is_leader = |process: &ProcessId| {
             let replica = world.actor(*process).as_replica();
             let is_up = world.state(*process) != ProcessState::Stopped;
             is_up && replica.is_some_and(|machine| machine.is_leader())
         };
-        let replicas = cast.replicas.iter().copied();
+        let replicas = roles.replicas.iter().copied();
         let candidates: Vec<ProcessId> = match target {
-            Target::AllReplicas => return cast.replicas.clone(),
-            Target::AllDaemons => return cast.daemons.clone(),
-            Target::Everything => return replicas.chain(cast.daemons.iter().copied()).collect(),
+            Target::AllReplicas => return roles.replicas.clone(),
+            Target::AllDaemons => return roles.daemons.clone(),
+            Target::Everything => return replicas.chain(roles.daemons.iter().copied()).collect(),
             Target::Replica => replicas.collect(),
-            Target::Leader => replicas.filter(leads).collect(),
-            Target::Follower => replicas.filter(|process| !leads(process)).collect(),
-            Target::Daemon => cast.daemons.clone(),
+            Target::Leader => replicas.filter(is_leader).collect(),
+            Target::Follower => replicas.filter(|process| !is_leader(process)).collect(),
+            Target::Daemon => roles.daemons.clone(),
         };
         let candidates = if candidates.is_empty() {
-            &cast.replicas
+            &roles.replicas
         } else {
             &candidates
         };
         vec![candidates[self.random.random_range(0..candidates.len())]]
     }
 
-    /// Ends everything that still lasts.
-    pub(super) fn heal(&mut self, world: &mut World, cast: &Cast) {
-        self.agenda.clear();
+    /// Ends all faults and starts all machines.
+    pub(super) fn heal(&mut self, world: &mut World, roles: &ProcessRoles) {
+        self.scheduled.clear();
         self.after_repair.clear();
         world.network_mut().heal();
-        let machines = cast.replicas.iter().chain(&cast.daemons);
+        let machines = roles.replicas.iter().chain(&roles.daemons);
         for &process in machines {
             if let Some(machine) = world.actor_mut(process).as_replica_mut() {
                 machine.cancel_power_failure();
@@ -342,16 +351,16 @@
     }
 }
 
-fn repairs_done(world: &World, cast: &Cast) -> usize {
-    let operator = world.actor(cast.operators[0]).as_operator();
+fn repairs_done(world: &World, roles: &ProcessRoles) -> usize {
+    let operator = world.actor(roles.operators[0]).as_operator();
     operator.map_or(0, |operator| operator.repairs_done())
 }
 
-fn stop(world: &mut World, targets: Vec<ProcessId>, cause: StopCause) -> Ending {
+fn stop(world: &mut World, targets: Vec<ProcessId>, cause: StopCause) -> FaultEnd {
     for &target in &targets {
         world.stop(target, cause);
     }
-    Ending::Start(targets)
+    FaultEnd::Start(targets)
 }
 
 fn set_capacity(world: &World, targets: &[ProcessId], bytes: Option<usize>) {
@@ -365,13 +374,13 @@
 /// Cuts machines off from all replicas.
 fn cut_links(
     world: &mut World,
-    cast: &Cast,
+    roles: &ProcessRoles,
     targets: &[ProcessId],
     direction: Direction,
-) -> Ending {
+) -> FaultEnd {
     let mut links = Vec::new();
     for &target in targets {
-        let others = cast.replicas.iter().filter(|other| **other != target);
+        let others = roles.replicas.iter().filter(|other| **other != target);
         for &other in others {
             if direction != Direction::In {
                 links.push((target, other));
@@ -384,20 +393,20 @@
     for &(from, to) in &links {
         world.network_mut().cut_link(from, to);
     }
-    Ending::Links(links)
+    FaultEnd::Links(links)
 }
 
 /// Cuts the zones of machines off from all other zones.
 fn cut_zones(
     world: &mut World,
-    cast: &Cast,
+    roles: &ProcessRoles,
     targets: &[ProcessId],
     direction: Direction,
-) -> Ending {
+) -> FaultEnd {
     let mut pairs = Vec::new();
     for &target in targets {
-        let zone = cast.zone(target);
-        for other in cast.other_zones(zone) {
+        let zone = roles.zone(target);
+        for other in roles.other_zones(zone) {
             if direction != Direction::In {
                 pairs.push((zone, other));
             }
@@ -409,7 +418,7 @@
     for &(from, to) in &pairs {
         world.network_mut().cut_zone(from, to);
     }
-    Ending::Zones(pairs)
+    FaultEnd::Zones(pairs)
 }
 
 fn disorder(fault: &Fault) -> Disorder {
@@ -421,30 +430,30 @@
     }
 }
 
-fn end(world: &mut World, kind: FaultKind, ending: Ending) {
+fn end(world: &mut World, kind: FaultKind, ending: FaultEnd) {
     world.record(None, ControlRecord::FaultEnded(kind));
     match ending {
-        Ending::Start(processes) => {
+        FaultEnd::Start(processes) => {
             for process in processes {
                 world.start(process);
             }
         }
-        Ending::Thaw(processes) => {
+        FaultEnd::Thaw(processes) => {
             for process in processes {
                 world.thaw(process);
             }
         }
-        Ending::Links(links) => {
+        FaultEnd::Links(links) => {
             for (from, to) in links {
                 world.network_mut().heal_link(from, to);
             }
         }
-        Ending::Zones(pairs) => {
+        FaultEnd::Zones(pairs) => {
             for (from, to) in pairs {
                 world.network_mut().heal_zone(from, to);
             }
         }
-        Ending::Capacity(processes) => set_capacity(world, &processes, None),
-        Ending::Disorder => world.network_mut().set_disorder(Disorder::default()),
+        FaultEnd::Capacity(processes) => set_capacity(world, &processes, None),
+        FaultEnd::Disorder => world.network_mut().set_disorder(Disorder::default()),
     }
 }
--- a/crates/bramblewheel-sim/src/control/message.rs
+++ b/crates/bramblewheel-sim/src/control/message.rs
@@ -1,4 +1,4 @@
-//! What the processes of the control domain send each other.
+//! Messages and timers of the control domain.
 
 use bramblewheel_control::node::{Hello, PeerMessage};
 use bramblewheel_protocol::control::{ControlReply, ControlRequest};
@@ -6,15 +6,15 @@
 /// A message of the control domain.
 #[derive(Clone, Debug)]
 pub enum ControlMessage {
-    /// Between replicas.
+    /// Message between replicas.
     Peer(Box<PeerEnvelope>),
-    /// To a replica.
+    /// Request to a replica.
     Request(Box<ControlRequest>),
-    /// From a replica.
+    /// Reply of a replica.
     Reply(Box<ControlReply>),
 }
 
-/// A message between replicas with what the connection it came on began with.
+/// A message between replicas with the first frame of its connection.
 #[derive(Clone, Debug)]
 pub struct PeerEnvelope {
     /// First frame of the connection.
@@ -23,17 +23,17 @@
     pub message: PeerMessage,
 }
 
-/// What a timer of the control domain brings back.
+/// A timer of the control domain.
 #[derive(Clone, Debug)]
 pub enum ControlTimer {
-    /// A replica's node may be due.
+    /// A replica's node may have work due.
     Wake,
-    /// A daemon asks again.
+    /// A daemon sends its next poll.
     Poll,
-    /// A daemon's question had no answer in time.
+    /// The time-out of a daemon's poll, by id.
     PollTimeout(u64),
-    /// An operator begins a task.
+    /// An operator sends the next request of a task.
     Task(usize),
-    /// An operator's request had no answer in time.
+    /// The time-out of an operator's request, by id.
     RequestTimeout(u64),
 }
--- a/crates/bramblewheel-sim/src/control/mod.rs
+++ b/crates/bramblewheel-sim/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! The control group under failure: real replicas over faulty disks, hollow daemons, operators.
+//! Simulation of the control group under faults: real replicas on faulty disks, operators, and daemons that serve no
+//! requests.
 
 mod actor;
 mod address;
@@ -22,4 +23,4 @@
 pub use record::{BundleName, ControlRecord, FaultRecord, PublishAnswer};
 pub use run::{ControlRun, run};
 pub use scenario::ControlScenario;
-pub use world::Cast;
+pub use world::ProcessRoles;
--- a/crates/bramblewheel-sim/src/control/operator.rs
+++ b/crates/bramblewheel-sim/src/control/operator.rs
@@ -1,4 +1,4 @@
-//! An operator: makes the group, publishes, sends again what was not answered, replaces replicas.
+//! An operator: bootstraps the group, publishes bundles, sends unanswered requests again, replaces replicas.
 
 use super::actor::ControlActor;
 use super::address;
@@ -15,20 +15,20 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// How long an operator waits for an answer before another replica is asked.
+/// Time that an operator waits for a reply before it tries another replica.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long for the end of a replacement.
+/// Time that an operator waits for the end of a replacement.
 const REPLACE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a refusal that may be another one next time.
+/// Pause before a rejected request is sent again, since the rejection may be temporary.
 const REFUSED_PAUSE: Duration = Duration::from_millis(500);
-/// Group that the operators make.
+/// Id of the group that the operators bootstrap.
 const GROUP: u64 = 1;
 
-/// What operators do besides what they are told.
+/// Behaviour of operators.
 #[derive(Clone, Debug)]
 pub(super) struct OperatorSettings {
     pub(super) replicas: Vec<ProcessId>,
-    /// A publish begins only once the one before is answered.
+    /// Whether a publish begins only once the preceding one is answered.
     pub(super) serial: bool,
     pub(super) lose_answer_percent: u8,
     pub(super) resend_percent: u8,
@@ -39,17 +39,18 @@
 pub struct Operator {
     settings: OperatorSettings,
     tasks: Vec<Task>,
-    /// Requests under way with their tasks.
-    open: BTreeMap<u64, usize>,
+    /// Tasks of the requests that await a reply, by request id.
+    pending_requests: BTreeMap<u64, usize>,
     next_request: u64,
     has_bootstrapped: bool,
     accepted: BTreeMap<BundleName, SignedBundle>,
     repairs_done: usize,
-    /// Publishes that wait for a final answer, also those that are yet to begin.
+    /// Tasks of publishes without a final answer, including those not yet begun.
     open_publishes: BTreeSet<usize>,
-    /// The publish under way, and those that wait for its answer.
-    publishing: Option<usize>,
-    waiting: VecDeque<usize>,
+    /// The publish in progress, if publishes are serial.
+    current_publish: Option<usize>,
+    /// Publishes that wait until the one in progress is answered.
+    queued_publishes: VecDeque<usize>,
 }
 
 struct Task {
@@ -58,14 +59,14 @@
 }
 
 enum Job {
-    /// First asks each voter who it is, then gives each the first state.
+    /// Reads the address and identity of each voter, then bootstraps each with the first bundle.
     Bootstrap {
         voters: Vec<ReplicaAddress>,
-        admitted: usize,
+        bootstrapped: usize,
         first: SignedBundle,
     },
     Publish(SignedBundle),
-    /// First asks the new replica who it is.
+    /// Reads the address and identity of the new replica, then asks the group for the replacement.
     Replace {
         lost: u64,
         target: ProcessId,
@@ -80,30 +81,30 @@
         Self {
             settings,
             tasks: Vec::new(),
-            open: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             next_request: 0,
             has_bootstrapped: false,
             accepted: BTreeMap::new(),
             repairs_done: 0,
             open_publishes: BTreeSet::new(),
-            publishing: None,
-            waiting: VecDeque::new(),
+            current_publish: None,
+            queued_publishes: VecDeque::new(),
         }
     }
 
     pub(super) fn start(&mut self, _context: &mut ActorContext<'_>) {}
 
-    /// Makes the group with all replicas as voters.
+    /// Bootstraps the group with all replicas as voters.
     pub(super) fn bootstrap(&mut self, context: &mut ActorContext<'_>, first: SignedBundle) {
         let job = Job::Bootstrap {
             voters: Vec::new(),
-            admitted: 0,
+            bootstrapped: 0,
             first,
         };
         self.add(context, Duration::ZERO, job);
     }
 
-    /// Publishes a bundle after some time.
+    /// Publishes a bundle after the given time.
     pub(super) fn publish(
         &mut self,
         context: &mut ActorContext<'_>,
@@ -114,7 +115,7 @@
         self.open_publishes.insert(task);
     }
 
-    /// Replaces a replica that lost its disk by the new one on the same machine.
+    /// Replaces a replica that lost its disk by a new one on the same machine.
     pub(super) fn replace(
         &mut self,
         context: &mut ActorContext<'_>,
@@ -141,13 +142,13 @@
         task
     }
 
-    /// Sends a task's next request, unless it has to wait for its turn.
+    /// Sends the next request of a task, or queues the task while another publish is in progress.
     pub(super) fn begin(&mut self, context: &mut ActorContext<'_>, task: usize) {
         let is_publish = matches!(self.tasks[task].job, Job::Publish(_));
         if self.settings.serial && is_publish {
-            let current = *self.publishing.get_or_insert(task);
+            let current = *self.current_publish.get_or_insert(task);
             if current != task {
-                return self.waiting.push_back(task);
+                return self.queued_publishes.push_back(task);
             }
         }
         self.send(context, task);
@@ -161,30 +162,30 @@
             _ => REQUEST_TIMEOUT,
         };
         if let RequestBody::Publish(signed) = &body {
-            let bundle = name(signed);
+            let bundle = bundle_name(signed);
             context.record(ControlRecord::PublishSent { bundle, via: to });
         }
         self.next_request += 1;
         let id = self.next_request;
-        self.open.insert(id, task);
+        self.pending_requests.insert(id, task);
         let request = ControlRequest { id, body };
         context.send(to, ControlMessage::Request(Box::new(request)));
         context.set_timer(timeout, ControlTimer::RequestTimeout(id));
     }
 
-    /// No answer in time, or nobody listens.
+    /// Handles a request that got no reply in time or could not be delivered.
     pub(super) fn timed_out(&mut self, context: &mut ActorContext<'_>, id: u64) {
-        if let Some(task) = self.open.remove(&id) {
-            self.ask_another(context, task);
+        if let Some(task) = self.pending_requests.remove(&id) {
+            self.try_next_replica(context, task);
         }
     }
 
-    fn ask_another(&mut self, context: &mut ActorContext<'_>, task: usize) {
+    fn try_next_replica(&mut self, context: &mut ActorContext<'_>, task: usize) {
         self.tasks[task].choice.next_replica();
-        self.ask_again(context, task);
+        self.send_again_later(context, task);
     }
 
-    fn ask_again(&mut self, context: &mut ActorContext<'_>, task: usize) {
+    fn send_again_later(&mut self, context: &mut ActorContext<'_>, task: usize) {
         let pause = self.tasks[task].choice.pause();
         context.set_timer(pause, ControlTimer::Task(task));
     }
@@ -195,29 +196,31 @@
         from: ProcessId,
         reply: ControlReply,
     ) {
-        let Some(task) = self.open.remove(&reply.id) else {
+        let Some(task) = self.pending_requests.remove(&reply.id) else {
             return;
         };
         match reply.body {
             ReplyBody::Unavailable(reason) => {
                 self.tasks[task].choice.record_unavailable(&reason);
-                self.ask_again(context, task);
+                self.send_again_later(context, task);
+            }
+            ReplyBody::Publish(reply) => {
+                self.handle_publish_answer(context, task, from, reply.into())
             }
-            ReplyBody::Publish(reply) => self.answered(context, task, from, reply.into()),
             ReplyBody::GroupStatus(status) => {
-                self.tasks[task].met(status.replica);
+                self.tasks[task].record_address(status.replica);
                 self.begin(context, task);
             }
-            ReplyBody::Done => self.done(context, task),
+            ReplyBody::Done => self.handle_done(context, task),
             ReplyBody::Rejected(_) => {
                 context.set_timer(REFUSED_PAUSE, ControlTimer::Task(task));
             }
-            // A double answers so; no replica does.
-            _ => self.ask_another(context, task),
+            // Only unsafe doubles reply like this.
+            _ => self.try_next_replica(context, task),
         }
     }
 
-    fn answered(
+    fn handle_publish_answer(
         &mut self,
         context: &mut ActorContext<'_>,
         task: usize,
@@ -225,12 +228,12 @@
         answer: PublishAnswer,
     ) {
         let Job::Publish(signed) = &self.tasks[task].job else {
-            unreachable!("only publishes are answered so");
+            unreachable!("only publish tasks get publish replies");
         };
-        let bundle = name(signed);
-        if chance(context, self.settings.lose_answer_percent) {
+        let bundle = bundle_name(signed);
+        if happens(context, self.settings.lose_answer_percent) {
             context.record(ControlRecord::AnswerLost { bundle });
-            return self.ask_another(context, task);
+            return self.try_next_replica(context, task);
         }
         if answer == PublishAnswer::Accepted {
             self.accepted.insert(bundle, signed.clone());
@@ -242,23 +245,25 @@
             answer,
         });
         self.open_publishes.remove(&task);
-        self.publishing = None;
-        if let Some(next) = self.waiting.pop_front() {
+        self.current_publish = None;
+        if let Some(next) = self.queued_publishes.pop_front() {
             self.begin(context, next);
         }
-        if chance(context, self.settings.resend_percent) {
+        if happens(context, self.settings.resend_percent) {
             let after = self.settings.resend_after.draw(context.random());
             self.publish(context, after, signed);
         }
     }
 
-    fn done(&mut self, context: &mut ActorContext<'_>, task: usize) {
+    fn handle_done(&mut self, context: &mut ActorContext<'_>, task: usize) {
         match &mut self.tasks[task].job {
             Job::Bootstrap {
-                voters, admitted, ..
+                voters,
+                bootstrapped,
+                ..
             } => {
-                *admitted += 1;
-                if *admitted < voters.len() {
+                *bootstrapped += 1;
+                if *bootstrapped < voters.len() {
                     return self.begin(context, task);
                 }
                 self.has_bootstrapped = true;
@@ -272,39 +277,39 @@
                 self.repairs_done += 1;
                 context.record(ControlRecord::RepairDone { lost, replacement });
             }
-            Job::Publish(_) => unreachable!("a publish has an answer of its own"),
+            Job::Publish(_) => unreachable!("a publish is never answered with `Done`"),
         }
     }
 
-    /// Ends the faults of the operator's own way to the group, and sending by chance.
+    /// Ends random loss of answers and random resends.
     pub(super) fn stop_load(&mut self) {
         self.settings.lose_answer_percent = 0;
         self.settings.resend_percent = 0;
     }
 
-    /// Whether the group was made.
+    /// Whether the group is bootstrapped.
     pub(super) fn has_bootstrapped(&self) -> bool {
         self.has_bootstrapped
     }
 
-    /// Bundles that the operator was told are accepted.
+    /// Bundles whose acceptance was reported to this operator.
     pub(super) fn accepted(&self) -> impl Iterator<Item = &SignedBundle> {
         self.accepted.values()
     }
 
-    /// Replacements that are finished.
+    /// Number of finished replacements.
     pub(super) fn repairs_done(&self) -> usize {
         self.repairs_done
     }
 
-    /// Publishes without a final answer.
+    /// Number of publishes without a final answer.
     pub(super) fn open_publishes(&self) -> usize {
         self.open_publishes.len()
     }
 }
 
 impl Task {
-    /// Whom to ask, and what.
+    /// Next request of the task and the replica to send it to.
     fn next_request(&self, replicas: &[ProcessId]) -> (ProcessId, RequestBody) {
         let chosen = address::process(self.choice.address());
         match &self.job {
@@ -313,7 +318,7 @@
             }
             Job::Bootstrap {
                 voters,
-                admitted,
+                bootstrapped,
                 first,
             } => {
                 let request = BootstrapRequest {
@@ -321,7 +326,7 @@
                     voters: voters.clone(),
                     bundle: first.clone(),
                 };
-                (replicas[*admitted], RequestBody::Bootstrap(request))
+                (replicas[*bootstrapped], RequestBody::Bootstrap(request))
             }
             Job::Publish(signed) => (chosen, RequestBody::Publish(signed.clone())),
             Job::Replace {
@@ -343,8 +348,8 @@
         }
     }
 
-    /// A replica said who it is.
-    fn met(&mut self, address: ReplicaAddress) {
+    /// Records the address and identity that a replica reported.
+    fn record_address(&mut self, address: ReplicaAddress) {
         match &mut self.job {
             Job::Bootstrap { voters, .. } => voters.push(address),
             Job::Replace { replacement, .. } => *replacement = Some(address),
@@ -353,13 +358,13 @@
     }
 }
 
-fn name(signed: &SignedBundle) -> BundleName {
+fn bundle_name(signed: &SignedBundle) -> BundleName {
     BundleName {
         version: signed.version,
         digest: signed.digest,
     }
 }
 
-fn chance(context: &mut ActorContext<'_>, percent: u8) -> bool {
+fn happens(context: &mut ActorContext<'_>, percent: u8) -> bool {
     percent > 0 && context.random().random_range(0..100) < percent
 }
--- a/crates/bramblewheel-sim/src/control/plan.rs
+++ b/crates/bramblewheel-sim/src/control/plan.rs
@@ -1,4 +1,4 @@
-//! What the operators publish when, drawn once per seed.
+//! Plan of all publishes of a run, drawn once per seed.
 
 use super::bundles::BundlePlan;
 use super::scenario::Load;
@@ -6,13 +6,13 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Version of the bundle with which the group is made.
+/// Version of the bundle with which the group is bootstrapped.
 pub(super) const FIRST_VERSION: u64 = 1;
 
 /// One publish.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlannedPublish {
-    /// Counted from the start of the load.
+    /// Time since the start of the load.
     pub(super) at: Duration,
     pub(super) operator: usize,
     pub(super) bundle: BundlePlan,
@@ -22,9 +22,9 @@
 #[derive(Debug)]
 pub(super) struct PublishPlan {
     pub(super) publishes: Vec<PlannedPublish>,
-    /// When the last round begins.
+    /// Time of the last possible publish, since the start of the load.
     pub(super) end: Duration,
-    /// A version above all others, for the audit.
+    /// A bundle with a version above all others, for the audit.
     pub(super) last: BundlePlan,
 }
 
@@ -35,7 +35,7 @@
         let mut at = Duration::ZERO;
         for round in 0..rounds {
             at += load.every_ms.draw(random);
-            let operators = operators_of(load, round);
+            let operators = operators_in_round(load, round);
             for operator in operators {
                 let spread = Duration::from_millis(random.random_range(0..=load.spread_ms));
                 publishes.push(PlannedPublish {
@@ -53,12 +53,12 @@
     }
 }
 
-fn operators_of(load: &Load, round: u64) -> std::ops::Range<u64> {
+fn operators_in_round(load: &Load, round: u64) -> std::ops::Range<u64> {
     if load.race {
         return 0..load.operators;
     }
-    let in_turn = round % load.operators;
-    in_turn..in_turn + 1
+    let operator = round % load.operators;
+    operator..operator + 1
 }
 
 fn bundle(load: &Load, round: u64, operator: u64) -> BundlePlan {
--- a/crates/bramblewheel-sim/src/control/record.rs
+++ b/crates/bramblewheel-sim/src/control/record.rs
@@ -1,11 +1,11 @@
-//! What the control domain records; all that the checkers know.
+//! Records of the control domain; the only input of the checkers.
 
 use super::scenario::FaultKind;
 use crate::kernel::ProcessId;
 use bramblewheel_protocol::control::PublishReply;
 use bramblewheel_types::{BundleDigest, BundleVersion};
 
-/// A bundle by its names.
+/// Version and digest that identify a bundle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BundleName {
     /// Version.
@@ -14,19 +14,19 @@
     pub digest: BundleDigest,
 }
 
-/// Something that happened in the control domain.
+/// An event of the control domain.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ControlRecord {
-    /// The operators made the group.
+    /// The operators bootstrapped the group.
     Bootstrapped,
     /// An operator sent a bundle to a replica.
     PublishSent {
         /// The bundle.
         bundle: BundleName,
-        /// The replica asked.
+        /// The replica that the bundle was sent to.
         via: ProcessId,
     },
-    /// An operator got a final answer.
+    /// An operator received the final answer to a publish.
     PublishAnswered {
         /// The bundle.
         bundle: BundleName,
@@ -35,102 +35,102 @@
         /// The answer.
         answer: PublishAnswer,
     },
-    /// An answer to an operator was lost on its way.
+    /// An answer to an operator was lost on the network.
     AnswerLost {
         /// The bundle.
         bundle: BundleName,
     },
     /// A replica opened its data folder.
     ReplicaOpened {
-        /// Its identity.
+        /// Identity of the replica.
         identity: u64,
     },
     /// A replica can't use its data folder and stays down until it is replaced.
     ReplicaUnusable {
-        /// What it says.
+        /// Error message of the storage.
         reason: String,
     },
-    /// A process stops because of its disk, and is started again.
+    /// A process failed because of its disk: a replica exits and is restarted, a daemon is restarted or polls again.
     StorageFailed {
-        /// What it says.
+        /// Error message of the storage.
         reason: String,
     },
-    /// A replica leads.
+    /// A replica became leader.
     Leading {
-        /// Its identity.
+        /// Identity of the replica.
         identity: u64,
         /// Term.
         term: u64,
     },
-    /// A replica gave its vote to another.
+    /// A replica voted for another replica.
     VoteGiven {
-        /// Its identity.
+        /// Identity of the replica.
         identity: u64,
         /// Term.
         term: u64,
     },
-    /// A replica told a leader for the first time since its start that it has synced entries.
+    /// A replica acknowledged synced entries to a leader for the first time since its start.
     Acknowledged {
-        /// Its identity.
+        /// Identity of the replica.
         identity: u64,
     },
-    /// A replica's state has another bundle in force.
+    /// The bundle in force changed in the state of a replica.
     ReplicaInForce {
         /// The bundle.
         bundle: BundleName,
-        /// Last entry applied.
+        /// Index of the last applied log entry.
         index: u64,
     },
-    /// A daemon started; what it found on its disk is in force.
+    /// A daemon started and put the bundle from its disk in force.
     DaemonOpened {
-        /// The bundle, if there was one.
+        /// The bundle, if the disk had one.
         bundle: Option<BundleName>,
     },
-    /// A daemon without a bundle asks for one.
+    /// A daemon without a bundle polls for one.
     DaemonAsksAnew,
     /// A daemon put a bundle in force.
     DaemonInForce {
         /// The bundle.
         bundle: BundleName,
     },
-    /// A daemon took over an answer.
+    /// A daemon accepted a poll reply with a new position.
     DaemonSeen {
-        /// Position of the answer.
+        /// Log position of the reply.
         index: u64,
     },
-    /// A daemon refused an answer and left the replica.
+    /// A daemon refused a poll reply and switched to another replica.
     DaemonRefused {
-        /// Why.
+        /// Reason of the refusal.
         reason: String,
     },
     /// Operators began to replace a lost replica.
     RepairBegun {
-        /// Identity lost.
+        /// The lost identity.
         lost: u64,
     },
-    /// The group said that the replacement is finished.
+    /// The group reported that the replacement is finished.
     RepairDone {
-        /// Identity lost.
+        /// The lost identity.
         lost: u64,
-        /// Identity that took its place.
+        /// Identity of the replacement.
         replacement: u64,
     },
     /// A fault began.
     Fault(FaultRecord),
     /// A fault ended.
     FaultEnded(FaultKind),
-    /// The state kept under an identity is gone for good.
+    /// The state kept under an identity was lost permanently.
     IdentityLost {
         /// The identity.
         identity: u64,
     },
-    /// All faults are over.
+    /// All faults have ended.
     Healed,
-    /// The operators send every accepted bundle once more.
+    /// The operators began to publish every accepted bundle again.
     AuditBegun,
-    /// The load and the audit are over; what an operator still waits for stays open.
+    /// Load and audit have ended; publishes that are still unanswered stay so.
     Ended {
-        /// Publishes without a final answer.
+        /// Number of publishes without a final answer.
         open_publishes: u64,
     },
 }
@@ -138,9 +138,9 @@
 /// A fault that began.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct FaultRecord {
-    /// What fails.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// The machines concerned.
+    /// Affected machines.
     pub processes: Vec<ProcessId>,
 }
 
@@ -149,11 +149,11 @@
 pub enum PublishAnswer {
     /// Accepted, now or earlier.
     Accepted,
-    /// Another bundle holds the version.
+    /// Another bundle was accepted with this version.
     Conflict(BundleDigest),
     /// A newer version is in force.
     Outdated(BundleVersion),
-    /// Refused for another reason, which a right load never gives.
+    /// Refused for another reason, which the simulated load never causes.
     Refused(String),
 }
 
--- a/crates/bramblewheel-sim/src/control/replica.rs
+++ b/crates/bramblewheel-sim/src/control/replica.rs
@@ -1,4 +1,4 @@
-//! A control replica: the real node over a simulated disk.
+//! A control replica: the real node on a simulated disk.
 
 use super::actor::ControlActor;
 use super::address;
@@ -26,16 +26,16 @@
 
 /// Data folder on the simulated disk.
 const FOLDER: &str = "data";
-/// Size of a segment in bytes: small, so that a run goes through many.
+/// Size of a log segment in bytes; small, so that a run uses many segments.
 const SEGMENT_SIZE: u64 = 16 * 1024;
-/// What the wall clock shows when a process's own clock shows zero, in milliseconds.
+/// Wall-clock time when a process's own clock reads zero, in milliseconds since the Unix epoch.
 const UNIX_MILLIS_AT_ZERO: u64 = 1_900_000_000_000;
-/// After how long a process that ended because of its disk is started again.
+/// Delay before a process that exited because of a disk failure is restarted.
 const RESTART_AFTER: Duration = Duration::from_secs(1);
-/// After how long a double answers a poll.
+/// Time after which an unsafe double answers a poll.
 const DOUBLE_POLL_WAIT: Duration = Duration::from_secs(3);
 
-/// What does not change over the life of a machine.
+/// Settings of a machine, fixed for the whole run.
 #[derive(Clone, Debug)]
 pub(super) struct ReplicaSettings {
     pub(super) name: String,
@@ -48,34 +48,34 @@
     pub(super) double: Option<UnsafeDouble>,
 }
 
-/// A control replica with its machine.
+/// A control replica together with its machine.
 pub struct ReplicaMachine {
     settings: ReplicaSettings,
     disk: SimulatedDisk,
-    /// Randomness of the machine, apart from that of the process.
+    /// Random number generator of the machine, separate from that of the process.
     random: Pcg64Mcg,
-    /// Power fails with the next operation that the disk refuses; down for as long.
-    power_fails: Option<Duration>,
+    /// If set, the next refused disk operation is a power failure; the value is the time until the restart.
+    pending_power_failure: Option<Duration>,
     identity: Option<u64>,
     is_unusable: bool,
     incarnation: Option<Incarnation>,
 }
 
-/// What one start of the process has in memory.
+/// State in memory of one incarnation of the process.
 struct Incarnation {
     node: ControlNode,
     durable: Durable<SimulatedDisk>,
     address: ReplicaAddress,
     clients: BTreeMap<ClientRequestId, (ProcessId, u64)>,
     next_client: u64,
-    /// The timer that is set.
-    armed: Timestamp,
-    shown: Shown,
+    /// Time of the earliest wake-up timer; `NEVER` if none is set.
+    wake_timer_at: Timestamp,
+    last_recorded: LastRecorded,
 }
 
-/// What was recorded last, so that only changes are recorded.
+/// Values recorded last, so that only changes are recorded.
 #[derive(Default)]
-struct Shown {
+struct LastRecorded {
     bundle: Option<BundleName>,
     leading: Option<Term>,
     has_acknowledged: bool,
@@ -90,7 +90,7 @@
             settings,
             disk: SimulatedDisk::new(ignores_sync),
             random,
-            power_fails: None,
+            pending_power_failure: None,
             identity: None,
             is_unusable: false,
             incarnation: None,
@@ -98,27 +98,27 @@
     }
 
     pub(super) fn start(&mut self, context: &mut ActorContext<'_>) {
-        let opened = self.open(context);
-        match opened {
+        let result = self.open(context);
+        match result {
             Ok(incarnation) => {
                 let identity = incarnation.address.replica;
                 self.identity = Some(identity);
                 context.record(ControlRecord::ReplicaOpened { identity });
                 self.incarnation = Some(incarnation);
-                self.drive(context);
+                self.process_output(context);
             }
             Err(error) => self.fail(context, &error),
         }
     }
 
     fn open(&mut self, context: &mut ActorContext<'_>) -> Result<Incarnation, StorageError> {
-        let fresh = self.fresh_identity();
+        let new_identity = self.identity_for_empty_folder();
         let config = StorageConfig {
             folder: Path::new(FOLDER).to_owned(),
             segment_size: SEGMENT_SIZE,
         };
         let name = &self.settings.name;
-        let (durable, restored) = Durable::open(self.disk.clone(), config, name, fresh)?;
+        let (durable, restored) = Durable::open(self.disk.clone(), config, name, new_identity)?;
         let process = self.settings.process;
         let address = ReplicaAddress {
             replica: durable.identity().replica.0,
@@ -135,20 +135,20 @@
             seed: context.random().random(),
         };
         let node = ControlNode::new(config, restored, now(context))
-            .expect("what this program wrote is a state of this program");
+            .expect("state written by this program can be restored");
         Ok(Incarnation {
             node,
             durable,
             address,
             clients: BTreeMap::new(),
             next_client: 0,
-            armed: Timestamp::NEVER,
-            shown: Shown::default(),
+            wake_timer_at: Timestamp::NEVER,
+            last_recorded: LastRecorded::default(),
         })
     }
 
-    /// The identity that an empty folder gets.
-    fn fresh_identity(&mut self) -> ReplicaId {
+    /// Identity for an empty data folder.
+    fn identity_for_empty_folder(&mut self) -> ReplicaId {
         let drawn = self.random.random();
         let reused = self
             .identity
@@ -158,13 +158,13 @@
 
     pub(super) fn stop(&mut self, cause: StopCause) {
         self.incarnation = None;
-        let power_failed = cause == StopCause::Exited && self.power_fails.is_some();
+        let power_failed = cause == StopCause::Exited && self.pending_power_failure.is_some();
         if cause == StopCause::PowerLost || power_failed {
             self.disk.files().crash(self.random.random());
         } else {
             self.disk.files().kill_process();
         }
-        self.power_fails = None;
+        self.pending_power_failure = None;
     }
 
     pub(super) fn receive_peer(&mut self, context: &mut ActorContext<'_>, envelope: PeerEnvelope) {
@@ -173,13 +173,13 @@
             return;
         };
         let PeerEnvelope { hello, message } = envelope;
-        if !incarnation.is_meant(&hello) {
+        if !incarnation.accepts_connection(&hello) {
             return;
         }
         let from = ReplicaId(hello.from.replica);
         incarnation.node.record_peer_address(now, hello.from);
         incarnation.node.receive(now, from, message);
-        self.drive(context);
+        self.process_output(context);
     }
 
     pub(super) fn receive_request(
@@ -193,7 +193,7 @@
             return;
         };
         let now = now(context);
-        if let Some(body) = answer_at_once(double, incarnation, &request.body) {
+        if let Some(body) = premature_answer(double, incarnation, &request.body) {
             let id = request.id;
             let reply = ControlMessage::Reply(Box::new(ControlReply { id, body }));
             context.send(from, reply);
@@ -202,24 +202,24 @@
         let client = ClientRequestId(incarnation.next_client);
         incarnation.clients.insert(client, (from, request.id));
         incarnation.node.request(now, client, request.body);
-        self.drive(context);
+        self.process_output(context);
     }
 
     pub(super) fn wake(&mut self, context: &mut ActorContext<'_>) {
         let Some(incarnation) = &mut self.incarnation else {
             return;
         };
-        if context.now() < incarnation.armed {
+        if context.now() < incarnation.wake_timer_at {
             return;
         }
-        incarnation.armed = Timestamp::NEVER;
+        incarnation.wake_timer_at = Timestamp::NEVER;
         let now = now(context);
         incarnation.node.tick(now);
-        self.drive(context);
+        self.process_output(context);
     }
 
-    /// Carries out what the node asks for, then sets the timer.
-    fn drive(&mut self, context: &mut ActorContext<'_>) {
+    /// Carries out the node's output, records changes and sets the wake-up timer.
+    fn process_output(&mut self, context: &mut ActorContext<'_>) {
         while let Some(incarnation) = &mut self.incarnation {
             let now = now(context);
             let output = incarnation.node.take_output(now);
@@ -232,8 +232,8 @@
             let sync = self.sync_time(&output);
             self.send(context, output, sync);
         }
-        self.show(context);
-        self.arm(context);
+        self.record_changes(context);
+        self.set_wake_timer(context);
     }
 
     fn sync_time(&mut self, output: &NodeOutput) -> Duration {
@@ -252,7 +252,7 @@
         incarnation.node.persisted(now);
         let group = incarnation.durable.identity().group;
         for (to, message) in output.messages {
-            incarnation.show_promises(context, &message);
+            incarnation.record_vote_or_acknowledgement(context, &message);
             let Some(peer) = incarnation.node.member_address(to) else {
                 continue;
             };
@@ -269,13 +269,13 @@
             let Some((to, id)) = incarnation.clients.remove(&client) else {
                 continue;
             };
-            let (body, wait) = incarnation.altered(double, body);
+            let (body, wait) = incarnation.alter_reply(double, body);
             let reply = ControlMessage::Reply(Box::new(ControlReply { id, body }));
             context.send_after(sync + wait, to, reply);
         }
     }
 
-    /// The disk failed: the process ends. A folder that is damaged stays so.
+    /// Exits the process after a disk failure. It is not restarted if its data folder is damaged.
     fn fail(&mut self, context: &mut ActorContext<'_>, error: &StorageError) {
         let reason = error.to_string();
         if matches!(
@@ -287,21 +287,21 @@
             return context.exit(None);
         }
         context.record(ControlRecord::StorageFailed { reason });
-        context.exit(Some(self.power_fails.unwrap_or(RESTART_AFTER)));
+        context.exit(Some(self.pending_power_failure.unwrap_or(RESTART_AFTER)));
     }
 
-    fn arm(&mut self, context: &mut ActorContext<'_>) {
+    fn set_wake_timer(&mut self, context: &mut ActorContext<'_>) {
         let Some(incarnation) = &mut self.incarnation else {
             return;
         };
         let due = incarnation.node.next_wakeup();
-        if due < incarnation.armed {
-            incarnation.armed = due;
+        if due < incarnation.wake_timer_at {
+            incarnation.wake_timer_at = due;
             context.set_timer_at(due, ControlTimer::Wake);
         }
     }
 
-    fn show(&mut self, context: &mut ActorContext<'_>) {
+    fn record_changes(&mut self, context: &mut ActorContext<'_>) {
         let Some(incarnation) = &mut self.incarnation else {
             return;
         };
@@ -310,16 +310,16 @@
             version: signed.version,
             digest: signed.digest,
         });
-        if bundle != incarnation.shown.bundle {
-            incarnation.shown.bundle = bundle;
+        if bundle != incarnation.last_recorded.bundle {
+            incarnation.last_recorded.bundle = bundle;
             let index = incarnation.node.state().position().index;
             let record = bundle.map(|bundle| ControlRecord::ReplicaInForce { bundle, index });
             record.into_iter().for_each(|record| context.record(record));
         }
         let replica = incarnation.node.replica();
         let leading = (replica.role() == Role::Leader).then(|| replica.term());
-        if leading != incarnation.shown.leading {
-            incarnation.shown.leading = leading;
+        if leading != incarnation.last_recorded.leading {
+            incarnation.last_recorded.leading = leading;
             if let Some(term) = leading {
                 let identity = incarnation.address.replica;
                 context.record(ControlRecord::Leading {
@@ -330,65 +330,67 @@
         }
     }
 
-    /// Identity in the data folder, as last read.
+    /// Identity last read from the data folder.
     pub(super) fn identity(&self) -> Option<u64> {
         self.identity
     }
 
-    /// Whether the data folder can't be used any more.
+    /// Whether the data folder is damaged.
     pub(super) fn is_unusable(&self) -> bool {
         self.is_unusable
     }
 
-    /// Whether the process leads.
+    /// Whether the replica is leader.
     pub(super) fn is_leader(&self) -> bool {
         let incarnation = self.incarnation.as_ref();
         incarnation.is_some_and(|incarnation| incarnation.node.replica().role() == Role::Leader)
     }
 
-    /// The disk, to inject faults.
+    /// Disk of the machine, to inject faults.
     pub(super) fn disk(&self) -> &SimulatedDisk {
         &self.disk
     }
 
-    /// An empty disk takes the place of the old one.
+    /// Replaces the disk by an empty one.
     pub(super) fn replace_disk(&mut self) {
         self.disk.files().wipe();
         self.is_unusable = false;
     }
 
-    /// Power fails after some more operations of the disk, in the middle of what they belong to.
+    /// Schedules a power failure after the given number of disk operations, possibly in the middle of a write; the
+    /// machine restarts after `down`.
     pub(super) fn fail_power_after(&mut self, operations: u64, down: Duration) {
-        self.power_fails = Some(down);
+        self.pending_power_failure = Some(down);
         self.disk.files().stop_after(operations);
     }
 
-    /// Takes back a power failure that did not come.
+    /// Cancels a scheduled power failure that has not occurred.
     pub(super) fn cancel_power_failure(&mut self) {
-        if self.power_fails.take().is_some() {
+        if self.pending_power_failure.take().is_some() {
             self.disk.files().stop_after(u64::MAX);
         }
     }
 }
 
 impl Incarnation {
-    /// Whether a connection that begins like this reaches whom it means.
-    fn is_meant(&self, hello: &Hello) -> bool {
+    /// Whether a connection with this first frame is meant for this replica.
+    fn accepts_connection(&self, hello: &Hello) -> bool {
         let group = self.durable.identity().group;
         let is_same_group = match (group, hello.group) {
             (Some(own), Some(other)) => own == other,
             _ => true,
         };
-        let is_meant = hello.to == self.address.replica && hello.from.replica != hello.to;
-        is_meant && is_same_group
+        let is_for_this_replica =
+            hello.to == self.address.replica && hello.from.replica != hello.to;
+        is_for_this_replica && is_same_group
     }
 
     fn is_leader(&self) -> bool {
         self.node.replica().role() == Role::Leader
     }
 
-    /// What a double makes of an answer, and after how long it gives it.
-    fn altered(&self, double: Option<UnsafeDouble>, body: ReplyBody) -> (ReplyBody, Duration) {
+    /// Reply of an unsafe double in place of `body`, and its additional delay.
+    fn alter_reply(&self, double: Option<UnsafeDouble>, body: ReplyBody) -> (ReplyBody, Duration) {
         match (double, &body) {
             (
                 Some(UnsafeDouble::LastWriterWins),
@@ -401,12 +403,15 @@
             (
                 Some(UnsafeDouble::AnswersWithoutLease),
                 ReplyBody::Unavailable(Unavailable::NoQuorum),
-            ) => (ReplyBody::Poll(Box::new(self.no_news())), DOUBLE_POLL_WAIT),
+            ) => (
+                ReplyBody::Poll(Box::new(self.unchanged_poll_reply())),
+                DOUBLE_POLL_WAIT,
+            ),
             _ => (body, Duration::ZERO),
         }
     }
 
-    fn no_news(&self) -> PollReply {
+    fn unchanged_poll_reply(&self) -> PollReply {
         PollReply {
             position: self.node.state().position(),
             operator_changes: Vec::new(),
@@ -418,8 +423,12 @@
         }
     }
 
-    /// Records votes, and that entries are reported as synced.
-    fn show_promises(&mut self, context: &mut ActorContext<'_>, message: &PeerMessage) {
+    /// Records granted votes and the first acknowledgement of synced entries.
+    fn record_vote_or_acknowledgement(
+        &mut self,
+        context: &mut ActorContext<'_>,
+        message: &PeerMessage,
+    ) {
         let PeerMessage::Replication(message) = message else {
             return;
         };
@@ -432,8 +441,8 @@
             Body::AppendResponse {
                 result: AppendResult::Matched { .. },
                 ..
-            } if !self.shown.has_acknowledged => {
-                self.shown.has_acknowledged = true;
+            } if !self.last_recorded.has_acknowledged => {
+                self.last_recorded.has_acknowledged = true;
                 context.record(ControlRecord::Acknowledged { identity });
             }
             _ => {}
@@ -449,8 +458,8 @@
     }
 }
 
-/// What a double answers to a publish before anything is committed.
-fn answer_at_once(
+/// Reply of an unsafe double to a publish before the entry is committed.
+fn premature_answer(
     double: Option<UnsafeDouble>,
     incarnation: &Incarnation,
     body: &RequestBody,
--- a/crates/bramblewheel-sim/src/control/scenario.rs
+++ b/crates/bramblewheel-sim/src/control/scenario.rs
@@ -4,20 +4,20 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-/// The keys of a scenario of kind `control`, beside those of every scenario.
+/// Keys of a scenario of kind `control`, without those common to all scenarios.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlScenario {
     /// Machines and network.
     pub topology: Topology,
-    /// What operators do.
+    /// Load that operators generate.
     pub load: Load,
-    /// What fails, in the order of the file.
+    /// Faults in the order of the file.
     pub faults: Vec<Fault>,
-    /// What must hold.
+    /// Expected outcomes.
     pub outcomes: Outcomes,
 }
 
-/// The whole file.
+/// Structure of the whole file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -38,26 +38,26 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Topology {
-    /// Zones; machines are spread over them in turn.
+    /// Number of zones; machines are assigned to them in turn.
     pub zones: u16,
-    /// Voters of the control group.
+    /// Number of voters in the control group.
     pub replicas: u64,
-    /// Hollow daemons.
+    /// Number of daemons, which serve no requests.
     pub daemons: u64,
     /// Entries after which a replica takes a snapshot.
     pub snapshot_interval: u64,
-    /// Time a message takes inside a zone, in microseconds.
+    /// Delay of a message inside a zone, in microseconds.
     pub delay_inside_us: Range,
-    /// Time a message takes between zones, in microseconds.
+    /// Delay of a message between zones, in microseconds.
     pub delay_between_us: Range,
-    /// Time a sync takes, in microseconds.
+    /// Duration of a sync, in microseconds.
     pub sync_us: Range,
-    /// Most a clock is too fast or too slow, in parts in a million.
+    /// Largest deviation of the rate of a clock, in parts per million.
     pub clock_skew_ppm: u32,
 }
 
 impl Default for Topology {
-    /// Four halls of one town, as `examples/deployments/torgnett.toml`, but three zones.
+    /// Delays of `examples/deployments/torgnett.toml`, but with three zones instead of four.
     fn default() -> Self {
         Self {
             zones: 3,
@@ -81,32 +81,32 @@
     }
 }
 
-/// What operators do.
+/// Load that operators generate.
 ///
-/// They work in rounds: in each round a bundle of the next version number is published by one
-/// operator in turn or, in a race, by all of them with different content.
+/// In each round, one operator in turn publishes a bundle with the next version number. In a race, all operators
+/// publish bundles with this version and different content.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Load {
-    /// Operators.
+    /// Number of operators.
     pub operators: u64,
-    /// Rounds.
+    /// Number of rounds.
     pub rounds: Range,
-    /// Time from one round to the next.
+    /// Time between two rounds.
     pub every_ms: MillisRange,
     /// Whether all operators publish in each round, with equal version numbers.
     pub race: bool,
-    /// Most time between the operators of one round.
+    /// Longest time between the publishes of one round, in milliseconds.
     pub spread_ms: u64,
-    /// Whether an operator publishes only once the publish before is answered.
+    /// Whether an operator publishes only once its preceding publish is answered.
     pub serial: bool,
-    /// Chance in percent that an answer is lost on its way back.
+    /// Probability in percent that an answer is lost.
     pub lose_answer_percent: u8,
-    /// Chance in percent that a bundle that was answered is sent once more later.
+    /// Probability in percent that a bundle is sent again after its publish was answered.
     pub resend_percent: u8,
-    /// How much later.
+    /// Time from the answer to the resend.
     pub resend_after_ms: MillisRange,
-    /// Rounds after which the operators' keys are changed; 0 for never.
+    /// Number of rounds after which the operators' keys are rotated; 0 for never.
     pub rotate_keys_every: u64,
 }
 
@@ -127,36 +127,36 @@
     }
 }
 
-/// When a fault comes, and how often.
+/// A fault with its times and targets.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What fails.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Which machines.
+    /// Affected machines.
     #[serde(default)]
     pub target: Target,
-    /// Moment, counted from the start of the load or from what `after` names.
+    /// Time of the fault, counted from the event that `after` names.
     pub at_ms: MillisRange,
-    /// What the moment is counted from.
+    /// Event from which the time counts.
     #[serde(default)]
     pub after: After,
-    /// How long it lasts; a stopped process stays down for as long.
+    /// Duration; a stopped process stays down for this long.
     #[serde(default = "default_for_ms")]
     pub for_ms: MillisRange,
-    /// How often it comes, each time at a moment of its own.
-    #[serde(default = "once")]
+    /// Number of occurrences, each at its own drawn time.
+    #[serde(default = "default_times")]
     pub times: Range,
-    /// Which way is cut.
+    /// Direction of a cut.
     #[serde(default)]
     pub direction: Direction,
-    /// Chance in percent that a message is lost, for `disorder`.
+    /// Probability in percent that a message is lost, for `disorder`.
     #[serde(default)]
     pub loss_percent: u8,
-    /// Chance in percent that a message comes twice, for `disorder`.
+    /// Probability in percent that a message is delivered twice, for `disorder`.
     #[serde(default)]
     pub duplicate_percent: u8,
-    /// Chance in percent that a message is overtaken, for `disorder`.
+    /// Probability in percent that a message is delayed so that later ones overtake it, for `disorder`.
     #[serde(default)]
     pub reorder_percent: u8,
 }
@@ -165,55 +165,55 @@
     MillisRange::between(200, 5_000)
 }
 
-fn once() -> Range {
+fn default_times() -> Range {
     Range::exactly(1)
 }
 
-/// What fails.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// The process is killed; what it wrote stays, synced or not.
+    /// The process is killed; written data stays, synced or not.
     Kill,
-    /// The machine loses power; what is not synced is lost, torn or kept.
+    /// The machine loses power; unsynced data is lost, torn or kept.
     PowerLoss,
     /// The machine loses power in the middle of one of its next writes.
     TornWrite,
-    /// One of the next syncs fails and drops what it should have made last.
+    /// One of the next syncs fails and drops the unsynced data.
     SyncFailure,
     /// The disk is full.
     DiskFull,
     /// The process is frozen.
     Freeze,
-    /// The machine comes back with an empty disk, after which operators replace the replica.
+    /// The machine restarts with an empty disk; operators then replace the replica.
     DiskLoss,
     /// A synced file is damaged while the process is down; operators replace the replica.
     Damage,
-    /// The machine is cut off from all replicas, in silence.
+    /// The machine is cut off from all replicas; its messages are lost without an error.
     Cut,
     /// The machine's zone is cut off from all others.
     ZoneCut,
-    /// Messages are lost, come twice or overtake each other, everywhere.
+    /// Messages in the whole network are lost, duplicated or reordered.
     Disorder,
 }
 
 impl FaultKind {
-    /// Whether the state of a replica is lost for good.
+    /// Whether the fault destroys the state of a replica permanently.
     pub fn destroys(self) -> bool {
         matches!(self, Self::DiskLoss | Self::Damage)
     }
 }
 
-/// Which machines a fault concerns.
+/// Machines that a fault affects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Target {
     /// Any one replica.
     #[default]
     Replica,
-    /// The replica that leads, or any if none does.
+    /// The leader, or any replica if there is none.
     Leader,
-    /// Any one replica that does not lead.
+    /// Any one replica that is not the leader.
     Follower,
     /// Every replica at once.
     AllReplicas,
@@ -225,7 +225,7 @@
     Everything,
 }
 
-/// What a fault's moment is counted from.
+/// Event from which the time of a fault counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum After {
@@ -234,46 +234,45 @@
     Start,
     /// The end of a repair.
     Repair,
-    /// The end of the load, when all rounds are begun and all their publishes answered.
+    /// The end of the load, once all rounds have begun and their publishes are answered.
     Load,
 }
 
-/// Which way is cut.
+/// Direction of a cut.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// Both ways.
+    /// Both directions.
     #[default]
     Both,
-    /// Nothing comes in.
+    /// Incoming messages.
     In,
-    /// Nothing goes out.
+    /// Outgoing messages.
     Out,
-    /// Each time one of the three, drawn.
+    /// One of the other three, drawn for each occurrence.
     Any,
 }
 
-/// What must hold, beside the promises that hold in every scenario.
+/// Expected outcomes, in addition to the promises that every scenario checks.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outcomes {
-    /// Time from acceptance, or from healing if that is later, until a bundle is in force on every
-    /// daemon.
+    /// Longest time from the acceptance of a bundle, or from the end of all faults if later, until it is in force on
+    /// every daemon.
     pub in_force_within_ms: u64,
-    /// Whether that also holds while faults last. Only for faults that leave every daemon a way to
-    /// a quorum.
+    /// Whether the limit also applies during faults. Only for faults that leave every daemon connected to a quorum.
     #[serde(default)]
     pub in_force_during_faults: bool,
-    /// Fewest bundles that must be accepted.
+    /// Least number of accepted bundles.
     #[serde(default)]
     pub min_accepted: u64,
-    /// Fewest repairs that must be finished.
+    /// Least number of finished repairs.
     #[serde(default)]
     pub min_repairs: u64,
 }
 
 impl ControlScenario {
-    /// Reads and checks the keys of this kind.
+    /// Parses and validates the keys of this kind.
     ///
     /// # Errors
     /// [`ScenarioError`] with file, line and key.
@@ -296,16 +295,16 @@
     }
 }
 
-/// Most of each kind of machine, so that a slip of the pen does not fill the memory.
-const MAX_MACHINES: u64 = 20_000;
-/// Most replicas of one group.
+/// Largest number of daemons, so that a typing error does not exhaust the memory.
+const MAX_DAEMONS: u64 = 20_000;
+/// Largest number of replicas.
 const MAX_REPLICAS: u64 = 9;
 
 fn check_topology(source: &SourceText<'_>, topology: &Topology) -> Result<(), ScenarioError> {
     let numbers = [
         ("topology.zones", u64::from(topology.zones), 1, 100),
         ("topology.replicas", topology.replicas, 1, MAX_REPLICAS),
-        ("topology.daemons", topology.daemons, 0, MAX_MACHINES),
+        ("topology.daemons", topology.daemons, 0, MAX_DAEMONS),
         (
             "topology.snapshot_interval",
             topology.snapshot_interval,
@@ -343,7 +342,7 @@
         check_number(source, key, value.into(), 0, 100)?;
     }
     if load.lose_answer_percent == 100 {
-        let message = "no publish would ever be answered";
+        let message = "must be below 100, or no publish would ever be answered";
         return Err(source.error("load.lose_answer_percent", message));
     }
     let ranges = [
@@ -382,19 +381,19 @@
     }
     let may_be_lost = fault.target.is_one_replica() || fault.target.has_daemons();
     if fault.kind == FaultKind::DiskLoss && !may_be_lost {
-        let message = "a disk can be lost by one replica at a time only";
+        let message = "only one replica can lose its disk at a time";
         return Err(error("target", message.to_owned()));
     }
     if fault.kind == FaultKind::TornWrite && fault.target.has_daemons() {
-        let message = "power can fail in the middle of a replica's write only";
+        let message = "only replicas support a torn write";
         return Err(error("target", message.to_owned()));
     }
     if fault.kind.destroys() && fault.target.is_one_replica() && topology.replicas < 3 {
-        let message = "no group of fewer than three replicas survives this";
+        let message = "requires at least three replicas";
         return Err(error("kind", message.to_owned()));
     }
     if fault.target.has_daemons() && topology.daemons == 0 {
-        return Err(error("target", "there are no daemons".to_owned()));
+        return Err(error("target", "the topology has no daemons".to_owned()));
     }
     let percents = [
         fault.loss_percent,
@@ -402,13 +401,13 @@
         fault.reorder_percent,
     ];
     if percents.iter().any(|&percent| percent > 90) {
-        return Err(error("loss_percent", "no more than 90 percent".to_owned()));
+        return Err(error("loss_percent", "must be at most 90".to_owned()));
     }
     Ok(())
 }
 
 impl Target {
-    /// Whether exactly one replica is meant.
+    /// Whether the target is exactly one replica.
     pub fn is_one_replica(self) -> bool {
         matches!(self, Self::Replica | Self::Leader | Self::Follower)
     }
@@ -428,13 +427,18 @@
     if (lowest..=highest).contains(&value) {
         return Ok(());
     }
-    Err(source.error(key, format!("{value} is not from {lowest} to {highest}")))
+    Err(source.error(
+        key,
+        format!("must be from {lowest} to {highest}, got {value}"),
+    ))
 }
 
 fn check_range(range: Range) -> Result<(), String> {
     if range.is_reversed() {
         let Range { lowest, highest } = range;
-        return Err(format!("[{lowest}, {highest}] begins above its end"));
+        return Err(format!(
+            "lower bound above upper bound in [{lowest}, {highest}]"
+        ));
     }
     Ok(())
 }
--- a/crates/bramblewheel-sim/src/control/world.rs
+++ b/crates/bramblewheel-sim/src/control/world.rs
@@ -1,4 +1,4 @@
-//! Puts the machines of a scenario together.
+//! Builds the processes and the network of a scenario.
 
 use super::actor::ControlActor;
 use super::address;
@@ -17,20 +17,20 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// How often a leader starts a round of messages.
+/// Interval of the heartbeats of a leader.
 const HEARTBEAT: Duration = Duration::from_millis(100);
-/// Silence of the leader after which a follower campaigns.
+/// Silence of the leader after which a follower starts an election.
 const ELECTION: Duration = Duration::from_millis(1_000);
-/// Silence after which a daemon is taken out of the directory.
+/// Silence after which a daemon is removed from the directory.
 const DAEMON_LEASE: Duration = Duration::from_secs(10);
-/// Latest origin of a clock, in microseconds.
+/// Largest origin of a clock, in microseconds.
 const MAX_CLOCK_ORIGIN: u64 = 1_000_000_000;
-/// Offset of the streams of machines, apart from those of processes.
+/// Offset of the random number streams of machines, which are separate from those of processes.
 const MACHINE_STREAMS: u32 = 1_000_000;
 
-/// The processes of a run by their roles.
+/// Processes of a run by role.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Cast {
+pub struct ProcessRoles {
     /// Control replicas.
     pub replicas: Vec<ProcessId>,
     /// Daemons.
@@ -40,7 +40,7 @@
     zones: Vec<ZoneId>,
 }
 
-impl Cast {
+impl ProcessRoles {
     /// A name for reports, such as `replica-2`.
     pub fn name(&self, process: ProcessId) -> String {
         let roles = [
@@ -61,7 +61,7 @@
         self.zones[process.0 as usize]
     }
 
-    /// All other zones in which there is a machine.
+    /// All other zones with a machine.
     pub fn other_zones(&self, zone: ZoneId) -> impl Iterator<Item = ZoneId> {
         let mut others: Vec<ZoneId> = self.zones.iter().copied().filter(|z| *z != zone).collect();
         others.sort_unstable();
@@ -70,16 +70,16 @@
     }
 }
 
-/// The machines of a scenario, all started.
+/// Builds a scenario and starts all its processes.
 pub(super) fn build(
     scenario: &ControlScenario,
     seed: u64,
     double: Option<UnsafeDouble>,
-) -> (Simulation<ControlActor>, Cast) {
+) -> (Simulation<ControlActor>, ProcessRoles) {
     let streams = Streams::new(seed);
     let mut builder = Builder {
         simulation: Simulation::new(streams, network(&scenario.topology, streams)),
-        cast: Cast::default(),
+        roles: ProcessRoles::default(),
         clocks: streams.stream(Purpose::Clocks),
         streams,
         topology: &scenario.topology,
@@ -90,14 +90,14 @@
     builder.add_operators(scenario);
     let Builder {
         mut simulation,
-        cast,
+        roles,
         ..
     } = builder;
-    let members = [&cast.replicas, &cast.daemons, &cast.operators];
+    let members = [&roles.replicas, &roles.daemons, &roles.operators];
     for &process in members.into_iter().flatten() {
         simulation.start(process);
     }
-    (simulation, cast)
+    (simulation, roles)
 }
 
 fn network(topology: &Topology, streams: Streams) -> Network {
@@ -120,7 +120,7 @@
 
 struct Builder<'a> {
     simulation: Simulation<ControlActor>,
-    cast: Cast,
+    roles: ProcessRoles,
     clocks: Pcg64Mcg,
     streams: Streams,
     topology: &'a Topology,
@@ -143,12 +143,12 @@
             };
             let machine = ReplicaMachine::new(settings, self.machine_stream());
             self.add(ControlActor::Replica(Box::new(machine)), index);
-            self.cast.replicas.push(process);
+            self.roles.replicas.push(process);
         }
     }
 
     fn add_daemons(&mut self) {
-        let replicas = self.cast.replicas.iter().copied();
+        let replicas = self.roles.replicas.iter().copied();
         let replicas: Vec<SocketAddr> = replicas.map(address::service).collect();
         for index in 0..self.topology.daemons {
             let process = self.next_process();
@@ -160,7 +160,7 @@
             };
             let machine = DaemonMachine::new(settings, self.machine_stream());
             self.add(ControlActor::Daemon(Box::new(machine)), index);
-            self.cast.daemons.push(process);
+            self.roles.daemons.push(process);
         }
     }
 
@@ -168,31 +168,31 @@
         for index in 0..scenario.load.operators {
             let process = self.next_process();
             let operator = Operator::new(OperatorSettings {
-                replicas: self.cast.replicas.clone(),
+                replicas: self.roles.replicas.clone(),
                 serial: scenario.load.serial,
                 lose_answer_percent: scenario.load.lose_answer_percent,
                 resend_percent: scenario.load.resend_percent,
                 resend_after: scenario.load.resend_after_ms,
             });
             self.add(ControlActor::Operator(Box::new(operator)), index);
-            self.cast.operators.push(process);
+            self.roles.operators.push(process);
         }
     }
 
-    /// Adds a machine to the zone whose turn it is.
+    /// Adds a machine; `index` determines its zone in turn.
     fn add(&mut self, actor: ControlActor, index: u64) {
         let zone = ZoneId((index % u64::from(self.topology.zones)) as u16);
-        let most = self.topology.clock_skew_ppm as i32;
+        let max_skew = self.topology.clock_skew_ppm as i32;
         let clock = Clock {
             origin: Duration::from_micros(self.clocks.random_range(0..=MAX_CLOCK_ORIGIN)),
-            skew_ppm: self.clocks.random_range(-most..=most),
+            skew_ppm: self.clocks.random_range(-max_skew..=max_skew),
         };
         self.simulation.add(actor, zone, clock);
-        self.cast.zones.push(zone);
+        self.roles.zones.push(zone);
     }
 
     fn next_process(&self) -> ProcessId {
-        ProcessId(self.cast.zones.len() as u32)
+        ProcessId(self.roles.zones.len() as u32)
     }
 
     fn machine_stream(&self) -> Pcg64Mcg {
@@ -206,12 +206,12 @@
     let [_, _, high, low] = (index as u32).to_be_bytes();
     let address = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, high, low)), 7_000);
     Registration {
-        daemon: DaemonId::new(&name).expect("a valid name"),
+        daemon: DaemonId::new(&name).expect("the name is valid"),
         incarnation: 0,
-        zone: ZoneName::new(&format!("zone-{}", zone + 1)).expect("a valid name"),
-        region: RegionName::new("region-1").expect("a valid name"),
+        zone: ZoneName::new(&format!("zone-{}", zone + 1)).expect("the name is valid"),
+        region: RegionName::new("region-1").expect("the name is valid"),
         endpoint: Some(EndpointRegistration {
-            endpoint: EndpointId::new(&name).expect("a valid name"),
+            endpoint: EndpointId::new(&name).expect("the name is valid"),
             service: bundles::service(),
             address,
             draining: false,
--- a/crates/bramblewheel-sim/src/deployment/check.rs
+++ b/crates/bramblewheel-sim/src/deployment/check.rs
@@ -1,42 +1,42 @@
-//! Checks that go across fields of a deployment.
+//! Validation across the fields of a deployment.
 
 use super::Deployment;
 use bramblewheel_types::ServiceName;
 use thiserror::Error;
 
-/// Deepest call chain that a deployment may hold.
+/// Greatest allowed depth of a call chain.
 pub const MAX_CHAIN_DEPTH: usize = 32;
-/// How far the shares of the flows may be from 1.
+/// Allowed deviation of the sum of the flow shares from 1.
 const SHARE_TOLERANCE: f64 = 1e-6;
 
-/// A deployment contradicts itself.
+/// A problem in a deployment.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum DeploymentProblem {
-    /// There is no zone.
+    /// The deployment has no zone.
     #[error("zones: at least one zone is needed")]
     NoZone,
-    /// A service has no endpoint.
+    /// A service has no endpoint, or an endpoint without slots.
     #[error("service `{0}`: slots: at least one endpoint is needed, each with at least one slot")]
     NoSlots(ServiceName),
-    /// A call names a service or path that is not there.
+    /// A call names an unknown service or path.
     #[error("{from}: call of `{service}` `{path}`, which is not in the deployment")]
     UnknownRoute {
-        /// Where the call is made.
+        /// Caller: service and path, or flow.
         from: String,
         /// Service called.
         service: ServiceName,
         /// Path called.
         path: String,
     },
-    /// A chain of calls is too deep or comes back to its own start.
+    /// A call chain is deeper than [`MAX_CHAIN_DEPTH`] or has a cycle.
     #[error("call chain from `{service}` `{path}` is deeper than {MAX_CHAIN_DEPTH}")]
     TooDeep {
-        /// Service at the start.
+        /// Service called first.
         service: ServiceName,
-        /// Path at the start.
+        /// Path called first.
         path: String,
     },
-    /// The shares of the flows do not add up.
+    /// The shares of the flows do not add up to 1.
     #[error("flow: the shares add up to {0}, not to 1")]
     Shares(f64),
 }
--- a/crates/bramblewheel-sim/src/deployment/load.rs
+++ b/crates/bramblewheel-sim/src/deployment/load.rs
@@ -1,29 +1,29 @@
-//! Reading of deployment files.
+//! Parses deployment files.
 
 use super::Deployment;
 use super::check::{DeploymentProblem, problems};
 use crate::source_text::SourceText;
 use thiserror::Error;
 
-/// A deployment file can't be used.
+/// A deployment file is invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum DeploymentError {
-    /// The text is not TOML of the right shape.
+    /// The text is not TOML or does not match the model.
     #[error("{file}:{line}: {message}")]
     Syntax {
         /// Name of the file.
         file: String,
         /// Line, from 1.
         line: usize,
-        /// What is wrong.
+        /// Message of the parser.
         message: String,
     },
-    /// The deployment contradicts itself.
+    /// The deployment fails validation.
     #[error("{file}: {}", list(.problems))]
     Problems {
         /// Name of the file.
         file: String,
-        /// What is wrong.
+        /// Problems found.
         problems: Vec<DeploymentProblem>,
     },
 }
@@ -33,10 +33,10 @@
     texts.join("; ")
 }
 
-/// Reads and checks a deployment; `file` is the name used in errors.
+/// Parses and validates a deployment; `file` is the name used in errors.
 ///
 /// # Errors
-/// [`DeploymentError`] when the text is not TOML of the right shape or contradicts itself.
+/// [`DeploymentError`] when the text is not TOML, does not match the model, or fails validation.
 pub fn parse(file: &str, text: &str) -> Result<Deployment, DeploymentError> {
     let deployment: Deployment =
         toml::from_str(text).map_err(|error| syntax(file, text, &error))?;
--- a/crates/bramblewheel-sim/src/deployment/mod.rs
+++ b/crates/bramblewheel-sim/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! Model of a deployment: zones, services, endpoints, call graph and mix of requests.
+//! Model of a deployment: zones, services, endpoints, call graph and request mix.
 //!
 //! The simulator and the process fleet read the same files (`examples/deployments/`).
 
@@ -21,9 +21,9 @@
     pub name: String,
     /// Region that holds all zones.
     pub region: RegionName,
-    /// Zones; endpoints are spread over them in turn.
+    /// Zones; endpoints are assigned to them in turn.
     pub zones: Vec<ZoneName>,
-    /// Delays of the network.
+    /// Network delays.
     pub network: NetworkModel,
     /// Services of the call graph.
     #[serde(rename = "service")]
@@ -33,7 +33,7 @@
     pub flows: Vec<FlowModel>,
 }
 
-/// Delays of the network, one way, in microseconds.
+/// One-way network delays in microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NetworkModel {
@@ -53,7 +53,7 @@
 pub struct ServiceModel {
     /// Name.
     pub name: ServiceName,
-    /// Requests that each endpoint can run side by side; one number per endpoint.
+    /// Requests that each endpoint can run at the same time; one number per endpoint.
     pub slots: Vec<u32>,
     /// Connections that each endpoint accepts.
     pub connections: u32,
@@ -63,10 +63,10 @@
     /// Slow-down of the first request after a start.
     #[serde(default = "default_cold_factor")]
     pub cold_factor: f64,
-    /// How the endpoint's own load report relates to the truth.
+    /// Inaccuracy of the load reports of its endpoints.
     #[serde(default)]
     pub report: ReportModel,
-    /// What the service does for each path.
+    /// Behaviour per path.
     #[serde(rename = "route")]
     pub routes: Vec<RouteModel>,
 }
@@ -75,33 +75,33 @@
     1.0
 }
 
-/// How an endpoint's own load report relates to the truth.
+/// Inaccuracy of the load reports of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReportModel {
-    /// Age of the numbers reported, in milliseconds.
+    /// Age of the reported numbers, in milliseconds.
     #[serde(default)]
     pub lag_ms: u64,
-    /// Share of the true load that the report leaves out, 0 to 1.
+    /// Share of the true load that the report omits, from 0 to 1.
     #[serde(default)]
     pub flattery: f64,
 }
 
-/// What a service does for one path.
+/// Behaviour of a service for one path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteModel {
     /// Exact path.
     pub path: String,
-    /// Median of the endpoint's own work, in microseconds, without its sub-calls.
+    /// Median of the work of the endpoint itself without sub-calls, in microseconds.
     pub work_us: u64,
     /// Spread of the work: sigma of a log-normal distribution; 0 makes it constant.
     #[serde(default)]
     pub work_sigma: f64,
-    /// Sub-calls, made after half of the own work.
+    /// Sub-calls, made after half of the endpoint's own work.
     #[serde(default, rename = "call")]
     pub calls: Vec<SubCallModel>,
-    /// Whether the sub-calls go out together rather than one after another.
+    /// Whether the sub-calls are made at the same time rather than one after another.
     #[serde(default)]
     pub parallel: bool,
 }
@@ -114,7 +114,7 @@
     pub service: ServiceName,
     /// Path called.
     pub path: String,
-    /// Times it is called, each with other content.
+    /// Number of calls, each with different content.
     #[serde(default = "default_count")]
     pub count: u32,
 }
@@ -146,12 +146,12 @@
 }
 
 impl Deployment {
-    /// The service of that name.
+    /// The service with the given name.
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceModel> {
         self.services.iter().find(|service| service.name == *name)
     }
 
-    /// What a service does for a path.
+    /// Behaviour of a service for a path.
     pub fn route(&self, service: &ServiceName, path: &str) -> Option<&RouteModel> {
         self.service(service)?
             .routes
@@ -159,7 +159,7 @@
             .find(|route| route.path == path)
     }
 
-    /// Services that the endpoints of `service` call directly.
+    /// Services that the endpoints of `service` call directly, sorted by name.
     pub fn callees(&self, service: &ServiceName) -> Vec<ServiceName> {
         let Some(model) = self.service(service) else {
             return Vec::new();
@@ -171,7 +171,7 @@
         names
     }
 
-    /// Zone of the endpoint with that position among a service's endpoints.
+    /// Zone of the endpoint at the given position among the endpoints of a service.
     pub fn zone_of(&self, endpoint_position: usize) -> &ZoneName {
         &self.zones[endpoint_position % self.zones.len()]
     }
--- a/crates/bramblewheel-sim/src/deployment/tests.rs
+++ b/crates/bramblewheel-sim/src/deployment/tests.rs
@@ -1,4 +1,4 @@
-//! Reading deployment files: the examples are valid, and errors name file and key.
+//! Tests of parsing deployment files: the examples are valid, and errors name file, line and key.
 
 use super::{DeploymentError, parse};
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn unknown_key_names_file_and_line() {
+fn unknown_key_error_names_file_and_line() {
     let text = TORGNETT.replacen("region =", "regoin = \"x\"\nregion =", 1);
     let error = parse("t.toml", &text).expect_err("unknown key");
     let DeploymentError::Syntax {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn call_of_a_missing_route_is_found() {
+fn call_of_unknown_route_is_rejected() {
     let text = TORGNETT.replacen("path = \"/reserve\"", "path = \"/reserved\"", 1);
     let error = parse("t.toml", &text).expect_err("missing route");
     assert!(error.to_string().contains("/reserve"), "{error}");
--- a/crates/bramblewheel-sim/src/kernel/actor.rs
+++ b/crates/bramblewheel-sim/src/kernel/actor.rs
@@ -1,4 +1,4 @@
-//! What a domain brings: the behaviour of its processes.
+//! Trait that a domain implements to define the behaviour of its processes.
 
 use super::context::Context;
 use super::process::ProcessId;
@@ -8,60 +8,60 @@
 /// Why a process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StartCause {
-    /// For the first time.
+    /// First start.
     First,
-    /// After it was stopped.
+    /// Start after a stop.
     Restart,
 }
 
 /// How a process stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StopCause {
-    /// The process was killed; the machine goes on, so what it wrote stays.
+    /// The process was killed; the machine keeps running, so written data stays.
     Killed,
-    /// The machine lost power; what was not synced may be lost.
+    /// The machine lost power; data that was not synced may be lost.
     PowerLost,
-    /// The process ended by itself.
+    /// The process exited by itself.
     Exited,
 }
 
-/// One process with the machine below it.
+/// A process together with its machine.
 ///
-/// What must survive a stop (its disk, its name) is part of the value; [`stop`](Self::stop) drops
-/// the rest, and [`start`](Self::start) builds it up again from what survived.
+/// The value holds the state that survives a stop (disk, name) as well as the state in memory. [`stop`](Self::stop)
+/// drops the latter, and [`start`](Self::start) rebuilds it from the former.
 pub trait Actor {
-    /// What processes send each other. The kernel moves it and clones it only to duplicate it.
+    /// Message between processes. The kernel clones it only to duplicate it on the network.
     type Message: Clone;
-    /// What a timer brings back.
+    /// Value that a timer delivers when it is due.
     type Timer;
-    /// What the domain records in the history; hashed into the digest.
+    /// Record of the domain in the history; hashed into the digest.
     type Record: Debug + Hash;
 
-    /// The process starts.
+    /// Handles the start of the process.
     fn start(&mut self, context: &mut Context<'_, Self>, cause: StartCause)
     where
         Self: Sized;
 
-    /// The process is stopped; nothing can be sent any more.
+    /// Handles the stop of the process, which can no longer send messages.
     fn stop(&mut self, cause: StopCause);
 
-    /// A message arrives.
+    /// Handles a message.
     fn receive(&mut self, context: &mut Context<'_, Self>, from: ProcessId, message: Self::Message)
     where
         Self: Sized;
 
-    /// A timer of this start of the process is due.
+    /// Handles a timer that this incarnation of the process has set.
     fn timer(&mut self, context: &mut Context<'_, Self>, timer: Self::Timer)
     where
         Self: Sized;
 
-    /// Whether the network's disorder (loss, duplicates, reordering) concerns a message.
+    /// Whether the network may lose, duplicate or reorder the message.
     fn is_disorderly(_message: &Self::Message) -> bool {
         true
     }
 
-    /// A message reached a machine whose process was not there (refused), or was no longer the
-    /// one it was sent to (reset). Messages lost on the way are never reported.
+    /// Handles the return of a message whose receiver was not running (refused) or had restarted since (reset).
+    /// Messages lost on the network are never reported.
     fn undelivered(
         &mut self,
         _context: &mut Context<'_, Self>,
--- a/crates/bramblewheel-sim/src/kernel/clock.rs
+++ b/crates/bramblewheel-sim/src/kernel/clock.rs
@@ -1,23 +1,23 @@
-//! Clocks of processes: each starts elsewhere and runs at its own rate.
+//! Clocks of processes, each with its own origin and rate.
 
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
-/// Parts in a million.
+/// Parts per million in one.
 const MILLION: i128 = 1_000_000;
 
 /// The monotonic clock of one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Clock {
-    /// What it shows at virtual time zero.
+    /// Reading at virtual time zero.
     pub origin: Duration,
-    /// How much faster than virtual time it runs, in parts in a million; negative when slower.
-    /// Above minus one million.
+    /// Rate above that of virtual time, in parts per million; negative for a slower clock. Must be above minus one
+    /// million.
     pub skew_ppm: i32,
 }
 
 impl Clock {
-    /// What the clock shows at a virtual time.
+    /// Reading of the clock at a virtual time.
     pub fn local(&self, at: Timestamp) -> Timestamp {
         if self.skew_ppm == 0 {
             return at + self.origin;
@@ -26,7 +26,7 @@
         Timestamp(u64::try_from(elapsed).unwrap_or(u64::MAX)) + self.origin
     }
 
-    /// How much virtual time passes while the clock advances by `duration`, rounded up.
+    /// Virtual time that passes while the clock advances by `duration`, rounded up.
     pub fn virtual_duration(&self, duration: Duration) -> Duration {
         if self.skew_ppm == 0 {
             return duration;
--- a/crates/bramblewheel-sim/src/kernel/core.rs
+++ b/crates/bramblewheel-sim/src/kernel/core.rs
@@ -1,4 +1,4 @@
-//! The kernel's own state, apart from the actors.
+//! State of the kernel without the actors.
 
 use super::actor::Actor;
 use super::history::{Entry, Fact, History};
@@ -8,47 +8,47 @@
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
-/// What happens to one process at one time.
+/// An event that a process handles.
 #[derive(Debug)]
 pub(super) enum Event<M, T> {
     Message {
         from: ProcessId,
-        /// Start of the receiver that the message was sent to.
+        /// Number of starts of the receiver when the message was sent.
         starts: u32,
         message: M,
     },
     Undelivered {
         to: ProcessId,
-        /// Start of the sender.
+        /// Number of starts of the sender when the message came back.
         starts: u32,
         message: M,
     },
     Timer {
-        /// Start that set the timer.
+        /// Number of starts of the process when it set the timer.
         starts: u32,
         timer: T,
     },
     Start,
 }
 
-/// An event with the process it happens to.
+/// An event with the process that handles it.
 #[derive(Debug)]
 pub(super) struct Addressed<M, T> {
     pub(super) process: ProcessId,
     pub(super) event: Event<M, T>,
 }
 
-/// An event of an actor's domain.
+/// An addressed event with the message and timer types of an actor.
 pub(super) type ActorEvent<A> = Addressed<<A as Actor>::Message, <A as Actor>::Timer>;
 
-/// The kernel's own state, apart from the actors.
+/// State of the kernel without the actors.
 pub(super) struct Core<A: Actor> {
     pub(super) now: Timestamp,
     pub(super) queue: Queue<ActorEvent<A>>,
     pub(super) processes: Vec<Process>,
     pub(super) network: Network,
     pub(super) history: History<A::Record>,
-    /// Set by a process that ends itself while it handles an event.
+    /// Set by a process that exits while it handles an event; the inner value is the delay of the restart, if any.
     pub(super) exit: Option<Option<Duration>>,
 }
 
@@ -65,7 +65,7 @@
     pub(super) fn send_after(
         &mut self,
         from: ProcessId,
-        wait: Duration,
+        departure_delay: Duration,
         to: ProcessId,
         message: A::Message,
     ) {
@@ -75,7 +75,7 @@
         let copies = self
             .network
             .transmit(from_location, to_location, is_disorderly);
-        let arrival = |delay: Duration| self.now + wait + delay;
+        let arrival = |delay: Duration| self.now + departure_delay + delay;
         match copies.map(|copy| copy.map(arrival)) {
             [Some(first), Some(second)] => {
                 self.enqueue_message(first, from, to, starts, message.clone());
@@ -104,8 +104,13 @@
         self.queue.push(at, Addressed { process, event });
     }
 
-    /// Tells the sender, if the network reports that, that nobody took its message.
-    pub(super) fn bounce(&mut self, from: ProcessId, to: ProcessId, message: A::Message) {
+    /// Returns an undelivered message to its sender if the network reports such messages.
+    pub(super) fn return_undelivered(
+        &mut self,
+        from: ProcessId,
+        to: ProcessId,
+        message: A::Message,
+    ) {
         if !self.network.reports_undelivered() {
             return;
         }
--- a/crates/bramblewheel-sim/src/kernel/history.rs
+++ b/crates/bramblewheel-sim/src/kernel/history.rs
@@ -1,4 +1,4 @@
-//! What happened in a run, with a running SHA-256 digest.
+//! History of a run with an incremental SHA-256 digest.
 
 use super::actor::{StartCause, StopCause};
 use super::process::ProcessId;
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::hash::{Hash, Hasher};
 
-/// Something that happened.
+/// An event in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Fact<R> {
     /// A process started.
@@ -16,24 +16,24 @@
     Stopped(StopCause),
     /// A process was frozen.
     Frozen,
-    /// A frozen process goes on.
+    /// A frozen process resumed.
     Thawed,
-    /// Something of the domain.
+    /// Record of the domain.
     Domain(R),
 }
 
-/// One line of the history.
+/// One entry of the history.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Entry<R> {
     /// Virtual time.
     pub at: Timestamp,
-    /// The process concerned; none for what happens outside of all processes.
+    /// Process concerned; `None` for events outside of all processes.
     pub process: Option<ProcessId>,
-    /// What happened.
+    /// The event.
     pub fact: Fact<R>,
 }
 
-/// SHA-256 of a whole history.
+/// SHA-256 digest of a whole history.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HistoryDigest(pub [u8; 32]);
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// What happened in a run so far.
+/// History of a run so far.
 #[derive(Debug)]
 pub struct History<R> {
     entries: Vec<Entry<R>>,
@@ -69,18 +69,18 @@
         self.entries.push(entry);
     }
 
-    /// What happened since the last [`take_entries`](Self::take_entries).
+    /// Entries since the last [`take_entries`](Self::take_entries).
     pub fn entries(&self) -> &[Entry<R>] {
         &self.entries
     }
 
-    /// Takes the entries out, to check a long run piece by piece in little memory. The digest
-    /// goes on over all of them.
+    /// Removes and returns the entries, so that a long run can be checked in parts with little memory. The digest still
+    /// covers all entries.
     pub fn take_entries(&mut self) -> Vec<Entry<R>> {
         std::mem::take(&mut self.entries)
     }
 
-    /// Digest over everything recorded so far and a count of events handled.
+    /// Digest of all entries so far and the number of handled events.
     pub(super) fn digest(&self, handled: u64) -> HistoryDigest {
         let mut hasher = self.hasher.clone();
         hasher.write_u64(handled);
@@ -88,7 +88,7 @@
     }
 }
 
-/// Feeds what is hashed into SHA-256.
+/// Adapter that feeds `Hash` implementations into SHA-256.
 #[derive(Clone, Debug, Default)]
 struct DigestHasher(Sha256);
 
@@ -113,7 +113,7 @@
         self.write_u64(number as u64);
     }
 
-    /// Not used: only the digest counts.
+    /// Unused; the digest is read from the inner SHA-256 state.
     fn finish(&self) -> u64 {
         0
     }
--- a/crates/bramblewheel-sim/src/kernel/mod.rs
+++ b/crates/bramblewheel-sim/src/kernel/mod.rs
@@ -1,7 +1,7 @@
 //! Discrete-event kernel: virtual time, processes, network, clocks, seeded randomness, history.
 //!
-//! A domain (control group, requests) brings one [`Actor`] type, usually an enum of its kinds of
-//! process, and the kernel runs any number of them. One seed gives one run.
+//! A domain (control group, requests) defines one [`Actor`] type, usually an enum over its kinds of processes, and the
+//! kernel runs any number of them. Runs with the same seed are identical.
 
 mod actor;
 mod clock;
--- a/crates/bramblewheel-sim/src/kernel/network.rs
+++ b/crates/bramblewheel-sim/src/kernel/network.rs
@@ -1,4 +1,4 @@
-//! The network: delays between zones, loss, reordering, duplicates and cuts.
+//! Network model: delays between zones, loss, reordering, duplicates and cuts.
 
 use super::process::ProcessId;
 use rand::RngExt;
@@ -6,27 +6,27 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Names a zone.
+/// Id of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u16);
 
-/// How long messages take between two zones, drawn evenly from a range.
+/// Range of the delay between two zones, with uniform distribution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delay {
-    /// Shortest.
+    /// Shortest delay.
     pub shortest: Duration,
-    /// Longest.
+    /// Longest delay.
     pub longest: Duration,
 }
 
-/// Chances of each message, from 0 to 1.
+/// Probabilities of faults per message, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Disorder {
-    /// It is lost.
+    /// The message is lost.
     pub loss: f64,
-    /// It comes twice.
+    /// The message is delivered twice.
     pub duplicate: f64,
-    /// It takes up to ten times as long, so that later ones overtake it.
+    /// The message takes up to ten times as long, so that later ones overtake it.
     pub reorder: f64,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Most a reordered message is late, in ordinary delays.
+/// Largest factor on the delay of a reordered message.
 const REORDER_FACTOR: u32 = 10;
 
 /// The network between all processes.
@@ -52,7 +52,7 @@
     random: Pcg64Mcg,
 }
 
-/// Where a message comes from or goes to.
+/// Sender or receiver of a message, with its zone.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Location {
     pub(super) process: ProcessId,
@@ -60,7 +60,7 @@
 }
 
 impl Network {
-    /// A network of `zones` zones with one delay inside each zone and one between any two.
+    /// A network of `zones` zones with the same delay inside every zone and the same between any two zones.
     pub fn new(zones: usize, inside: Delay, between: Delay, random: Pcg64Mcg) -> Self {
         let pairs = (0..zones).flat_map(|from| (0..zones).map(move |to| (from, to)));
         let delays = pairs
@@ -78,24 +78,24 @@
         }
     }
 
-    /// Sets the delay from one zone to another, one way.
+    /// Sets the one-way delay from one zone to another.
     pub fn set_delay(&mut self, from: ZoneId, to: ZoneId, delay: Delay) {
         let index = self.delay_index(from, to);
         self.delays[index] = delay;
     }
 
-    /// Sets the chances of loss, duplicates and reordering for all messages from now on.
+    /// Sets the probabilities of loss, duplicates and reordering for all messages sent from now on.
     pub fn set_disorder(&mut self, disorder: Disorder) {
         self.disorder = disorder;
     }
 
-    /// Whether senders learn that the process they sent to is not there; off at first.
+    /// Sets whether a message to a process that does not take it is returned to its sender; off by default.
     pub fn set_reports_undelivered(&mut self, reports: bool) {
         self.reports_undelivered = reports;
     }
 
-    /// Whether messages belong to connections; off at first. If so, one sent to an earlier start of
-    /// a process never reaches a later one; otherwise it does.
+    /// Sets whether messages belong to connections; off by default. If so, a message sent to one incarnation of a
+    /// process never reaches a later one.
     pub fn set_keeps_connections(&mut self, keeps: bool) {
         self.keeps_connections = keeps;
     }
@@ -108,27 +108,27 @@
         self.reports_undelivered
     }
 
-    /// Cuts the way from one process to another; the way back stays.
+    /// Cuts the link from one process to another in this direction only.
     pub fn cut_link(&mut self, from: ProcessId, to: ProcessId) {
         self.cut_links.insert((from, to));
     }
 
-    /// Opens the way from one process to another.
+    /// Restores the link from one process to another.
     pub fn heal_link(&mut self, from: ProcessId, to: ProcessId) {
         self.cut_links.remove(&(from, to));
     }
 
-    /// Cuts the way from one zone to another; the way back stays.
+    /// Cuts the link from one zone to another in this direction only.
     pub fn cut_zone(&mut self, from: ZoneId, to: ZoneId) {
         self.cut_zones.insert((from, to));
     }
 
-    /// Opens the way from one zone to another.
+    /// Restores the link from one zone to another.
     pub fn heal_zone(&mut self, from: ZoneId, to: ZoneId) {
         self.cut_zones.remove(&(from, to));
     }
 
-    /// Opens all ways and ends all disorder.
+    /// Restores all links and ends loss, duplicates and reordering.
     pub fn heal(&mut self) {
         self.cut_links.clear();
         self.cut_zones.clear();
@@ -143,7 +143,7 @@
             || self.cut_zones.contains(&(from.zone, to.zone))
     }
 
-    /// When each copy of a message arrives, after how long; none if it is lost.
+    /// Delay of each copy of a message; `None` for a copy that is lost or not made.
     pub(super) fn transmit(
         &mut self,
         from: Location,
--- a/crates/bramblewheel-sim/src/kernel/process.rs
+++ b/crates/bramblewheel-sim/src/kernel/process.rs
@@ -1,10 +1,10 @@
-//! Processes as the kernel sees them.
+//! State of processes in the kernel.
 
 use super::clock::Clock;
 use super::network::ZoneId;
 use rand_pcg::Pcg64Mcg;
 
-/// Names a process for the whole run, over all its restarts.
+/// Id of a process for the whole run, across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessId(pub u32);
 
@@ -14,26 +14,26 @@
     }
 }
 
-/// What a process is doing.
+/// State of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It handles events as they come.
+    /// Handles events when they are due.
     Running,
-    /// It is stopped in the middle (SIGSTOP, a paused machine): events wait for it.
+    /// Paused (SIGSTOP, a paused machine); its events are kept until it resumes.
     Frozen,
-    /// It does not run; what is sent to it is refused.
+    /// Not running; messages to it are refused.
     Stopped,
 }
 
-/// Everything the kernel keeps per process, apart from the actor.
+/// State that the kernel keeps per process, without the actor.
 #[derive(Debug)]
 pub(super) struct Process {
     pub(super) zone: ZoneId,
     pub(super) clock: Clock,
     pub(super) state: ProcessState,
-    /// Number of starts so far; timers and connections of an earlier start are void.
+    /// Number of starts so far; timers and connections of earlier incarnations are void.
     pub(super) starts: u32,
     pub(super) random: Pcg64Mcg,
-    /// Slots of events that came while it was frozen, in order.
+    /// Queue slots of the events that became due while the process was frozen, in order.
     pub(super) waiting: Vec<u32>,
 }
--- a/crates/bramblewheel-sim/src/kernel/queue.rs
+++ b/crates/bramblewheel-sim/src/kernel/queue.rs
@@ -1,21 +1,21 @@
-//! Events in the order of their time; those of one time in the order they were put in.
+//! Event queue ordered by time, then by insertion.
 
 use bramblewheel_types::Timestamp;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Orders the events: time, then order of entry; the last is the slot that holds the event.
+/// Time in microseconds, insertion number, and slot of the event.
 type Key = (u64, u64, u32);
 
-/// Events in the order of their time.
+/// Event queue ordered by time, then by insertion.
 ///
-/// The heap holds small keys only; events rest in slots that are used again.
+/// The heap holds only small keys; the events stay in reusable slots.
 #[derive(Debug)]
 pub(super) struct Queue<E> {
     heap: BinaryHeap<Reverse<Key>>,
     slots: Vec<Option<E>>,
     free: Vec<u32>,
-    entered: u64,
+    inserted: u64,
 }
 
 impl<E> Queue<E> {
@@ -24,20 +24,20 @@
             heap: BinaryHeap::new(),
             slots: Vec::new(),
             free: Vec::new(),
-            entered: 0,
+            inserted: 0,
         }
     }
 
-    /// Puts an event in.
+    /// Inserts an event.
     pub(super) fn push(&mut self, at: Timestamp, event: E) {
         let slot = self.occupy(event);
         self.requeue(at, slot);
     }
 
-    /// Puts a popped event in again; see [`pop_slot`](Self::pop_slot).
+    /// Inserts an event again that was popped; see [`pop_slot`](Self::pop_slot).
     pub(super) fn requeue(&mut self, at: Timestamp, slot: u32) {
-        self.entered += 1;
-        self.heap.push(Reverse((at.0, self.entered, slot)));
+        self.inserted += 1;
+        self.heap.push(Reverse((at.0, self.inserted, slot)));
     }
 
     fn occupy(&mut self, event: E) -> u32 {
@@ -45,7 +45,7 @@
             self.slots[slot as usize] = Some(event);
             return slot;
         }
-        let slot = u32::try_from(self.slots.len()).expect("under four billion events wait");
+        let slot = u32::try_from(self.slots.len()).expect("fewer than 2^32 events are queued");
         self.slots.push(Some(event));
         slot
     }
@@ -55,7 +55,7 @@
         self.heap.peek().map(|Reverse((at, _, _))| Timestamp(*at))
     }
 
-    /// Takes the next event out of the order, but leaves it in its slot.
+    /// Removes the next event from the heap, but leaves it in its slot.
     pub(super) fn pop_slot(&mut self) -> Option<(Timestamp, u32)> {
         let Reverse((at, _, slot)) = self.heap.pop()?;
         Some((Timestamp(at), slot))
@@ -68,7 +68,7 @@
             .expect("the slot is occupied")
     }
 
-    /// Empties a slot.
+    /// Removes the event from a slot and frees the slot.
     pub(super) fn take(&mut self, slot: u32) -> E {
         self.free.push(slot);
         self.slots[slot as usize]
--- a/crates/bramblewheel-sim/src/kernel/random.rs
+++ b/crates/bramblewheel-sim/src/kernel/random.rs
@@ -1,9 +1,9 @@
-//! Seeded randomness, split by purpose: a draw for one purpose never changes another's.
+//! Seeded random number streams, one per purpose, so that draws for one purpose never affect another.
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// What randomness is used for.
+/// Purpose of a random number stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Purpose {
     /// Delays, losses and duplicates on the network.
@@ -12,11 +12,11 @@
     Process(u32),
     /// Clocks of the processes.
     Clocks,
-    /// Kinds, moments and targets of faults.
+    /// Kinds, times and targets of faults.
     Faults,
     /// Load.
     Load,
-    /// Anything else, numbered by the domain.
+    /// Other purposes, numbered by the domain.
     Other(u32),
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The streams of randomness of one run.
+/// Random number streams of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Streams {
     seed: u64,
@@ -45,7 +45,7 @@
         Self { seed }
     }
 
-    /// The stream of a purpose; the same each time.
+    /// A new stream for a purpose; equal on each call.
     pub fn stream(self, purpose: Purpose) -> Pcg64Mcg {
         Pcg64Mcg::seed_from_u64(mix(mix(self.seed) ^ purpose.number()))
     }
--- a/crates/bramblewheel-sim/src/kernel/simulation.rs
+++ b/crates/bramblewheel-sim/src/kernel/simulation.rs
@@ -1,4 +1,4 @@
-//! Runs the processes and does to them what scenarios ask for.
+//! Runs the processes: event loop, starts, stops, freezes.
 
 use super::actor::{Actor, StartCause, StopCause};
 use super::clock::Clock;
@@ -12,7 +12,7 @@
 use bramblewheel_types::Timestamp;
 use std::time::Duration;
 
-/// All processes of a run with their network and history.
+/// A simulation run: processes, network and history.
 pub struct Simulation<A: Actor> {
     actors: Vec<A>,
     core: Core<A>,
@@ -21,7 +21,7 @@
 }
 
 impl<A: Actor> Simulation<A> {
-    /// A run without processes at virtual time zero.
+    /// Creates a run at virtual time zero without processes.
     pub fn new(streams: Streams, network: Network) -> Self {
         let core = Core {
             now: Timestamp::ZERO,
@@ -39,9 +39,9 @@
         }
     }
 
-    /// Adds a process, stopped at first.
+    /// Adds a process in the stopped state.
     pub fn add(&mut self, actor: A, zone: ZoneId, clock: Clock) -> ProcessId {
-        let number = u32::try_from(self.actors.len()).expect("under four billion processes");
+        let number = u32::try_from(self.actors.len()).expect("fewer than 2^32 processes");
         self.actors.push(actor);
         self.core.processes.push(Process {
             zone,
@@ -54,7 +54,7 @@
         ProcessId(number)
     }
 
-    /// Starts a process that is stopped; otherwise nothing happens.
+    /// Starts a process if it is stopped.
     pub fn start(&mut self, process: ProcessId) {
         let entry = &mut self.core.processes[process.index()];
         if entry.state != ProcessState::Stopped {
@@ -70,14 +70,14 @@
         self.call(process, |actor, context| actor.start(context, cause));
     }
 
-    /// Starts a process after some virtual time, if it is stopped then.
+    /// Starts a process after a virtual delay if it is stopped by then.
     pub fn start_after(&mut self, process: ProcessId, delay: Duration) {
         let event = Event::Start;
         let at = self.core.now + delay;
         self.core.queue.push(at, Addressed { process, event });
     }
 
-    /// Stops a process that is not stopped; otherwise nothing happens.
+    /// Stops a process if it is not stopped.
     pub fn stop(&mut self, process: ProcessId, cause: StopCause) {
         let entry = &mut self.core.processes[process.index()];
         if entry.state == ProcessState::Stopped {
@@ -89,11 +89,11 @@
         self.actors[process.index()].stop(cause);
         for slot in waiting {
             let addressed = self.core.queue.take(slot);
-            self.refuse(addressed);
+            self.handle_for_stopped(addressed);
         }
     }
 
-    /// Freezes a running process: its clock goes on, its events wait.
+    /// Freezes a running process. Its clock keeps running; its events are kept until it resumes.
     pub fn freeze(&mut self, process: ProcessId) {
         let entry = &mut self.core.processes[process.index()];
         if entry.state == ProcessState::Running {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Lets a frozen process go on; what waited comes first, in its order.
+    /// Resumes a frozen process and queues the events that it missed, in order.
     pub fn thaw(&mut self, process: ProcessId) {
         let entry = &mut self.core.processes[process.index()];
         if entry.state != ProcessState::Frozen {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Handles all events up to and including a virtual time, which is the time afterwards.
+    /// Handles all events up to and including the virtual time `end`, then sets the time to `end`.
     pub fn run_until(&mut self, end: Timestamp) {
         while self.core.queue.next_at().is_some_and(|at| at <= end) {
             self.step();
@@ -178,18 +178,18 @@
             return;
         }
         let entry = &self.core.processes[to.index()];
-        let is_same = starts == entry.starts || !self.core.network.keeps_connections();
-        if entry.state == ProcessState::Stopped || !is_same {
-            return self.core.bounce(from, to, message);
+        let is_connected = starts == entry.starts || !self.core.network.keeps_connections();
+        if entry.state == ProcessState::Stopped || !is_connected {
+            return self.core.return_undelivered(from, to, message);
         }
         self.call(to, |actor, context| actor.receive(context, from, message));
     }
 
-    /// An event that waited for a frozen process which is stopped instead.
-    fn refuse(&mut self, addressed: ActorEvent<A>) {
+    /// Handles an event kept for a frozen process that is stopped instead of resumed.
+    fn handle_for_stopped(&mut self, addressed: ActorEvent<A>) {
         let to = addressed.process;
         match addressed.event {
-            Event::Message { from, message, .. } => self.core.bounce(from, to, message),
+            Event::Message { from, message, .. } => self.core.return_undelivered(from, to, message),
             Event::Start => self.start_after(to, Duration::ZERO),
             Event::Timer { .. } | Event::Undelivered { .. } => {}
         }
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Calls a running process from outside, as its user does; `None` if it is not running.
+    /// Calls a process from outside, as its user does; returns `None` if it is not running.
     pub fn with<T>(
         &mut self,
         process: ProcessId,
@@ -223,7 +223,7 @@
         result
     }
 
-    /// Records something that happens outside of all processes, such as a fault.
+    /// Adds a record from outside the processes, such as a fault.
     pub fn record(&mut self, process: Option<ProcessId>, record: A::Record) {
         self.core.record(process, Fact::Domain(record));
     }
@@ -233,7 +233,7 @@
         self.core.now
     }
 
-    /// What a process is doing.
+    /// State of a process.
     pub fn state(&self, process: ProcessId) -> ProcessState {
         self.core.processes[process.index()].state
     }
@@ -248,37 +248,37 @@
         &self.actors[process.index()]
     }
 
-    /// The actor of a process, to change what is below the process (its disk).
+    /// Mutable actor of a process, to change its machine (disk).
     pub fn actor_mut(&mut self, process: ProcessId) -> &mut A {
         &mut self.actors[process.index()]
     }
 
-    /// The network, to set delays and cuts.
+    /// Mutable network, to set delays and cuts.
     pub fn network_mut(&mut self) -> &mut Network {
         &mut self.core.network
     }
 
-    /// What happened so far.
+    /// History so far.
     pub fn history(&self) -> &History<A::Record> {
         &self.core.history
     }
 
-    /// What happened so far, to take entries out.
+    /// Mutable history, to remove entries.
     pub fn history_mut(&mut self) -> &mut History<A::Record> {
         &mut self.core.history
     }
 
-    /// Digest of the whole history: the same seed gives the same digest.
+    /// Digest of the whole history; equal for runs with the same seed.
     pub fn digest(&self) -> HistoryDigest {
         self.core.history.digest(self.handled)
     }
 
-    /// Events handled so far.
+    /// Number of events handled so far.
     pub fn handled(&self) -> u64 {
         self.handled
     }
 
-    /// The run's streams of randomness.
+    /// Random number streams of the run.
     pub fn streams(&self) -> Streams {
         self.streams
     }
--- a/crates/bramblewheel-sim/src/kernel/tests.rs
+++ b/crates/bramblewheel-sim/src/kernel/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the kernel with a process that counts and echoes.
+//! Tests of the kernel with processes that ping each other.
 
 use super::*;
 use bramblewheel_types::Timestamp;
@@ -6,14 +6,14 @@
 
 const TICK: Duration = Duration::from_millis(10);
 
-/// Sends a ping to its peer at each tick and records what comes.
+/// Sends a ping to its peer at each tick and records the messages it receives.
 struct Echo {
     peer: ProcessId,
     ticks: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Seen {
+enum EchoRecord {
     Tick(Timestamp),
     Ping(u64),
     Pong(u64),
@@ -29,7 +29,7 @@
 impl Actor for Echo {
     type Message = Packet;
     type Timer = ();
-    type Record = Seen;
+    type Record = EchoRecord;
 
     fn start(&mut self, context: &mut Context<'_, Self>, _cause: StartCause) {
         context.set_timer(TICK, ());
@@ -42,23 +42,23 @@
     fn receive(&mut self, context: &mut Context<'_, Self>, from: ProcessId, message: Packet) {
         match message {
             Packet::Ping(number) => {
-                context.record(Seen::Ping(number));
+                context.record(EchoRecord::Ping(number));
                 context.send(from, Packet::Pong(number));
             }
-            Packet::Pong(number) => context.record(Seen::Pong(number)),
+            Packet::Pong(number) => context.record(EchoRecord::Pong(number)),
         }
     }
 
     fn timer(&mut self, context: &mut Context<'_, Self>, (): ()) {
         self.ticks += 1;
-        context.record(Seen::Tick(context.now()));
+        context.record(EchoRecord::Tick(context.now()));
         context.send(self.peer, Packet::Ping(self.ticks));
         context.set_timer(TICK, ());
     }
 
     fn undelivered(&mut self, context: &mut Context<'_, Self>, _to: ProcessId, message: Packet) {
         if let Packet::Ping(number) = message {
-            context.record(Seen::Refused(number));
+            context.record(EchoRecord::Refused(number));
         }
     }
 }
@@ -90,33 +90,33 @@
     simulation
 }
 
-fn count(simulation: &Simulation<Echo>, of: ProcessId, wanted: fn(&Seen) -> bool) -> usize {
+fn count(simulation: &Simulation<Echo>, of: ProcessId, matches: fn(&EchoRecord) -> bool) -> usize {
     let entries = simulation.history().entries().iter();
     let matching = entries.filter(|entry| match &entry.fact {
-        Fact::Domain(seen) => entry.process == Some(of) && wanted(seen),
+        Fact::Domain(record) => entry.process == Some(of) && matches(record),
         _ => false,
     });
     matching.count()
 }
 
-fn is_tick(seen: &Seen) -> bool {
-    matches!(seen, Seen::Tick(_))
+fn is_tick(record: &EchoRecord) -> bool {
+    matches!(record, EchoRecord::Tick(_))
 }
 
-fn is_ping(seen: &Seen) -> bool {
-    matches!(seen, Seen::Ping(_))
+fn is_ping(record: &EchoRecord) -> bool {
+    matches!(record, EchoRecord::Ping(_))
 }
 
-fn is_pong(seen: &Seen) -> bool {
-    matches!(seen, Seen::Pong(_))
+fn is_pong(record: &EchoRecord) -> bool {
+    matches!(record, EchoRecord::Pong(_))
 }
 
-fn is_refused(seen: &Seen) -> bool {
-    matches!(seen, Seen::Refused(_))
+fn is_refused(record: &EchoRecord) -> bool {
+    matches!(record, EchoRecord::Refused(_))
 }
 
 #[test]
-fn same_seed_same_digest() {
+fn same_seed_gives_same_digest() {
     let digest = |seed| {
         let mut simulation = pair(seed);
         let disorder = Disorder {
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn clocks_run_at_their_own_rate() {
+fn clock_skew_changes_the_timer_rate() {
     let mut simulation = pair(1);
     simulation.run_until(Timestamp::from_millis(1_000));
     assert_eq!(count(&simulation, FIRST, is_tick), 100);
@@ -141,17 +141,21 @@
 }
 
 #[test]
-fn a_one_way_cut_stops_one_way_only() {
+fn one_way_cut_stops_messages_in_one_direction_only() {
     let mut simulation = pair(2);
     simulation.network_mut().cut_link(FIRST, SECOND);
     simulation.run_until(Timestamp::from_millis(1_000));
     assert_eq!(count(&simulation, SECOND, is_ping), 0);
     assert!(count(&simulation, FIRST, is_ping) > 190);
-    assert_eq!(count(&simulation, SECOND, is_pong), 0, "answers are cut");
+    assert_eq!(
+        count(&simulation, SECOND, is_pong),
+        0,
+        "the pongs to the second process are cut"
+    );
 }
 
 #[test]
-fn a_zone_cut_heals() {
+fn messages_pass_again_after_a_zone_cut_is_healed() {
     let mut simulation = pair(3);
     simulation.network_mut().cut_zone(ZoneId(0), ZoneId(1));
     simulation.run_until(Timestamp::from_millis(500));
@@ -162,7 +166,7 @@
 }
 
 #[test]
-fn a_frozen_process_gets_later_what_waited() {
+fn thawed_process_receives_messages_kept_while_frozen() {
     let mut simulation = pair(4);
     simulation.freeze(SECOND);
     simulation.run_until(Timestamp::from_millis(500));
@@ -173,7 +177,7 @@
 }
 
 #[test]
-fn a_stopped_process_refuses_and_loses_its_timers() {
+fn stopped_process_refuses_messages_and_loses_its_timers() {
     let mut simulation = pair(5);
     simulation.network_mut().set_reports_undelivered(true);
     simulation.stop(SECOND, StopCause::Killed);
@@ -183,5 +187,5 @@
     simulation.start(SECOND);
     simulation.run_until(Timestamp::from_millis(1_000));
     let ticks = count(&simulation, SECOND, is_tick);
-    assert_eq!(ticks, 100, "one timer at a time, from the new start only");
+    assert_eq!(ticks, 100, "only timers of the new incarnation are due");
 }
--- a/crates/bramblewheel-sim/src/lib.rs
+++ b/crates/bramblewheel-sim/src/lib.rs
@@ -1,8 +1,8 @@
 //! Deterministic discrete-event simulator: network, disks, clocks, callers, endpoints, faults and
 //! checkers.
 //!
-//! One seed gives one run. The simulator drives the real decision and replication crates under
-//! virtual time; checkers read the history of events only.
+//! Runs with the same seed are identical. The simulator drives the real decision and replication crates under virtual
+//! time; checkers read only the event history.
 
 pub mod control;
 pub mod deployment;
--- a/crates/bramblewheel-sim/src/run/excerpt.rs
+++ b/crates/bramblewheel-sim/src/run/excerpt.rs
@@ -1,48 +1,50 @@
-//! The shortest useful part of a history: the lines that show a violation, and between them the
-//! faults, starts and stops.
+//! Excerpts of a history for reports: the entries that show a violation, and the faults, starts and stops between
+//! them.
 
-use crate::control::{Cast, ControlRecord};
+use crate::control::{ControlRecord, ProcessRoles};
 use crate::kernel::{Entry, Fact};
 use crate::requests::Record;
 
-/// Most lines of an excerpt.
+/// Largest number of lines in an excerpt.
 const MAX_LINES: usize = 40;
 
 pub(super) fn excerpt(
     history: &[Entry<ControlRecord>],
-    cast: &Cast,
+    roles: &ProcessRoles,
     evidence: &[usize],
 ) -> Vec<String> {
     let (Some(&first), Some(&last)) = (evidence.iter().min(), evidence.iter().max()) else {
         return Vec::new();
     };
-    let useful = (first..=last).filter(|index| {
+    let included = (first..=last).filter(|index| {
         let is_evidence = evidence.contains(index);
         is_evidence || is_background(&history[*index].fact)
     });
-    let lines: Vec<String> = useful.map(|index| line(&history[index], cast)).collect();
+    let lines: Vec<String> = included
+        .map(|index| control_line(&history[index], roles))
+        .collect();
     shorten(lines)
 }
 
-/// The same of a run of kind `requests`, in which processes have numbers only.
-pub(super) fn of_requests(history: &[Entry<Record>], evidence: &[usize]) -> Vec<String> {
+/// Excerpt of a run of kind `requests`, where processes have only numbers.
+pub(super) fn excerpt_of_requests(history: &[Entry<Record>], evidence: &[usize]) -> Vec<String> {
     let (Some(&first), Some(&last)) = (evidence.iter().min(), evidence.iter().max()) else {
         return Vec::new();
     };
-    let useful = (first..=last).filter(|index| {
+    let included = (first..=last).filter(|index| {
         let is_background = match &history[*index].fact {
             Fact::Domain(record) => matches!(record, Record::Fault(_)),
             _ => true,
         };
         evidence.contains(index) || is_background
     });
-    let lines = useful.map(|index| {
+    let lines = included.map(|index| {
         let entry = &history[index];
-        let who = match entry.process {
+        let process_name = match entry.process {
             Some(process) => process.0.to_string(),
             None => "-".to_owned(),
         };
-        line_of(entry, &who)
+        format_line(entry, &process_name)
     });
     shorten(lines.collect())
 }
@@ -62,34 +64,34 @@
     }
 }
 
-fn line(entry: &Entry<ControlRecord>, cast: &Cast) -> String {
-    let who = match entry.process {
-        Some(process) => cast.name(process),
+fn control_line(entry: &Entry<ControlRecord>, roles: &ProcessRoles) -> String {
+    let process_name = match entry.process {
+        Some(process) => roles.name(process),
         None => "-".to_owned(),
     };
-    line_of(entry, &who)
+    format_line(entry, &process_name)
 }
 
-fn line_of<R: std::fmt::Debug>(entry: &Entry<R>, who: &str) -> String {
+fn format_line<R: std::fmt::Debug>(entry: &Entry<R>, process_name: &str) -> String {
     let seconds = entry.at.0 / 1_000_000;
     let micros = entry.at.0 % 1_000_000;
-    let what = match &entry.fact {
+    let event = match &entry.fact {
         Fact::Domain(record) => format!("{record:?}"),
         other => format!("{other:?}"),
     };
-    format!("{seconds}.{micros:06} {who} {what}")
+    format!("{seconds}.{micros:06} {process_name} {event}")
 }
 
-/// Leaves out the middle of what is too long.
+/// Replaces the middle of a long excerpt by the number of omitted lines.
 fn shorten(mut lines: Vec<String>) -> Vec<String> {
     if lines.len() <= MAX_LINES {
         return lines;
     }
     let half = MAX_LINES / 2;
-    let left_out = lines.len() - MAX_LINES;
+    let omitted = lines.len() - MAX_LINES;
     let end = lines.split_off(lines.len() - half);
     lines.truncate(half);
-    lines.push(format!("({left_out} lines left out)"));
+    lines.push(format!("({omitted} lines left out)"));
     lines.extend(end);
     lines
 }
--- a/crates/bramblewheel-sim/src/run/report.rs
+++ b/crates/bramblewheel-sim/src/run/report.rs
@@ -1,4 +1,4 @@
-//! What a run of one seed came to.
+//! Report of a run with one seed.
 
 use crate::control::{ControlRecord, ControlRun, PublishAnswer};
 use crate::kernel::{Fact, HistoryDigest};
@@ -6,31 +6,31 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What a run of one seed came to.
+/// Report of a run with one seed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeedReport {
     /// The seed.
     pub seed: u64,
-    /// Digest of the history: the same seed gives the same.
+    /// Digest of the history; equal for runs with the same seed.
     pub digest: HistoryDigest,
-    /// Promises that were broken.
+    /// Violated promises.
     pub violations: Vec<ViolationReport>,
-    /// Counts and times, by name.
+    /// Counts and times by name.
     pub figures: Figures,
 }
 
-/// A promise that was broken.
+/// A violated promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViolationReport {
     /// Name of the promise.
     pub promise: String,
-    /// What happened instead.
+    /// Description of the violation.
     pub message: String,
-    /// The lines of the history that show it.
+    /// History entries that show the violation.
     pub excerpt: Vec<String>,
 }
 
-/// Counts and times of a run, by name. Names end in the unit where there is one.
+/// Counts and times of a run by name. Names of quantities with a unit end in the unit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Figures(pub BTreeMap<&'static str, u64>);
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// Smallest value that `percent` of all do not exceed; 0 if there is none.
+/// Percentile of sorted values by nearest rank; 0 if there are no values.
 fn percentile(sorted: &[u64], percent: usize) -> u64 {
     let rank = (sorted.len() * percent).div_ceil(100).max(1);
     sorted.get(rank - 1).copied().unwrap_or(0)
@@ -89,7 +89,7 @@
 }
 
 impl fmt::Display for SeedReport {
-    /// One line, and for each broken promise the lines that show it.
+    /// One line, then for each violated promise a line and the history entries that show it.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let result = if self.violations.is_empty() {
             "held"
--- a/crates/bramblewheel-sim/src/scenario/mod.rs
+++ b/crates/bramblewheel-sim/src/scenario/mod.rs
@@ -1,7 +1,7 @@
-//! Scenario files: topology, load, faults over time and stated outcomes.
+//! Scenario files: topology, load, faults over time and expected outcomes.
 //!
-//! `docs/SCENARIOS.md` says how to write one. A file names its `kind`, which says what is
-//! simulated; each kind reads the rest of the file by itself.
+//! `docs/SCENARIOS.md` describes the format. The `kind` of a file selects what is simulated; each kind parses the
+//! remaining keys itself.
 
 mod registry;
 #[cfg(test)]
@@ -17,11 +17,11 @@
 use crate::requests::scenario::RequestScenario;
 use serde::Deserialize;
 
-/// What a scenario simulates.
+/// Kind of simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// The control group with hollow daemons and operators.
+    /// The control group with operators and daemons that serve no requests.
     Control,
     /// A deployment under a surge while a deep service is slow.
     Overload,
@@ -30,18 +30,18 @@
     Requests,
 }
 
-/// The keys that every scenario file has; the kind's own keys are not looked at.
+/// Keys common to all scenario files; keys of the kind are ignored.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Header {
     /// Name, as `sim run` takes it.
     pub name: String,
-    /// What is simulated.
+    /// Kind of simulation.
     pub kind: Kind,
-    /// One line for `sim list`.
+    /// One-line summary for `sim list`.
     pub summary: String,
 }
 
-/// The keys of one kind.
+/// Keys of one kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
     /// The control group.
@@ -52,16 +52,16 @@
     Requests(Box<RequestScenario>),
 }
 
-/// A scenario, read and checked.
+/// A validated scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// What every scenario has.
+    /// Keys common to all scenarios.
     pub header: Header,
-    /// What its kind has.
+    /// Keys of its kind.
     pub body: Body,
 }
 
-/// Reads and checks a scenario; `file` is the name used in errors.
+/// Parses and validates a scenario; `file` is the name used in errors.
 ///
 /// # Errors
 /// [`ScenarioError`] with file, line and key.
--- a/crates/bramblewheel-sim/src/scenario/registry.rs
+++ b/crates/bramblewheel-sim/src/scenario/registry.rs
@@ -1,15 +1,15 @@
-//! The scenarios that come with the program, in the order of `sim list`.
+//! Built-in scenarios, in the order of `sim list`.
 
 use super::{Scenario, ScenarioError, parse};
 
-/// A scenario that comes with the program.
+/// A built-in scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct BuiltIn {
     /// Name, as `sim run` takes it.
     pub name: &'static str,
-    /// Name of the file in the repository.
+    /// Path of the file in the repository.
     pub file: &'static str,
-    /// The file.
+    /// Content of the file.
     pub text: &'static str,
 }
 
@@ -23,7 +23,7 @@
     };
 }
 
-/// All scenarios that come with the program.
+/// All built-in scenarios.
 pub const BUILT_IN: &[BuiltIn] = &[
     built_in!("operators-race"),
     built_in!("publish-resend"),
@@ -52,16 +52,16 @@
 ];
 
 impl BuiltIn {
-    /// Reads the scenario.
+    /// Parses the scenario.
     ///
     /// # Errors
-    /// [`ScenarioError`] when the file is wrong; a test holds that none is.
+    /// [`ScenarioError`] when the file is invalid; a test checks that all built-in files are valid.
     pub fn scenario(&self) -> Result<Scenario, ScenarioError> {
         parse(self.file, self.text)
     }
 }
 
-/// The built-in scenario of a name.
+/// The built-in scenario with the given name.
 pub fn built_in(name: &str) -> Option<&'static BuiltIn> {
     BUILT_IN.iter().find(|built_in| built_in.name == name)
 }
--- a/crates/bramblewheel-sim/src/scenario/tests.rs
+++ b/crates/bramblewheel-sim/src/scenario/tests.rs
@@ -1,8 +1,8 @@
-//! Tests of reading scenario files.
+//! Tests of parsing scenario files.
 
 use super::*;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 name = "trial"
 kind = "control"
 summary = "a trial"
@@ -22,14 +22,17 @@
 in_force_within_ms = 18000
 "#;
 
-fn error_of(good: &str, bad: &str) -> String {
-    assert!(GOOD.contains(good), "the test changes what is there");
-    let error = parse("trial.toml", &GOOD.replace(good, bad));
-    error.expect_err("the change is wrong").to_string()
+fn error_of(valid: &str, replacement: &str) -> String {
+    assert!(
+        VALID.contains(valid),
+        "the text to replace is missing from the valid file"
+    );
+    let error = parse("trial.toml", &VALID.replace(valid, replacement));
+    error.expect_err("the changed file is invalid").to_string()
 }
 
 #[test]
-fn all_built_in_scenarios_are_valid_and_named_as_their_file() {
+fn built_in_scenarios_are_valid_and_named_like_their_files() {
     for built_in in BUILT_IN {
         let scenario = built_in.scenario().expect(built_in.file);
         assert_eq!(scenario.header.name, built_in.name);
@@ -37,10 +40,10 @@
 }
 
 #[test]
-fn a_good_file_is_read() {
-    let scenario = parse("trial.toml", GOOD).expect("valid");
+fn valid_file_is_parsed() {
+    let scenario = parse("trial.toml", VALID).expect("valid");
     let Body::Control(body) = scenario.body else {
-        panic!("the file is of kind control");
+        panic!("expected a scenario of kind control");
     };
     assert_eq!(body.topology.replicas, 3);
     assert_eq!(body.faults[0].at_ms, MillisRange::between(0, 100));
--- a/crates/bramblewheel-sim/src/scenario/value.rs
+++ b/crates/bramblewheel-sim/src/scenario/value.rs
@@ -1,11 +1,11 @@
-//! Values that are drawn anew for each seed.
+//! Scenario values that are drawn per seed.
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// A whole number, or a range `[lowest, highest]` from which each seed draws.
+/// A whole number, or a range `[lowest, highest]` from which a value is drawn per seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "NumberOrRange")]
 pub struct Range {
@@ -32,7 +32,7 @@
 }
 
 impl Range {
-    /// Always the same number.
+    /// Range of a single number.
     pub const fn exactly(number: u64) -> Self {
         Self {
             lowest: number,
@@ -45,7 +45,7 @@
         self.lowest > self.highest
     }
 
-    /// Draws a value; all are alike likely.
+    /// Draws a value with uniform distribution.
     pub fn draw(&self, random: &mut Pcg64Mcg) -> u64 {
         random.random_range(self.lowest..=self.highest.max(self.lowest))
     }
@@ -57,17 +57,17 @@
 pub struct MillisRange(pub Range);
 
 impl MillisRange {
-    /// Always the same time.
+    /// Range of a single time.
     pub const fn exactly(millis: u64) -> Self {
         Self(Range::exactly(millis))
     }
 
-    /// From one time to another.
+    /// Range from one time to another, in milliseconds.
     pub const fn between(lowest: u64, highest: u64) -> Self {
         Self(Range { lowest, highest })
     }
 
-    /// Draws a time.
+    /// Draws a time with uniform distribution.
     pub fn draw(&self, random: &mut Pcg64Mcg) -> Duration {
         let micros = Range {
             lowest: self.0.lowest.saturating_mul(1_000),
--- a/crates/bramblewheel-sim/src/source_text.rs
+++ b/crates/bramblewheel-sim/src/source_text.rs
@@ -1,18 +1,18 @@
-//! The text of a file that somebody wrote, to find lines and keys for errors.
+//! Source text of an input file; finds the lines and keys for error messages.
 
 use serde::de::DeserializeOwned;
 use std::fmt;
 use thiserror::Error;
 
-/// A file can't be used.
+/// An error in an input file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{file}:{line}: {}{message}", FieldPrefix(.field))]
 pub struct SourceError {
     /// Name of the file.
     pub file: String,
-    /// Line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The field concerned, if known.
+    /// Field that the error is about, if known.
     pub field: Option<String>,
     /// What is wrong.
     pub message: String,
@@ -29,7 +29,7 @@
     }
 }
 
-/// The text of a file with its name.
+/// Text of a file with its name.
 #[derive(Clone, Copy, Debug)]
 pub struct SourceText<'a> {
     file: &'a str,
@@ -37,15 +37,15 @@
 }
 
 impl<'a> SourceText<'a> {
-    /// A text; `file` is the name used in errors.
+    /// Creates a source text; `file` is the name used in errors.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         Self { file, text }
     }
 
-    /// Reads the text.
+    /// Parses the text.
     ///
     /// # Errors
-    /// [`SourceError`] when it is not TOML of the right shape.
+    /// [`SourceError`] when the text is not TOML or does not match `T`.
     pub fn deserialize<T: DeserializeOwned>(&self) -> Result<T, SourceError> {
         toml::from_str(self.text).map_err(|error| {
             let start = error.span().map_or(0, |span| span.start);
@@ -55,8 +55,8 @@
         })
     }
 
-    /// An error about a key that stands in the table beginning at byte `offset`; if the key is
-    /// not there, the line is that of the table.
+    /// An error about a key in the table that begins at byte `offset`; points to the start of the table if the key is
+    /// missing.
     pub fn error_at(&self, offset: usize, key: &str, message: impl Into<String>) -> SourceError {
         let first = self.line_of_offset(offset);
         let last_part = key.rsplit('.').next().unwrap_or(key);
@@ -66,7 +66,7 @@
         self.error_in_line(line, Some(key), message)
     }
 
-    /// An error about a key in a table of the file's own, such as `topology.replicas`.
+    /// An error about a key in a top-level table, such as `topology.replicas`.
     pub fn error(&self, key: &str, message: impl Into<String>) -> SourceError {
         let table = key.rsplit_once('.').map_or("", |(table, _)| table);
         let header = format!("[{table}]");
@@ -74,7 +74,7 @@
         self.error_at(offset, key, message)
     }
 
-    /// An error in a line, counted from 1.
+    /// An error in the line with the given number, from 1.
     pub(crate) fn error_in_line(
         &self,
         line: usize,
@@ -89,20 +89,20 @@
         }
     }
 
-    /// The line, counted from 1, in which byte `offset` stands.
+    /// Number of the line, from 1, that contains byte `offset`.
     pub(crate) fn line_of_offset(&self, offset: usize) -> usize {
         let before = self.text.bytes().take(offset);
         1 + before.filter(|&byte| byte == b'\n').count()
     }
 
-    /// Lines with their numbers, from line `first` on.
+    /// Lines from number `first` on, with their numbers.
     pub(crate) fn lines_from(&self, first: usize) -> impl Iterator<Item = (usize, &'a str)> {
         let numbered = (1..).zip(self.text.lines());
         numbered.skip(first - 1)
     }
 }
 
-/// What stands before the equals sign of a line.
+/// The key of a `key = value` line.
 pub(crate) fn key_of(line: &str) -> Option<&str> {
     let (key, _) = line.split_once('=')?;
     Some(key.trim())
--- a/crates/bramblewheel-sim/src/trace/expect.rs
+++ b/crates/bramblewheel-sim/src/trace/expect.rs
@@ -115,7 +115,7 @@
     };
     let completed = judged
         .iter()
-        .filter(|request| request.completed_in_time && counts(request.request));
+        .filter(|judged| judged.completed_in_time && counts(judged.request));
     let replayed = completed.count() as u64;
     (replayed < stated.at_least).then(|| Difference::Completed {
         subject: stated.subject.describe(trace),
@@ -144,12 +144,12 @@
     let completed = judged
         .iter()
         .filter(is_after_recovery)
-        .filter(|request| request.completed_in_time)
+        .filter(|judged| judged.completed_in_time)
         .count() as u64;
     let first_failed = judged
         .iter()
         .filter(is_after_recovery)
-        .find(|request| !request.completed_in_time)?;
+        .find(|judged| !judged.completed_in_time)?;
     let is_met = completed * 100 >= all * stated.at_least_percent;
     (!is_met).then(|| Difference::Recovery {
         from_ms: stated.from.as_millis(),
