--- a/crates/bramblewheel-sim/tests/control_scenarios.rs
+++ b/crates/bramblewheel-sim/tests/control_scenarios.rs
@@ -1,4 +1,4 @@
-//! Every scenario of the control group holds on 200 seeds, and a seed always gives one history.
+//! Every scenario of the control group keeps its promises with 200 seeds, and equal seeds give equal histories.
 
 use bramblewheel_sim::run::run_seed;
 use bramblewheel_sim::scenario::built_in;
@@ -6,8 +6,8 @@
 
 const SEEDS: u64 = 200;
 
-fn holds_on_all_seeds(name: &str) {
-    let built_in = built_in(name).expect("the scenario is there");
+fn assert_promises_hold_with_all_seeds(name: &str) {
+    let built_in = built_in(name).expect("the scenario is built in");
     let scenario = built_in.scenario().expect("the file is valid");
     let mut digests = BTreeSet::new();
     for seed in 0..SEEDS {
@@ -15,9 +15,16 @@
         assert!(report.violations.is_empty(), "{report}");
         digests.insert(report.digest);
     }
-    assert_eq!(digests.len() as u64, SEEDS, "each seed is a run of its own");
+    assert_eq!(
+        digests.len() as u64,
+        SEEDS,
+        "different seeds gave the same history"
+    );
     let again = run_seed(&scenario, 0).digest;
-    assert!(digests.contains(&again), "a seed always gives one history");
+    assert!(
+        digests.contains(&again),
+        "a second run with seed 0 gave another history"
+    );
 }
 
 macro_rules! scenarios {
@@ -25,7 +32,7 @@
         $(
             #[test]
             fn $test() {
-                holds_on_all_seeds($name);
+                assert_promises_hold_with_all_seeds($name);
             }
         )*
     };
