--- a/crates/bramblewheel-sim/src/control/check/order.rs
+++ b/crates/bramblewheel-sim/src/control/check/order.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// State of one daemon as earlier_index by the history.
+/// State of one daemon as shown by the history.
 #[derive(Default)]
 struct DaemonState {
     in_force: Option<(BundleVersion, usize)>,
--- a/crates/bramblewheel-sim/src/control/scenario.rs
+++ b/crates/bramblewheel-sim/src/control/scenario.rs
@@ -242,12 +242,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Direction {
-    /// Both directions.
+    /// Messages in both directions are lost.
     #[default]
     Both,
-    /// Incoming messages.
+    /// Only incoming messages are lost.
     In,
-    /// Outgoing messages.
+    /// Only outgoing messages are lost.
     Out,
     /// One of the other three, drawn for each occurrence.
     Any,
--- a/crates/bramblewheel-sim/src/trace/error.rs
+++ b/crates/bramblewheel-sim/src/trace/error.rs
@@ -34,7 +34,7 @@
     /// Too few requests were completed after the stated time to recover.
     #[error(
         "recovery within {within_ms} ms of {from_ms} ms: stated {stated} percent completed from \
-         then on, replayed {completed} of {all}; first that was not: request {request}"
+         then on, replayed {completed} of {all}; first not completed: request {request}"
     )]
     Recovery {
         /// End of the disturbance, in milliseconds of virtual time.
@@ -71,7 +71,9 @@
         bound: usize,
     },
     /// A send was answered `not-run` although an endpoint ran it.
-    #[error("not-run is true: request {request}, send {send}: told not-run, yet {runs} runs")]
+    #[error(
+        "not-run is true: request {request}, send {send}: answered not-run, but caused {runs} runs"
+    )]
     NotRunUntrue {
         /// The request.
         request: RequestId,
--- a/crates/bramblewheel-sim/src/trace/expect.rs
+++ b/crates/bramblewheel-sim/src/trace/expect.rs
@@ -1,10 +1,10 @@
 //! Expectations of a trace beyond the outcomes of single sends.
 
-use super::ends::Ends;
 use super::error::Difference;
 use super::model::{Request, Trace};
 use super::outcome::StatedOutcome;
 use super::promises;
+use super::run_outcomes::RunOutcomes;
 use crate::requests::FlowIndex;
 use bramblewheel_types::{Criticality, Timestamp};
 use std::time::Duration;
@@ -62,10 +62,10 @@
 }
 
 /// Returns the expectations that the replay did not meet.
-pub(super) fn check(trace: &Trace, ends: &Ends) -> Vec<Difference> {
-    let judged = judge(trace, ends);
+pub(super) fn check(trace: &Trace, outcomes: &RunOutcomes) -> Vec<Difference> {
+    let judged = judge(trace, outcomes);
     let expect = &trace.head.expect;
-    let mut differences = promises::check(trace, ends);
+    let mut differences = promises::check(trace, outcomes);
     let completed = expect.completed.iter();
     differences.extend(completed.filter_map(|stated| check_completed(trace, &judged, stated)));
     let recovery = expect.recovery.iter();
@@ -74,15 +74,15 @@
 }
 
 /// Number of requests completed within their deadlines.
-pub(super) fn count_completed(trace: &Trace, ends: &Ends) -> usize {
-    let judged = judge(trace, ends);
+pub(super) fn count_completed(trace: &Trace, outcomes: &RunOutcomes) -> usize {
+    let judged = judge(trace, outcomes);
     judged
         .iter()
         .filter(|judged| judged.completed_in_time)
         .count()
 }
 
-fn judge<'a>(trace: &'a Trace, ends: &Ends) -> Vec<JudgedRequest<'a>> {
+fn judge<'a>(trace: &'a Trace, outcomes: &RunOutcomes) -> Vec<JudgedRequest<'a>> {
     let mut judged: Vec<JudgedRequest<'a>> = trace
         .requests
         .iter()
@@ -93,7 +93,7 @@
         .collect();
     for (id, position, _) in trace.sends() {
         let request = &trace.requests[position];
-        let Some(end) = ends.sends.get(&id) else {
+        let Some(end) = outcomes.sends.get(&id) else {
             continue;
         };
         let took = end.at.since(request.sends[0].at);
--- a/crates/bramblewheel-sim/src/trace/mod.rs
+++ b/crates/bramblewheel-sim/src/trace/mod.rs
@@ -4,7 +4,6 @@
 //! A trace is replayed through the real decision code in the request simulation. It holds every value that a run
 //! would otherwise draw at random, so that its outcomes depend only on the decisions.
 
-mod ends;
 mod error;
 mod expect;
 mod fault;
@@ -16,10 +15,10 @@
 mod read;
 mod record;
 mod replay;
+mod run_outcomes;
 mod source;
 mod write;
 
-pub use ends::{Ends, SendEnd};
 pub use error::{Difference, RecordError, TraceError};
 pub use expect::{Completed, Expect, Recovery, Subject};
 pub use fault::{Fault, FaultAction, Machine};
@@ -29,4 +28,5 @@
 pub use read::{Files, parse, parse_plan};
 pub use record::{record, state_outcomes};
 pub use replay::{Replay, Verdict, play, replay, replay_with_double};
+pub use run_outcomes::{RunOutcomes, SendOutcome};
 pub use write::to_toml;
--- a/crates/bramblewheel-sim/src/trace/promises.rs
+++ b/crates/bramblewheel-sim/src/trace/promises.rs
@@ -1,30 +1,30 @@
 //! Checks the promises that a trace states for its replay.
 
-use super::ends::Ends;
 use super::error::Difference;
 use super::model::Trace;
 use super::outcome::StatedOutcome;
+use super::run_outcomes::RunOutcomes;
 use std::collections::BTreeMap;
 
-pub(super) fn check(trace: &Trace, ends: &Ends) -> Vec<Difference> {
+pub(super) fn check(trace: &Trace, outcomes: &RunOutcomes) -> Vec<Difference> {
     let expect = &trace.head.expect;
     let mut differences = Vec::new();
     if expect.operations_run_once {
-        differences.extend(check_run_once(ends));
+        differences.extend(check_run_once(outcomes));
     }
     if expect.retries_within_bound {
         let bound = trace.head.bundle.value.limits.retry_tokens as usize;
-        differences.extend(check_retries(ends, bound));
+        differences.extend(check_retries(outcomes, bound));
     }
     if expect.not_run_is_true {
-        differences.extend(check_not_run(trace, ends));
+        differences.extend(check_not_run(trace, outcomes));
     }
     differences
 }
 
-fn check_run_once(ends: &Ends) -> Vec<Difference> {
+fn check_run_once(outcomes: &RunOutcomes) -> Vec<Difference> {
     let mut runs: BTreeMap<_, (_, usize)> = BTreeMap::new();
-    for run in &ends.runs {
+    for run in &outcomes.runs {
         if let Some(operation) = &run.operation {
             let (_, times) = runs.entry(operation).or_insert((run.request, 0));
             *times += 1;
@@ -41,9 +41,9 @@
 }
 
 /// Counts the runs of each call. Every send of a caller is a separate call, so a caller's resends are not extra runs.
-fn check_retries(ends: &Ends, bound: usize) -> Vec<Difference> {
+fn check_retries(outcomes: &RunOutcomes, bound: usize) -> Vec<Difference> {
     let mut requests: BTreeMap<_, BTreeMap<_, usize>> = BTreeMap::new();
-    for run in &ends.runs {
+    for run in &outcomes.runs {
         let calls = requests.entry(run.request).or_default();
         *calls.entry(run.content).or_default() += 1;
     }
@@ -61,14 +61,14 @@
     differences
 }
 
-fn check_not_run(trace: &Trace, ends: &Ends) -> Vec<Difference> {
+fn check_not_run(trace: &Trace, outcomes: &RunOutcomes) -> Vec<Difference> {
     let mut runs: BTreeMap<_, usize> = BTreeMap::new();
-    for root in ends.runs.iter().filter_map(|run| run.root) {
+    for root in outcomes.runs.iter().filter_map(|run| run.root) {
         *runs.entry(root).or_default() += 1;
     }
     let mut differences = Vec::new();
     for (id, position, send) in trace.sends() {
-        let outcome = ends.sends.get(&id).map(|end| end.outcome);
+        let outcome = outcomes.sends.get(&id).map(|end| end.outcome);
         let (Some(StatedOutcome::NotRun(_)), Some(runs)) = (outcome, runs.get(&id)) else {
             continue;
         };
--- a/crates/bramblewheel-sim/src/trace/record.rs
+++ b/crates/bramblewheel-sim/src/trace/record.rs
@@ -1,11 +1,11 @@
 //! Recording of traces from simulated runs.
 
-use super::ends::Ends;
 use super::error::RecordError;
 use super::fault;
 use super::model::{Request, Send, Trace};
 use super::plan::Plan;
 use super::replay::{play, replay};
+use super::run_outcomes::RunOutcomes;
 use crate::kernel::{Entry, Fact, ProcessId};
 use crate::requests::{
     Draws, LayerKind, LayerOptions, LayerSettings, ProcessLayout, Record, RequestSettings,
@@ -45,7 +45,7 @@
     fault::run_until(&mut run, &head.faults, head.ends);
     let history = run.take_history();
     let recording = Recording {
-        ends: Ends::new(&history),
+        outcomes: RunOutcomes::new(&history),
         draws: tape.draws(),
         topology: &head.deployment.value,
         layout: run.layout(),
@@ -65,7 +65,7 @@
 }
 
 struct Recording<'a> {
-    ends: Ends,
+    outcomes: RunOutcomes,
     draws: Draws,
     topology: &'a Topology,
     layout: ProcessLayout,
@@ -140,7 +140,7 @@
             id: Some(*request),
             resend: None,
             deadline: None,
-            outcome: self.ends.sends.get(send).map(|end| end.outcome),
+            outcome: self.outcomes.sends.get(send).map(|end| end.outcome),
             recorded: None,
             runs: self.draws_for(*send),
         }
@@ -165,12 +165,12 @@
 /// Turns the recorded outcome of each send into a stated one if the replay reproduces it, and leaves it as a note
 /// otherwise. Returns the numbers of stated outcomes and of notes.
 pub fn state_outcomes(trace: &mut Trace) -> (usize, usize) {
-    let ends = play(trace, None).ends;
+    let outcomes = play(trace, None).outcomes;
     let sends: Vec<_> = trace.sends().collect();
     let (mut stated, mut not_stated) = (0, 0);
     for (id, request, number) in sends {
         let send = &mut trace.requests[request].sends[number];
-        let replayed = ends.sends.get(&id).map(|end| end.outcome);
+        let replayed = outcomes.sends.get(&id).map(|end| end.outcome);
         let is_reproduced = send.recorded.is_some() && send.recorded == replayed;
         if is_reproduced {
             send.outcome = send.recorded.take();
--- a/crates/bramblewheel-sim/src/trace/replay.rs
+++ b/crates/bramblewheel-sim/src/trace/replay.rs
@@ -1,11 +1,11 @@
 //! Replays a trace through the real decision code and compares it with the stated outcomes.
 
-use super::ends::Ends;
 use super::error::Difference;
 use super::expect;
 use super::fault;
 use super::model::Trace;
 use super::outcome::StatedOutcome;
+use super::run_outcomes::RunOutcomes;
 use crate::kernel::HistoryDigest;
 use crate::requests::{
     CallerBehaviour, Draws, LayerKind, LayerOptions, LayerSettings, LoadProfile, RequestSettings,
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct Replay {
     /// Outcomes of the sends and the runs that they caused.
-    pub ends: Ends,
+    pub outcomes: RunOutcomes,
     /// Digest of the history; equal for every replay of a trace.
     pub digest: HistoryDigest,
 }
@@ -58,8 +58,8 @@
 /// can fail.
 pub fn replay_with_double(trace: &Trace, double: Option<UnsafeDouble>) -> Verdict {
     let replay = play(trace, double);
-    let mut differences = compare_sends(trace, &replay.ends);
-    differences.extend(expect::check(trace, &replay.ends));
+    let mut differences = compare_sends(trace, &replay.outcomes);
+    differences.extend(expect::check(trace, &replay.outcomes));
     let sends = || trace.requests.iter().flat_map(|request| &request.sends);
     Verdict {
         differences,
@@ -67,12 +67,12 @@
         requests: trace.requests.len(),
         sends: sends().count(),
         stated: sends().filter(|send| send.outcome.is_some()).count(),
-        completed: expect::count_completed(trace, &replay.ends),
-        runs: replay.ends.run_count(),
+        completed: expect::count_completed(trace, &replay.outcomes),
+        runs: replay.outcomes.run_count(),
     }
 }
 
-fn compare_sends(trace: &Trace, ends: &Ends) -> Vec<Difference> {
+fn compare_sends(trace: &Trace, outcomes: &RunOutcomes) -> Vec<Difference> {
     let mut differences = Vec::new();
     for (id, position, number) in trace.sends() {
         let request = &trace.requests[position];
@@ -80,7 +80,7 @@
             continue;
         };
         // A send without an end got no answer by the end of the replay.
-        let end = ends.sends.get(&id);
+        let end = outcomes.sends.get(&id);
         let replayed = end.map_or(StatedOutcome::GaveUp, |end| end.outcome);
         if !stated.fits(replayed) {
             differences.push(Difference::Send {
@@ -122,7 +122,7 @@
     let mut run = RequestSimulation::with_script(&settings, options, &script);
     fault::run_until(&mut run, &head.faults, head.ends);
     Replay {
-        ends: Ends::new(&run.take_history()),
+        outcomes: RunOutcomes::new(&run.take_history()),
         digest: run.kernel().digest(),
     }
 }
--- a/crates/bramblewheel-sim/src/trace/ends.rs
+++ b/crates/bramblewheel-sim/src/trace/run_outcomes.rs
@@ -8,7 +8,7 @@
 
 /// Time and outcome of a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SendEnd {
+pub struct SendOutcome {
     /// Virtual time at which the send ended.
     pub at: Timestamp,
     /// Outcome for the caller.
@@ -17,7 +17,7 @@
 
 /// A run of a request or sub-call at an endpoint.
 #[derive(Clone, Debug)]
-pub(super) struct SeenRun {
+pub(super) struct ObservedRun {
     /// The caller's send at the root of the call tree; `None` if unknown.
     pub(super) root: Option<SendId>,
     pub(super) content: Content,
@@ -27,13 +27,13 @@
 
 /// Outcomes of the sends of a simulated run, and the runs at endpoints that they caused.
 #[derive(Clone, Debug, Default)]
-pub struct Ends {
+pub struct RunOutcomes {
     /// Sends that have ended, by id.
-    pub sends: BTreeMap<SendId, SendEnd>,
-    pub(super) runs: Vec<SeenRun>,
+    pub sends: BTreeMap<SendId, SendOutcome>,
+    pub(super) runs: Vec<ObservedRun>,
 }
 
-impl Ends {
+impl RunOutcomes {
     pub(super) fn new(history: &[Entry<Record>]) -> Self {
         let mut outcomes = Self::default();
         let mut roots = HashMap::new();
@@ -64,7 +64,7 @@
                 if let Some(root) = root {
                     roots.insert(*run, root);
                 }
-                self.runs.push(SeenRun {
+                self.runs.push(ObservedRun {
                     root,
                     content: *content,
                     request: *request,
@@ -76,7 +76,7 @@
     }
 
     fn record_end(&mut self, at: Timestamp, send: SendId, outcome: StatedOutcome) {
-        self.sends.insert(send, SendEnd { at, outcome });
+        self.sends.insert(send, SendOutcome { at, outcome });
     }
 
     /// Number of runs at endpoints.
