--- a/crates/bramblewheel-sim/src/trace/replay.rs
+++ b/crates/bramblewheel-sim/src/trace/replay.rs
@@ -1,11 +1,11 @@
-//! The replay of a trace through the real engines, and the verdict on it.
+//! Replays a trace through the real decision code and compares it with the stated outcomes.
 
-use super::ends::Ends;
 use super::error::Difference;
 use super::expect;
 use super::fault;
 use super::model::Trace;
 use super::outcome::StatedOutcome;
+use super::run_outcomes::RunOutcomes;
 use crate::kernel::HistoryDigest;
 use crate::requests::{
     CallerBehaviour, Draws, LayerKind, LayerOptions, LayerSettings, LoadProfile, RequestSettings,
@@ -14,51 +14,52 @@
 use bramblewheel_types::Timestamp;
 use std::sync::Arc;
 
-/// What a replay brought.
+/// Result of a replay.
 #[derive(Clone, Debug)]
 pub struct Replay {
-    /// How the sends ended, and what ran for them.
-    pub ends: Ends,
-    /// Digest of all that happened: the same for each replay of a trace.
+    /// Outcomes of the sends and the runs that they caused.
+    pub outcomes: RunOutcomes,
+    /// Digest of the history; equal for every replay of a trace.
     pub digest: HistoryDigest,
 }
 
-/// Whether a replay brought the stated outcomes.
+/// Comparison of a replay with the stated outcomes.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// Stated outcomes that it did not bring.
+    /// Stated outcomes that the replay did not reproduce.
     pub differences: Vec<Difference>,
-    /// Digest of all that happened: the same for each replay of a trace.
+    /// Digest of the history; equal for every replay of a trace.
     pub digest: HistoryDigest,
-    /// Requests of the trace.
+    /// Number of requests in the trace.
     pub requests: usize,
-    /// Sends of the trace.
+    /// Number of sends in the trace.
     pub sends: usize,
-    /// Sends with a stated outcome.
+    /// Number of sends with a stated outcome.
     pub stated: usize,
-    /// Requests completed within their deadlines.
+    /// Number of requests completed within their deadlines.
     pub completed: usize,
-    /// Runs at endpoints.
+    /// Number of runs at endpoints.
     pub runs: usize,
 }
 
 impl Verdict {
-    /// Whether all stated outcomes came.
+    /// Whether the replay reproduced all stated outcomes.
     pub fn passed(&self) -> bool {
         self.differences.is_empty()
     }
 }
 
-/// Replays a trace and compares.
+/// Replays a trace and compares it with the stated outcomes.
 pub fn replay(trace: &Trace) -> Verdict {
     replay_with_double(trace, None)
 }
 
-/// Replays a trace with unsafe daemons, if any, to see that its stated outcomes can fail.
+/// Like [`replay`], with daemons replaced by an unsafe double if one is given, to show that the stated outcomes
+/// can fail.
 pub fn replay_with_double(trace: &Trace, double: Option<UnsafeDouble>) -> Verdict {
     let replay = play(trace, double);
-    let mut differences = compare_sends(trace, &replay.ends);
-    differences.extend(expect::check(trace, &replay.ends));
+    let mut differences = compare_sends(trace, &replay.outcomes);
+    differences.extend(expect::check(trace, &replay.outcomes));
     let sends = || trace.requests.iter().flat_map(|request| &request.sends);
     Verdict {
         differences,
@@ -66,20 +67,20 @@
         requests: trace.requests.len(),
         sends: sends().count(),
         stated: sends().filter(|send| send.outcome.is_some()).count(),
-        completed: expect::count_completed(trace, &replay.ends),
-        runs: replay.ends.run_count(),
+        completed: expect::count_completed(trace, &replay.outcomes),
+        runs: replay.outcomes.run_count(),
     }
 }
 
-fn compare_sends(trace: &Trace, ends: &Ends) -> Vec<Difference> {
+fn compare_sends(trace: &Trace, outcomes: &RunOutcomes) -> Vec<Difference> {
     let mut differences = Vec::new();
     for (id, position, number) in trace.sends() {
         let request = &trace.requests[position];
         let Some(stated) = request.sends[number].outcome else {
             continue;
         };
-        // Whoever is not answered at the end of the replay waited in vain.
-        let end = ends.sends.get(&id);
+        // A send without an end got no answer by the end of the replay.
+        let end = outcomes.sends.get(&id);
         let replayed = end.map_or(StatedOutcome::GaveUp, |end| end.outcome);
         if !stated.fits(replayed) {
             differences.push(Difference::Send {
@@ -93,7 +94,7 @@
     differences
 }
 
-/// Replays a trace.
+/// Replays a trace without comparing outcomes.
 pub fn play(trace: &Trace, double: Option<UnsafeDouble>) -> Replay {
     let head = &trace.head;
     let settings = RequestSettings {
@@ -121,12 +122,12 @@
     let mut run = RequestSimulation::with_script(&settings, options, &script);
     fault::run_until(&mut run, &head.faults, head.ends);
     Replay {
-        ends: Ends::new(&run.take_history()),
+        outcomes: RunOutcomes::new(&run.take_history()),
         digest: run.kernel().digest(),
     }
 }
 
-/// Scripted callers have no load of their own.
+/// Scripted callers send only what the script says.
 const NO_LOAD: LoadProfile = LoadProfile {
     base_rate: 0.0,
     surge: 1.0,
